--- a/crates/member/src/cost.rs
+++ b/crates/member/src/cost.rs
@@ -17,7 +17,7 @@
 }
 
 /// The cost in a group of `group` balancers whose payload has `payload` bytes. It stays constant
-/// beyond [`Settings::full_rate`] peers: the interval grows instead.
+/// beyond [`Settings::full_rate_peers`] peers: the interval grows instead.
 ///
 /// ```
 /// use acacia_member::{Settings, cost};
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -142,7 +142,7 @@
             revision: record.revision,
             table: record.table,
             acknowledged: record.acknowledged,
-            hears_us: record.is_fresh(now, record.fresh_for(&self.settings, interval)),
+            hears_us: record.is_fresh(now, record.freshness_timeout(&self.settings, interval)),
         };
         View {
             id: self.contact.id,
@@ -157,16 +157,17 @@
     /// while this balancer is young: it may not know all members yet.
     fn sure_until(&self, now: Duration) -> Option<Duration> {
         let interval = self.interval();
-        let bound = interval * self.settings.fresh;
+        let bound = interval * self.settings.fresh_intervals;
         if now.saturating_sub(self.born) < bound {
             return None;
         }
         // Alone, it relies on its own ticks only.
         let alone = Some(self.last + bound);
-        let fresh_for = |record: &Record| record.fresh_for(&self.settings, interval);
+        let freshness_timeout =
+            |record: &Record| record.freshness_timeout(&self.settings, interval);
         let living = self
             .living()
-            .map(|record| Some(record.echoed? + fresh_for(record)));
+            .map(|record| Some(record.echoed? + freshness_timeout(record)));
         living.fold(alone, |least, until| Some(least?.min(until?)))
     }
 
@@ -222,7 +223,7 @@
     pub(crate) fn advance(&mut self, now: Duration) {
         let jump = now.saturating_sub(self.last);
         self.last = self.last.max(now);
-        if jump > self.settings.frozen_within(self.interval()) {
+        if jump > self.settings.suspension_threshold_at(self.interval()) {
             self.rejoin(now, Cause::Frozen(jump));
         }
         if let Some(known) = self
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -5,7 +5,7 @@
 //! send, a [`View`] and [`Event`]s go out. The caller's loop is: [`Group::hint`] whenever the
 //! platform's list was read, [`Group::receive`] for each heartbeat, [`Group::tick`] every
 //! [`Settings::tick`], then [`Group::view`] for the threads that serve traffic. The thread that
-//! ticks must not wait for the platform or anything else: a pause of [`Settings::frozen_for`]
+//! ticks must not wait for the platform or anything else: a pause of [`Settings::suspension_threshold`]
 //! counts as a suspension, and this balancer joins again.
 //!
 //! A member counts as fresh by the *sending* time of our own heartbeat that it echoes, not by the
--- a/crates/member/src/receive.rs
+++ b/crates/member/src/receive.rs
@@ -60,7 +60,7 @@
             Some(echo) if echo.incarnation == own => {
                 record.acknowledged = record.acknowledged.max(echo.number);
                 record.echoed = record.echoed.max(record.sent_at(echo.number));
-                let bound = record.fresh_for(&self.settings, interval);
+                let bound = record.freshness_timeout(&self.settings, interval);
                 record.proven |= record.is_fresh(now, bound);
             }
             Some(echo) if echo.incarnation > own => {
@@ -122,7 +122,7 @@
 
     fn judge(&self, now: Duration, record: &Record) -> State {
         let interval = self.interval();
-        let fresh = record.fresh_for(&self.settings, interval);
+        let fresh = record.freshness_timeout(&self.settings, interval);
         let arriving = record.is_arriving(now, fresh);
         if arriving && record.proven {
             return record.phase.into();
@@ -138,7 +138,7 @@
         }
         let waited = now.saturating_sub(record.last_sign());
         let ending = record.is_ending() && waited > fresh;
-        let given_up = waited > record.death_for(&self.settings, interval)
+        let given_up = waited > record.death_timeout(&self.settings, interval)
             && !self.is_heard_by_others(record.id);
         if ending || given_up {
             State::Dead
--- a/crates/member/src/record.rs
+++ b/crates/member/src/record.rs
@@ -130,13 +130,13 @@
 
     /// The bound after which it is unheard, and its echo stale, by the slower of both sides: it
     /// echoes ours no more often than it sends.
-    pub(crate) fn fresh_for(&self, settings: &Settings, interval: Duration) -> Duration {
-        interval.max(self.interval) * settings.fresh
+    pub(crate) fn freshness_timeout(&self, settings: &Settings, interval: Duration) -> Duration {
+        interval.max(self.interval) * settings.fresh_intervals
     }
 
     /// The bound after which it is dead if nobody hears it.
-    pub(crate) fn death_for(&self, settings: &Settings, interval: Duration) -> Duration {
-        interval.max(self.interval) * settings.death
+    pub(crate) fn death_timeout(&self, settings: &Settings, interval: Duration) -> Duration {
+        interval.max(self.interval) * settings.death_intervals
     }
 
     /// Whether a heartbeat arrived within the bound.
--- a/crates/member/src/settings.rs
+++ b/crates/member/src/settings.rs
@@ -14,31 +14,31 @@
     /// How often the caller ticks. 50 ms: a tenth of the interval, so that heartbeats leave
     /// evenly, and cheap enough for a control thread.
     pub tick: Duration,
-    /// Between two heartbeats to a peer, in a group with up to [`Settings::full_rate`] peers.
-    /// 500 ms: with [`Settings::fresh`] intervals a silent peer is noticed after 2 s, while 8
+    /// Between two heartbeats to a peer, in a group with up to [`Settings::full_rate_peers`] peers.
+    /// 500 ms: with [`Settings::fresh_intervals`] intervals a silent peer is noticed after 2 s, while 8
     /// peers cost about 2 KB/s.
     pub interval: Duration,
     /// With more heard peers than this the interval grows with their number, so that the cost per
     /// balancer stays constant. 8: today's largest group has 9 balancers.
-    pub full_rate: usize,
+    pub full_rate_peers: usize,
     /// Intervals after which a member counts as unheard, and its echo as stale. 4: an echo is up
     /// to two intervals old when everything is well, one lost heartbeat adds a third, and one is
     /// left for delays. Fewer would flag all buckets at every lost heartbeat.
-    pub fresh: u32,
+    pub fresh_intervals: u32,
     /// Intervals without a sign of life after which a member that nobody hears is dead. 10: two and a
     /// half times the bound for unheard, so that every peer that is asked whether it hears the
     /// member has had two rounds to answer. More would keep its flows waiting for longer.
-    pub death: u32,
+    pub death_intervals: u32,
     /// Intervals between two attempts to reach a dead member. 4: a healed partition is noticed
     /// within the bound for unheard, at a quarter of the cost of a live member.
-    pub probe: u32,
+    pub probe_intervals: u32,
     /// Least time between two heartbeats to one peer, however urgent. 100 ms: a change of flags
     /// is acknowledged within two ticks and two transits, and a peer that asks for prompt answers
     /// without end can raise the cost fivefold at most.
-    pub least_gap: Duration,
+    pub min_gap: Duration,
     /// How long a dead member is remembered, so that frames of its old incarnation are known as
     /// such. 10 min: far beyond the time frames live in any queue.
-    pub memory: Duration,
+    pub dead_retention: Duration,
 }
 
 impl Default for Settings {
@@ -46,12 +46,12 @@
         Settings {
             tick: Duration::from_millis(50),
             interval: Duration::from_millis(500),
-            full_rate: 8,
-            fresh: 4,
-            death: 10,
-            probe: 4,
-            least_gap: Duration::from_millis(100),
-            memory: Duration::from_secs(600),
+            full_rate_peers: 8,
+            fresh_intervals: 4,
+            death_intervals: 10,
+            probe_intervals: 4,
+            min_gap: Duration::from_millis(100),
+            dead_retention: Duration::from_secs(600),
         }
     }
 }
@@ -67,39 +67,39 @@
     /// ```
     #[must_use]
     pub fn interval_for(&self, peers: usize) -> Duration {
-        let full_rate = self.full_rate.max(1);
-        let peers = peers.clamp(full_rate, MAX_GROUP);
-        self.interval.mul_f64(peers as f64 / full_rate as f64)
+        let full_rate_peers = self.full_rate_peers.max(1);
+        let peers = peers.clamp(full_rate_peers, MAX_GROUP);
+        self.interval.mul_f64(peers as f64 / full_rate_peers as f64)
     }
 
     /// The bound after which a member is unheard, and an echo stale.
     #[must_use]
-    pub fn fresh_for(&self, peers: usize) -> Duration {
-        self.interval_for(peers) * self.fresh
+    pub fn freshness_timeout(&self, peers: usize) -> Duration {
+        self.interval_for(peers) * self.fresh_intervals
     }
 
     /// The bound after which a member that nobody hears is dead.
     #[must_use]
-    pub fn death_for(&self, peers: usize) -> Duration {
-        self.interval_for(peers) * self.death
+    pub fn death_timeout(&self, peers: usize) -> Duration {
+        self.interval_for(peers) * self.death_intervals
     }
 
     /// A jump between two ticks beyond which this process counts as having been suspended: one
     /// interval less than the bound after which a peer may have given it up.
     #[must_use]
-    pub fn frozen_for(&self, peers: usize) -> Duration {
-        self.frozen_within(self.interval_for(peers))
+    pub fn suspension_threshold(&self, peers: usize) -> Duration {
+        self.suspension_threshold_at(self.interval_for(peers))
     }
 
-    pub(crate) fn frozen_within(&self, interval: Duration) -> Duration {
-        interval * self.fresh.saturating_sub(1).max(1)
+    pub(crate) fn suspension_threshold_at(&self, interval: Duration) -> Duration {
+        interval * self.fresh_intervals.saturating_sub(1).max(1)
     }
 
     /// Time after which a change needs no acknowledgement: no peer still trusts a heartbeat
     /// without it. The peer may believe in a larger group than we do, hence the bound of the
     /// largest; a sixteenth more covers clocks of different speed.
     #[must_use]
-    pub fn settle(&self) -> Duration {
-        self.fresh_for(MAX_GROUP).mul_f64(1.0 + 1.0 / 16.0)
+    pub fn settle_timeout(&self) -> Duration {
+        self.freshness_timeout(MAX_GROUP).mul_f64(1.0 + 1.0 / 16.0)
     }
 }
--- a/crates/member/src/settle.rs
+++ b/crates/member/src/settle.rs
@@ -48,7 +48,7 @@
     /// never acknowledged this incarnation may not know of us at all, and has to do so first.
     #[must_use]
     pub fn is_settled(&self, mark: &Mark, now: Duration) -> bool {
-        let expired = now.saturating_sub(mark.at) >= self.settings.settle();
+        let expired = now.saturating_sub(mark.at) >= self.settings.settle_timeout();
         mark.incarnation == self.incarnation
             && self.living().all(|record| {
                 record.acknowledged >= mark.number || (expired && record.acknowledged > 0)
--- a/crates/member/src/tick.rs
+++ b/crates/member/src/tick.rs
@@ -43,7 +43,7 @@
     fn forget_old(&mut self, now: Duration) {
         let old = |record: &&Record| {
             record.state == State::Dead
-                && now.saturating_sub(record.quiet) > self.settings.memory
+                && now.saturating_sub(record.quiet) > self.settings.dead_retention
                 && record.listed != crate::record::Listed::Live
         };
         let old: Vec<u16> = self
@@ -69,8 +69,8 @@
         // Those that are not heard share a budget of their own, as large as that of the heard.
         let unheard = self.settings.interval_for(self.records.len());
         let gap = match record.state {
-            _ if record.urgent => self.settings.least_gap,
-            State::Dead => unheard * self.settings.probe,
+            _ if record.urgent => self.settings.min_gap,
+            State::Dead => unheard * self.settings.probe_intervals,
             State::Unheard => unheard,
             _ => self.interval(),
         };
--- a/crates/member/tests/it/cost.rs
+++ b/crates/member/tests/it/cost.rs
@@ -22,12 +22,14 @@
     for peers in [1, 8, 15, 63] {
         let interval = settings.interval_for(peers);
         assert!(
-            settings.fresh_for(peers) >= interval * 4,
+            settings.freshness_timeout(peers) >= interval * 4,
             "two lags, a loss and a delay"
         );
-        assert!(settings.frozen_for(peers) + interval <= settings.fresh_for(peers));
-        assert!(settings.death_for(peers) >= settings.fresh_for(peers) + interval * 4);
+        assert!(
+            settings.suspension_threshold(peers) + interval <= settings.freshness_timeout(peers)
+        );
+        assert!(settings.death_timeout(peers) >= settings.freshness_timeout(peers) + interval * 4);
     }
-    assert!(settings.settle() > settings.fresh_for(63));
-    assert_eq!(settings.fresh_for(8), Duration::from_secs(2));
+    assert!(settings.settle_timeout() > settings.freshness_timeout(63));
+    assert_eq!(settings.freshness_timeout(8), Duration::from_secs(2));
 }
--- a/crates/member/tests/it/faults.rs
+++ b/crates/member/tests/it/faults.rs
@@ -19,7 +19,7 @@
 fn death(size: u16) -> Duration {
     let settings = Settings::default();
     let peers = usize::from(size) - 1;
-    settings.death_for(peers) + settings.interval_for(peers) * 2
+    settings.death_timeout(peers) + settings.interval_for(peers) * 2
 }
 
 fn all_agree(net: &Net, size: u16) {
@@ -220,7 +220,7 @@
     let now = net.now;
     let mark = net.node(1).group.mark(now);
 
-    net.run(Settings::default().settle() * 2);
+    net.run(Settings::default().settle_timeout() * 2);
 
     let now = net.now;
     assert!(!net.node(1).group.is_settled(&mark, now));
--- a/crates/member/tests/it/rules.rs
+++ b/crates/member/tests/it/rules.rs
@@ -45,7 +45,7 @@
     assert_eq!(net.state(1, 3), Some(State::Leaving));
     net.nodes.remove(&3);
 
-    net.run(Settings::default().fresh_for(2) + SECOND / 10);
+    net.run(Settings::default().freshness_timeout(2) + SECOND / 10);
 
     assert_eq!(net.state(1, 3), Some(State::Dead));
     assert!(net.is_sure(1));
@@ -62,7 +62,7 @@
     assert_eq!(net.state(1, 3), Some(State::Ready));
     net.nodes.remove(&3);
 
-    net.run(Settings::default().fresh_for(2) + SECOND / 10);
+    net.run(Settings::default().freshness_timeout(2) + SECOND / 10);
 
     assert_eq!(net.state(1, 3), Some(State::Dead), "gone and unheard");
     assert_eq!(
@@ -108,7 +108,7 @@
     let now = net.now;
     net.node(1).group.hint(now, &[hint(1)]);
 
-    net.run(Settings::default().memory);
+    net.run(Settings::default().dead_retention);
 
     assert_eq!(net.state(1, 2), None);
     let last = net
