--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -86,7 +86,7 @@
     pub fn set_phase(&mut self, phase: Phase) {
         if self.phase != phase {
             self.phase = phase;
-            self.hasten();
+            self.request_prompt_answers();
         }
     }
 
@@ -98,7 +98,7 @@
 
     /// Lets the next tick send to every heard peer and ask for prompt answers: after a change
     /// that waits for acknowledgements.
-    pub fn hasten(&mut self) {
+    pub fn request_prompt_answers(&mut self) {
         for record in self
             .records
             .values_mut()
--- a/crates/member/tests/it/faults.rs
+++ b/crates/member/tests/it/faults.rs
@@ -158,7 +158,7 @@
         net.run(Duration::from_millis(700));
         let now = net.now;
         let mark = net.node(1).group.mark(now);
-        net.node(1).group.hasten();
+        net.node(1).group.request_prompt_answers();
         let known = net.delivered.len();
         net.run_checked(Duration::from_secs(30), |net| {
             let now = net.now;
--- a/crates/member/tests/it/rules.rs
+++ b/crates/member/tests/it/rules.rs
@@ -78,7 +78,7 @@
     net.run(SECOND / 5);
     let now = net.now;
     let mark = net.node(1).group.mark(now);
-    net.node(1).group.hasten();
+    net.node(1).group.request_prompt_answers();
 
     net.run(Settings::default().interval / 2);
 
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -257,7 +257,7 @@
             self.servers = Arc::new(servers);
             self.flow.set_tables(tables.clone(), millis(now));
             self.tables = tables;
-            self.group.hasten();
+            self.group.request_prompt_answers();
         }
         let revision = self
             .agreement
@@ -307,7 +307,7 @@
             self.group.set_phase(phase(self.flow.stage()));
         }
         if self.flow.has_news() {
-            self.group.hasten();
+            self.group.request_prompt_answers();
         }
         self.agree(now, unix);
         self.weigh(now);
