--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -23,7 +23,7 @@
 mod tick;
 mod view;
 
-pub use cost::{Cost, FRAME, HEADERS, cost};
+pub use cost::{Cost, FRAME_BYTES, HEADER_BYTES, cost};
 pub use error::Refusal;
 pub use group::Group;
 pub use message::{Contact, Echo, Heartbeat, Intro, Phase};
--- a/crates/peer/examples/group.rs
+++ b/crates/peer/examples/group.rs
@@ -6,7 +6,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-use acacia_member::{Contact, FRAME, Group, Heartbeat, Hint, Settings};
+use acacia_member::{Contact, FRAME_BYTES, Group, Heartbeat, Hint, Settings};
 use acacia_peer::{Class, Mesh};
 use acacia_wire::control::Secret;
 
@@ -105,6 +105,6 @@
     println!(
         "case=heartbeats group={size} seconds={seconds} sure={sure} most_bytes_per_second={most} \
          estimate={:.0}",
-        rate * (FRAME + PAYLOAD) as f64
+        rate * (FRAME_BYTES + PAYLOAD) as f64
     );
 }
--- a/crates/peer/tests/it/frame.rs
+++ b/crates/peer/tests/it/frame.rs
@@ -1,4 +1,4 @@
-use acacia_member::{FRAME, Heartbeat, Phase};
+use acacia_member::{FRAME_BYTES, Heartbeat, Phase};
 use acacia_peer::{Echo, Parcel};
 use acacia_wire::control::{Envelope, Secret, seal};
 use serde::Serialize;
@@ -52,7 +52,7 @@
 
     const LENGTH: usize = 8;
     assert!(
-        (FRAME - 4..=FRAME).contains(&(frame.len() + LENGTH)),
+        (FRAME_BYTES - 4..=FRAME_BYTES).contains(&(frame.len() + LENGTH)),
         "{}",
         frame.len()
     );
