--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -224,7 +224,7 @@
         let jump = now.saturating_sub(self.last);
         self.last = self.last.max(now);
         if jump > self.settings.suspension_threshold_at(self.interval()) {
-            self.rejoin(now, Cause::Frozen(jump));
+            self.rejoin(now, Cause::Suspended(jump));
         }
         if let Some(known) = self
             .outdated
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -125,7 +125,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
     /// It was suspended for this long.
-    Frozen(Duration),
+    Suspended(Duration),
     /// Peers know this later incarnation of it: the clock it was started from went back, or
     /// another balancer has its id.
     Outdated(u64),
@@ -176,7 +176,7 @@
                 to: State::Dead, ..
             } => Some(Code::MemberDead),
             Event::Rejoined {
-                cause: Cause::Frozen(_),
+                cause: Cause::Suspended(_),
                 ..
             } => Some(Code::MemberFrozen),
             Event::Rejoined {
--- a/crates/member/tests/it/faults.rs
+++ b/crates/member/tests/it/faults.rs
@@ -94,7 +94,7 @@
         let node = net.node(1);
         prop_assert_eq!(node.group.incarnation(), before + 1);
         prop_assert_eq!(node.group.phase(), Phase::Joining);
-        let rejoined = |event: &Event| matches!(event, Event::Rejoined { cause: Cause::Frozen(_), .. });
+        let rejoined = |event: &Event| matches!(event, Event::Rejoined { cause: Cause::Suspended(_), .. });
         prop_assert_eq!(node.events.iter().filter(|event| rejoined(event)).count(), 1);
         prop_assert!(!net.is_sure(1), "young again");
         net.run(Duration::from_secs(3));
--- a/crates/node/src/control/core/rejoin.rs
+++ b/crates/node/src/control/core/rejoin.rs
@@ -80,5 +80,5 @@
 /// [`FlowSettings::lapse`] callers may have used their ports again.
 fn keeps_pins(cause: Cause) -> bool {
     let lapse = Duration::from_millis(FlowSettings::default().lapse);
-    matches!(cause, Cause::Frozen(jump) if jump <= lapse)
+    matches!(cause, Cause::Suspended(jump) if jump <= lapse)
 }
