--- a/crates/catalog/src/member.rs
+++ b/crates/catalog/src/member.rs
@@ -11,7 +11,7 @@
 
 /// How long a balancer may go unheard, directly and through others, before it is taken off the
 /// list. Twelve rounds of gossip at 500 ms.
-pub const UNHEARD: Duration = Duration::from_secs(6);
+pub const MEMBER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// How long it is remembered that a balancer has expired.
 const REMEMBERED: Duration = Duration::from_secs(60);
@@ -70,29 +70,29 @@
 
 /// The other balancers.
 #[derive(Debug, Clone, Default)]
-pub struct List {
+pub struct MemberList {
     members: BTreeMap<SocketAddrV4, Heard>,
     /// Those that have expired, and when their beat last rose here: an old word that is still under way
     /// must not bring them back.
     expired: BTreeMap<SocketAddrV4, Heard>,
 }
 
-impl List {
+impl MemberList {
     /// Takes in what was said of a balancer; true if it was not on the list.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_catalog::member::{List, Member};
+    /// use acacia_catalog::member::{MemberList, Member};
     /// let member = Member {
     ///     address: "10.0.0.1:7000".parse().unwrap(), data_centre: "lima-a".into(),
     ///     incarnation: 1, beat: 1, sighted: true, leaving: false,
     /// };
-    /// let mut list = List::default();
-    /// assert!(list.hear(member.clone(), Duration::ZERO));
-    /// assert!(!list.hear(member, Duration::from_secs(1)), "nothing new");
+    /// let mut list = MemberList::default();
+    /// assert!(list.merge(member.clone(), Duration::ZERO));
+    /// assert!(!list.merge(member, Duration::from_secs(1)), "nothing new");
     /// assert_eq!(list.expire(Duration::from_secs(7)).len(), 1);
     /// ```
-    pub fn hear(&mut self, member: Member, now: Duration) -> bool {
+    pub fn merge(&mut self, member: Member, now: Duration) -> bool {
         let Some(known) = self.members.get_mut(&member.address) else {
             let is_old = |heard: &Heard| {
                 (member.incarnation, member.beat) <= (heard.member.incarnation, heard.member.beat)
@@ -117,14 +117,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_catalog::member::{Heartbeat, List, Member};
+    /// use acacia_catalog::member::{Heartbeat, MemberList, Member};
     /// let mut member = Member {
     ///     address: "10.0.0.1:7000".parse().unwrap(), data_centre: "lima-a".into(),
     ///     incarnation: 1, beat: 1, sighted: true, leaving: false,
     /// };
-    /// let mut list = List::default();
+    /// let mut list = MemberList::default();
     /// assert!(!list.confirm(&Heartbeat::from(&member), Duration::ZERO), "unknown");
-    /// list.hear(member.clone(), Duration::ZERO);
+    /// list.merge(member.clone(), Duration::ZERO);
     /// member.beat = 2;
     /// assert!(list.confirm(&Heartbeat::from(&member), Duration::from_secs(5)));
     /// assert!(list.expire(Duration::from_secs(7)).is_empty());
@@ -149,9 +149,9 @@
         true
     }
 
-    /// Takes off the list, and gives, those unheard for [`UNHEARD`].
+    /// Takes off the list, and gives, those unheard for [`MEMBER_TIMEOUT`].
     pub fn expire(&mut self, now: Duration) -> Vec<Member> {
-        let is_gone = |heard: &Heard| now.saturating_sub(heard.at) > UNHEARD;
+        let is_gone = |heard: &Heard| now.saturating_sub(heard.at) > MEMBER_TIMEOUT;
         let gone: Vec<(SocketAddrV4, Heard)> = self
             .members
             .extract_if(.., |_, heard| is_gone(heard))
@@ -164,13 +164,13 @@
         members
     }
 
-    /// Those heard within half of [`UNHEARD`], the latest first. Those heard at one time come in an order
+    /// Those heard within half of [`MEMBER_TIMEOUT`], the latest first. Those heard at one time come in an order
     /// that `salt` decides, so that balancers don't all pass on the same ones. A word that is passed on
     /// while it is new reaches all in a number of rounds that grows with the logarithm of the fleet; one
     /// that is passed on for longer brings a dead member back to lists that it has expired from.
     #[must_use]
     pub fn latest(&self, salt: u64, now: Duration) -> Vec<&Member> {
-        let is_new = |heard: &&Heard| heard.at + UNHEARD / 2 > now;
+        let is_new = |heard: &&Heard| heard.at + MEMBER_TIMEOUT / 2 > now;
         let mut heard: Vec<&Heard> = self.members.values().filter(is_new).collect();
         heard.sort_by_cached_key(|heard| {
             let place = mix(rank(heard.member.address) ^ salt);
--- a/crates/catalog/src/spread.rs
+++ b/crates/catalog/src/spread.rs
@@ -11,7 +11,7 @@
 
 use acacia_wire::flow::mix;
 
-use crate::member::{List, Member, rank};
+use crate::member::{Member, MemberList, rank};
 
 /// The times that govern reading, all derived from the bound on a change being in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -194,7 +194,7 @@
 
 /// Whether `own` is the first in rank among those that can see the store.
 #[must_use]
-pub fn is_reader(own: &Member, list: &List) -> bool {
+pub fn is_reader(own: &Member, list: &MemberList) -> bool {
     let able = |member: &Member| member.sighted && !member.leaving;
     able(own)
         && list
@@ -208,7 +208,7 @@
 /// From the store: all of its own data centre, and one relay of each other. From another data
 /// centre: all of its own. From its own data centre: nobody, they were all told.
 #[must_use]
-pub fn audience(own: &Member, list: &List, source: Option<&Arc<str>>) -> Vec<SocketAddrV4> {
+pub fn audience(own: &Member, list: &MemberList, source: Option<&Arc<str>>) -> Vec<SocketAddrV4> {
     let near = |member: &&Member| member.data_centre == own.data_centre;
     let mut audience: Vec<SocketAddrV4> = Vec::new();
     if source.is_some_and(|centre| *centre == own.data_centre) {
@@ -226,16 +226,16 @@
 /// balancer that dies hands its part to the next without a word.
 ///
 /// ```
-/// use acacia_catalog::{member::{List, Member}, spread::is_chosen};
+/// use acacia_catalog::{member::{MemberList, Member}, spread::is_chosen};
 /// let own = Member {
 ///     address: "192.0.2.1:7000".parse()?, data_centre: "a".into(), incarnation: 1, beat: 0,
 ///     sighted: true, leaving: false,
 /// };
-/// assert!(is_chosen(&own, &List::default(), 7, 1), "nobody else is there");
+/// assert!(is_chosen(&own, &MemberList::default(), 7, 1), "nobody else is there");
 /// # Ok::<(), std::net::AddrParseError>(())
 /// ```
 #[must_use]
-pub fn is_chosen(own: &Member, list: &List, key: u64, count: usize) -> bool {
+pub fn is_chosen(own: &Member, list: &MemberList, key: u64, count: usize) -> bool {
     let place = |member: &Member| mix(rank(member.address) ^ key);
     let near = list
         .iter()
@@ -247,19 +247,19 @@
 /// The first `count` balancers of a data centre in the order that belongs to `key`, see [`is_chosen`].
 ///
 /// ```
-/// use acacia_catalog::{member::{List, Member}, spread::chosen};
+/// use acacia_catalog::{member::{MemberList, Member}, spread::chosen};
 /// let own = Member {
 ///     address: "192.0.2.1:7000".parse()?, data_centre: "a".into(), incarnation: 1, beat: 0,
 ///     sighted: true, leaving: false,
 /// };
-/// assert_eq!(chosen(&own, &List::default(), "a", 7, 2), [own.address]);
-/// assert!(chosen(&own, &List::default(), "b", 7, 2).is_empty());
+/// assert_eq!(chosen(&own, &MemberList::default(), "a", 7, 2), [own.address]);
+/// assert!(chosen(&own, &MemberList::default(), "b", 7, 2).is_empty());
 /// # Ok::<(), std::net::AddrParseError>(())
 /// ```
 #[must_use]
 pub fn chosen(
     own: &Member,
-    list: &List,
+    list: &MemberList,
     data_centre: &str,
     key: u64,
     count: usize,
@@ -287,7 +287,7 @@
 #[must_use]
 pub fn branches(
     own: &Member,
-    list: &List,
+    list: &MemberList,
     root: SocketAddrV4,
     source: Option<&Arc<str>>,
 ) -> Vec<SocketAddrV4> {
@@ -313,7 +313,7 @@
 }
 
 /// The first in rank of each other data centre.
-fn relays(own: &Member, list: &List) -> Vec<SocketAddrV4> {
+fn relays(own: &Member, list: &MemberList) -> Vec<SocketAddrV4> {
     let mut first: Vec<&Member> = Vec::new();
     for member in list
         .iter()
--- a/crates/catalog/tests/it/member.rs
+++ b/crates/catalog/tests/it/member.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use acacia_catalog::member::{List, Member, UNHEARD};
+use acacia_catalog::member::{MEMBER_TIMEOUT, Member, MemberList};
 
 use crate::fixture::member;
 
@@ -8,11 +8,11 @@
 /// word would keep it on the list for good, and news would be sent to nobody.
 #[test]
 fn a_word_that_was_heard_before_keeps_nobody_on_the_list() {
-    let mut list = List::default();
-    list.hear(member(1, "a"), Duration::ZERO);
-    list.hear(member(1, "a"), UNHEARD);
+    let mut list = MemberList::default();
+    list.merge(member(1, "a"), Duration::ZERO);
+    list.merge(member(1, "a"), MEMBER_TIMEOUT);
 
-    let expired = list.expire(UNHEARD + Duration::from_millis(1));
+    let expired = list.expire(MEMBER_TIMEOUT + Duration::from_millis(1));
 
     assert_eq!(expired, [member(1, "a")]);
     assert!(list.is_empty());
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_new_life_counts_as_heard_whatever_its_beat() {
-    let mut list = List::default();
+    let mut list = MemberList::default();
     let old = Member {
         beat: 90,
         ..member(1, "a")
@@ -30,10 +30,10 @@
         beat: 0,
         ..member(1, "a")
     };
-    list.hear(old, Duration::ZERO);
+    list.merge(old, Duration::ZERO);
 
-    list.hear(born.clone(), UNHEARD);
+    list.merge(born.clone(), MEMBER_TIMEOUT);
 
-    assert_eq!(list.expire(UNHEARD + Duration::from_millis(1)), []);
+    assert_eq!(list.expire(MEMBER_TIMEOUT + Duration::from_millis(1)), []);
     assert_eq!(list.iter().collect::<Vec<_>>(), [&born]);
 }
--- a/crates/catalog/tests/it/spread.rs
+++ b/crates/catalog/tests/it/spread.rs
@@ -1,7 +1,7 @@
 use std::{collections::BTreeSet, net::SocketAddrV4, time::Duration};
 
 use acacia_catalog::{
-    member::{List, Member},
+    member::{Member, MemberList},
     spread::{Pace, Reading, Turn, audience, branches, is_chosen, is_reader},
 };
 use rstest::rstest;
@@ -18,10 +18,10 @@
 }
 
 /// The list that `own` has of the others.
-fn list(own: &Member, fleet: &[Member]) -> List {
-    let mut list = List::default();
+fn list(own: &Member, fleet: &[Member]) -> MemberList {
+    let mut list = MemberList::default();
     for other in fleet.iter().filter(|other| other.address != own.address) {
-        list.hear(other.clone(), Duration::ZERO);
+        list.merge(other.clone(), Duration::ZERO);
     }
     list
 }
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -12,7 +12,7 @@
 
 use acacia_catalog::{
     Catalog, Change,
-    member::{List, Member, Peak},
+    member::{Member, MemberList, Peak},
     spread::{Pace, Reading, Turn, is_reader},
 };
 use acacia_cookie::{
@@ -78,7 +78,7 @@
     /// When the process started.
     born: Duration,
     seeds: Vec<SocketAddrV4>,
-    list: List,
+    list: MemberList,
     /// The largest size of the fleet of late.
     size: Peak,
     /// What the settings say of servers that have just started.
@@ -136,7 +136,7 @@
             },
             born: now,
             seeds: settings.seeds.clone(),
-            list: List::default(),
+            list: MemberList::default(),
             size: Peak::default(),
             warming: warming(settings),
             catalog: Catalog::default(),
@@ -220,7 +220,7 @@
 
     /// The other balancers.
     #[must_use]
-    pub const fn list(&self) -> &List {
+    pub const fn list(&self) -> &MemberList {
         &self.list
     }
 
--- a/crates/node/src/cookie/core/gossip.rs
+++ b/crates/node/src/cookie/core/gossip.rs
@@ -21,7 +21,7 @@
             return;
         }
         let (address, centre) = (member.address, Arc::clone(&member.data_centre));
-        if self.list.hear(member, now) {
+        if self.list.merge(member, now) {
             log::info!("event=peer-found peer={address} data_centre={centre}");
         }
     }
