--- a/crates/catalog/src/spread.rs
+++ b/crates/catalog/src/spread.rs
@@ -15,43 +15,43 @@
 
 /// The times that govern reading, all derived from the bound on a change being in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Pace {
+pub struct ReadTiming {
     /// How long the reader's watch waits at the store: its heartbeat. A watch that is silent for
     /// longer has lost its connection.
-    pub watch: Duration,
+    pub watch_timeout: Duration,
     /// How old a balancer's knowledge may be before it reads for itself.
-    pub patience: Duration,
+    pub max_age: Duration,
     /// Spread of that age over the balancers, so that they don't all read in one moment.
-    pub spread: Duration,
+    pub jitter: Duration,
     /// Longest wait between two failed calls.
-    pub backoff: Duration,
+    pub max_backoff: Duration,
 }
 
-impl Pace {
+impl ReadTiming {
     /// The pace that keeps a change in force within `bound` of the store's answer, also when the
     /// reader is lost at the worst moment: half of it may pass before anybody notices, a fifth
     /// spreads the readings, the rest is for the reading itself.
     ///
     /// ```
     /// use std::time::Duration;
-    /// let pace = acacia_catalog::spread::Pace::within(Duration::from_secs(3));
-    /// assert_eq!(pace.watch, Duration::from_millis(1200));
-    /// assert_eq!(pace.patience, Duration::from_millis(1500));
+    /// let timing = acacia_catalog::spread::ReadTiming::within(Duration::from_secs(3));
+    /// assert_eq!(timing.watch_timeout, Duration::from_millis(1200));
+    /// assert_eq!(timing.max_age, Duration::from_millis(1500));
     /// ```
     #[must_use]
     pub fn within(bound: Duration) -> Self {
-        Pace {
-            watch: bound * 2 / 5,
-            patience: bound / 2,
-            spread: bound / 5,
-            backoff: bound / 3,
+        ReadTiming {
+            watch_timeout: bound * 2 / 5,
+            max_age: bound / 2,
+            jitter: bound / 5,
+            max_backoff: bound / 3,
         }
     }
 }
 
 /// What a balancer does next about the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum ReadAction {
     /// Call and let the store hold the answer until something changes.
     Watch,
     /// Call for an answer at once.
@@ -62,10 +62,10 @@
 
 /// A balancer's own part in reading.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reading {
-    pace: Pace,
+pub struct ReadSchedule {
+    timing: ReadTiming,
     /// Until when everything is known; none before the first whole reading.
-    fresh: Option<Duration>,
+    fresh_until: Option<Duration>,
     /// When a reading of unknown age came in; none if there was none.
     primed: Option<Duration>,
     /// Calls failed in a row, and when the last did.
@@ -73,13 +73,13 @@
     failed: Duration,
 }
 
-impl Reading {
+impl ReadSchedule {
     /// Nothing is known yet.
     #[must_use]
-    pub const fn new(pace: Pace) -> Self {
-        Reading {
-            pace,
-            fresh: None,
+    pub const fn new(timing: ReadTiming) -> Self {
+        ReadSchedule {
+            timing,
+            fresh_until: None,
             primed: None,
             failures: 0,
             failed: Duration::ZERO,
@@ -88,25 +88,25 @@
 
     /// The pace in force.
     #[must_use]
-    pub const fn pace(&self) -> Pace {
-        self.pace
+    pub const fn timing(&self) -> ReadTiming {
+        self.timing
     }
 
     /// Takes another pace.
-    pub fn set_pace(&mut self, pace: Pace) {
-        self.pace = pace;
+    pub fn set_timing(&mut self, timing: ReadTiming) {
+        self.timing = timing;
     }
 
     /// Until when everything is known.
     #[must_use]
-    pub const fn fresh(&self) -> Option<Duration> {
-        self.fresh
+    pub const fn fresh_until(&self) -> Option<Duration> {
+        self.fresh_until
     }
 
     /// Whether a reading has come in, of whatever age.
     #[must_use]
     pub const fn is_primed(&self) -> bool {
-        self.primed.is_some() || self.fresh.is_some()
+        self.primed.is_some() || self.fresh_until.is_some()
     }
 
     /// The store has answered with what may be seconds old.
@@ -117,7 +117,7 @@
 
     /// Whether the latest call to the store was answered.
     #[must_use]
-    pub const fn is_sighted(&self) -> bool {
+    pub const fn is_store_reachable(&self) -> bool {
         self.failures == 0
     }
 
@@ -129,7 +129,7 @@
 
     /// A peer has vouched that everything is known until `at`.
     pub fn confirmed(&mut self, at: Duration) {
-        self.fresh = Some(self.fresh.map_or(at, |fresh| fresh.max(at)));
+        self.fresh_until = Some(self.fresh_until.map_or(at, |fresh| fresh.max(at)));
     }
 
     /// A call to the store has failed.
@@ -143,31 +143,31 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_catalog::spread::{Pace, Reading, Turn};
-    /// let mut reading = Reading::new(Pace::within(Duration::from_secs(3)));
-    /// assert_eq!(reading.turn(Duration::ZERO, false, 0.0, 0), Turn::Poll);
+    /// use acacia_catalog::spread::{ReadTiming, ReadSchedule, ReadAction};
+    /// let mut reading = ReadSchedule::new(ReadTiming::within(Duration::from_secs(3)));
+    /// assert_eq!(reading.next_action(Duration::ZERO, false, 0.0, 0), ReadAction::Poll);
     /// reading.answered(Duration::ZERO);
-    /// assert_eq!(reading.turn(Duration::ZERO, true, 0.0, 0), Turn::Watch);
-    /// assert!(matches!(reading.turn(Duration::ZERO, false, 0.0, 0), Turn::Wait(_)));
-    /// assert_eq!(reading.turn(Duration::from_secs(2), false, 0.0, 0), Turn::Poll);
+    /// assert_eq!(reading.next_action(Duration::ZERO, true, 0.0, 0), ReadAction::Watch);
+    /// assert!(matches!(reading.next_action(Duration::ZERO, false, 0.0, 0), ReadAction::Wait(_)));
+    /// assert_eq!(reading.next_action(Duration::from_secs(2), false, 0.0, 0), ReadAction::Poll);
     /// ```
     #[must_use]
-    pub fn turn(&self, now: Duration, reads: bool, share: f64, blind: usize) -> Turn {
+    pub fn next_action(&self, now: Duration, reads: bool, share: f64, blind: usize) -> ReadAction {
         let wait = self.pause(now, share, blind);
         if !wait.is_zero() {
-            return Turn::Wait(wait);
+            return ReadAction::Wait(wait);
         }
-        if reads && self.fresh.is_some() {
-            return Turn::Watch;
+        if reads && self.fresh_until.is_some() {
+            return ReadAction::Watch;
         }
         // What is primed waits for a peer's word; the reader has none to wait for.
-        let Some(fresh) = self.fresh.or(self.primed.filter(|_| !reads)) else {
-            return Turn::Poll;
+        let Some(fresh) = self.fresh_until.or(self.primed.filter(|_| !reads)) else {
+            return ReadAction::Poll;
         };
-        let due = fresh + self.pace.patience + self.pace.spread.mul_f64(share);
+        let due = fresh + self.timing.max_age + self.timing.jitter.mul_f64(share);
         match due.checked_sub(now) {
-            Some(wait) if !wait.is_zero() => Turn::Wait(wait),
-            _ => Turn::Poll,
+            Some(wait) if !wait.is_zero() => ReadAction::Wait(wait),
+            _ => ReadAction::Poll,
         }
     }
 
@@ -180,7 +180,7 @@
         if self.failures == 0 {
             return Duration::ZERO;
         }
-        let doubled = (self.pace.backoff / 8) * (1 << (self.failures - 1).min(3));
+        let doubled = (self.timing.max_backoff / 8) * (1 << (self.failures - 1).min(3));
         let crowd = (blind as f64 / CROWD).clamp(1.0, MOST_CROWDED);
         let pause = doubled.mul_f64((0.75 + share / 2.0) * crowd);
         (self.failed + pause).saturating_sub(now)
--- a/crates/catalog/tests/it/spread.rs
+++ b/crates/catalog/tests/it/spread.rs
@@ -2,7 +2,7 @@
 
 use acacia_catalog::{
     member::{Member, MemberList},
-    spread::{Pace, Reading, Turn, audience, branches, is_chosen, is_reader},
+    spread::{ReadAction, ReadSchedule, ReadTiming, audience, branches, is_chosen, is_reader},
 };
 use rstest::rstest;
 
@@ -112,11 +112,11 @@
 #[case::first(0.0)]
 #[case::last(0.999)]
 fn whoever_hears_nothing_reads_within_the_bound(#[case] share: f64) {
-    let mut reading = Reading::new(Pace::within(BOUND));
+    let mut reading = ReadSchedule::new(ReadTiming::within(BOUND));
     reading.confirmed(Duration::ZERO);
     let mut now = Duration::ZERO;
 
-    while let Turn::Wait(wait) = reading.turn(now, false, share, 0) {
+    while let ReadAction::Wait(wait) = reading.next_action(now, false, share, 0) {
         now += wait;
     }
 
@@ -125,12 +125,12 @@
 
 /// Calls of one balancer in 20 s of a store that is away, while so many others don't see it either.
 fn calls(blind: usize) -> usize {
-    let mut reading = Reading::new(Pace::within(BOUND));
+    let mut reading = ReadSchedule::new(ReadTiming::within(BOUND));
     let (mut now, mut calls) = (Duration::ZERO, 0);
     while now < Duration::from_secs(20) {
-        match reading.turn(now, false, 0.5, blind) {
-            Turn::Wait(wait) => now += wait,
-            Turn::Watch | Turn::Poll => {
+        match reading.next_action(now, false, 0.5, blind) {
+            ReadAction::Wait(wait) => now += wait,
+            ReadAction::Watch | ReadAction::Poll => {
                 calls += 1;
                 reading.failed(now);
             }
@@ -156,12 +156,15 @@
 /// A balancer that a peer has just told is as well informed as the peer, and has no reason to read.
 #[test]
 fn a_peer_s_word_takes_the_place_of_a_reading() {
-    let mut reading = Reading::new(Pace::within(BOUND));
+    let mut reading = ReadSchedule::new(ReadTiming::within(BOUND));
     for second in 0..30 {
         let now = Duration::from_secs(second);
         reading.confirmed(now);
 
-        assert!(matches!(reading.turn(now, false, 0.0, 0), Turn::Wait(_)));
+        assert!(matches!(
+            reading.next_action(now, false, 0.0, 0),
+            ReadAction::Wait(_)
+        ));
     }
 }
 
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -13,7 +13,7 @@
 use acacia_catalog::{
     Catalog, Change,
     member::{Member, MemberList, Peak},
-    spread::{Pace, Reading, Turn, is_reader},
+    spread::{ReadAction, ReadSchedule, ReadTiming, is_reader},
 };
 use acacia_cookie::{
     Roster, Snapshot,
@@ -84,7 +84,7 @@
     /// What the settings say of servers that have just started.
     warming: Warming,
     catalog: Catalog,
-    reading: Reading,
+    reading: ReadSchedule,
     roster: Roster,
     detector: Detector,
     speeds: Speeds,
@@ -140,7 +140,7 @@
             size: Peak::default(),
             warming: warming(settings),
             catalog: Catalog::default(),
-            reading: Reading::new(Pace::within(settings.in_force)),
+            reading: ReadSchedule::new(ReadTiming::within(settings.in_force)),
             roster: Roster::new(Limits {
                 known: settings.flow,
                 ..Limits::default()
@@ -168,14 +168,15 @@
     /// Takes in changed settings.
     pub fn renew(&mut self, settings: &Settings) {
         self.seeds = settings.seeds.clone();
-        self.reading.set_pace(Pace::within(settings.in_force));
+        self.reading
+            .set_timing(ReadTiming::within(settings.in_force));
         self.warming = warming(settings);
     }
 
     /// The pace of readings.
     #[must_use]
-    pub const fn pace(&self) -> Pace {
-        self.reading.pace()
+    pub const fn pace(&self) -> ReadTiming {
+        self.reading.timing()
     }
 
     /// The revision up to which everything is known.
@@ -225,15 +226,15 @@
     }
 
     /// What to do about the store now.
-    pub fn turn(&mut self, now: Duration) -> Turn {
-        self.own.sighted = self.reading.is_sighted();
+    pub fn turn(&mut self, now: Duration) -> ReadAction {
+        self.own.sighted = self.reading.is_store_reachable();
         let reads = !self.is_joining(now) && is_reader(&self.own, &self.list);
         if reads != self.reads {
             self.reads = reads;
             log::info!("event=reader reads={reads} peers={}", self.list.len());
         }
         let blind = self.list.iter().filter(|member| !member.sighted).count();
-        self.reading.turn(now, reads, self.share, blind)
+        self.reading.next_action(now, reads, self.share, blind)
     }
 
     /// Whether this balancer has just started and has not met its peers yet. When a whole fleet starts at
@@ -301,7 +302,7 @@
     }
 
     fn regained(&self) {
-        if !self.reading.is_sighted() {
+        if !self.reading.is_store_reachable() {
             let revision = self.catalog.revision();
             log::info!("event=store-regained revision={revision}");
         }
@@ -309,7 +310,7 @@
 
     /// A call to the store has failed.
     pub fn failed(&mut self, reason: &dyn std::fmt::Display, now: Duration) {
-        if self.reading.is_sighted() {
+        if self.reading.is_store_reachable() {
             let revision = self.catalog.revision();
             log::warn!("event=store-lost revision={revision} reason=\"{reason}\"");
         }
@@ -381,7 +382,7 @@
     /// When a whole fleet starts at once, hundreds of whole catalogs would be fetched from the same three
     /// seeds, while the store answers everybody in milliseconds.
     pub(super) fn is_reading_first(&self, now: Duration) -> bool {
-        let waits = self.reading.fresh().is_none() && self.reading.is_sighted();
+        let waits = self.reading.fresh_until().is_none() && self.reading.is_store_reachable();
         waits && now < self.born + FIRST
     }
 
@@ -416,7 +417,10 @@
     }
 
     fn known(&self, now: Duration) -> Known {
-        let age = self.reading.fresh().map(|fresh| now.saturating_sub(fresh));
+        let age = self
+            .reading
+            .fresh_until()
+            .map(|fresh| now.saturating_sub(fresh));
         Known {
             revision: self.catalog.revision(),
             age_ms: age.map(|age| age.as_millis() as u64),
--- a/crates/node/src/cookie/core/news.rs
+++ b/crates/node/src/cookie/core/news.rs
@@ -65,9 +65,9 @@
     /// Takes in that everything was known at `at`; whether that is worth passing on. Peers' words
     /// differ by milliseconds, and each would otherwise go through the whole data centre.
     fn confirm(&mut self, at: Duration) -> bool {
-        let before = self.reading.fresh();
+        let before = self.reading.fresh_until();
         self.reading.confirmed(at);
-        before.is_none_or(|before| at > before + self.reading.pace().watch / 2)
+        before.is_none_or(|before| at > before + self.reading.timing().watch_timeout / 2)
     }
 
     pub(super) fn apply(&mut self, change: Change) -> bool {
--- a/crates/node/src/cookie/core/standing.rs
+++ b/crates/node/src/cookie/core/standing.rs
@@ -43,7 +43,10 @@
         Standing {
             version: self.version().unwrap_or_default(),
             revision: self.catalog.revision(),
-            age: self.reading.fresh().map(|fresh| now.saturating_sub(fresh)),
+            age: self
+                .reading
+                .fresh_until()
+                .map(|fresh| now.saturating_sub(fresh)),
             peers: self.list.len(),
             silent: self.detector.silent().len(),
             reads: self.reads,
