--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -171,7 +171,7 @@
 
     /// Whether a change can be taken in: a step needs the configuration that it starts from.
     #[must_use]
-    pub fn fits(&self, change: &Change) -> bool {
+    pub fn can_apply(&self, change: &Change) -> bool {
         let own = self.config.as_ref().map_or(0, |item| item.revision);
         match change {
             Change::Patch { revision, patch } => own == patch.base || own >= *revision,
--- a/crates/catalog/src/spread.rs
+++ b/crates/catalog/src/spread.rs
@@ -208,17 +208,17 @@
 /// From the store: all of its own data centre, and one relay of each other. From another data
 /// centre: all of its own. From its own data centre: nobody, they were all told.
 #[must_use]
-pub fn audience(own: &Member, list: &MemberList, source: Option<&Arc<str>>) -> Vec<SocketAddrV4> {
+pub fn recipients(own: &Member, list: &MemberList, source: Option<&Arc<str>>) -> Vec<SocketAddrV4> {
     let near = |member: &&Member| member.data_centre == own.data_centre;
-    let mut audience: Vec<SocketAddrV4> = Vec::new();
+    let mut recipients: Vec<SocketAddrV4> = Vec::new();
     if source.is_some_and(|centre| *centre == own.data_centre) {
-        return audience;
+        return recipients;
     }
-    audience.extend(list.iter().filter(near).map(|member| member.address));
+    recipients.extend(list.iter().filter(near).map(|member| member.address));
     if source.is_none() {
-        audience.extend(relays(own, list));
+        recipients.extend(relays(own, list));
     }
-    audience
+    recipients
 }
 
 /// Whether `own` is among the first `count` of its data centre in the order that belongs to `key`:
@@ -285,7 +285,7 @@
 /// configuration would fill its link, and callers' packets would wait behind it. Whoever is missed, as
 /// one above has just died, hears by gossip within a second.
 #[must_use]
-pub fn branches(
+pub fn fetch_children(
     own: &Member,
     list: &MemberList,
     root: SocketAddrV4,
--- a/crates/catalog/tests/it/catalog.rs
+++ b/crates/catalog/tests/it/catalog.rs
@@ -173,7 +173,7 @@
     behind.apply(routes(3, &["a"]));
     let step = ahead.since(4).remove(0);
 
-    assert!(!behind.fits(&step));
+    assert!(!behind.can_apply(&step));
     assert!(!behind.apply(step));
     assert_eq!(behind.config().map(|item| item.revision), Some(3));
 }
@@ -261,7 +261,7 @@
 
         let mut difference = ahead.since(upto);
         // A peer that skipped a configuration has no step from it, and is asked for the whole.
-        if !difference.iter().all(|change| behind.fits(change)) {
+        if !difference.iter().all(|change| behind.can_apply(change)) {
             difference = ahead.since(0);
         }
         for change in difference {
--- a/crates/catalog/tests/it/spread.rs
+++ b/crates/catalog/tests/it/spread.rs
@@ -2,7 +2,9 @@
 
 use acacia_catalog::{
     member::{Member, MemberList},
-    spread::{ReadAction, ReadSchedule, ReadTiming, audience, branches, is_chosen, is_reader},
+    spread::{
+        ReadAction, ReadSchedule, ReadTiming, fetch_children, is_chosen, is_reader, recipients,
+    },
 };
 use rstest::rstest;
 
@@ -68,13 +70,13 @@
     let fleet = fleet(count, centres);
     for reader in &fleet {
         let mut told: BTreeSet<SocketAddrV4> = BTreeSet::from([reader.address]);
-        let first = audience(reader, &list(reader, &fleet), None);
+        let first = recipients(reader, &list(reader, &fleet), None);
         for address in &first {
             told.insert(*address);
             let relay = fleet.iter().find(|member| member.address == *address);
             let relay = relay.expect("a member");
             let near = list(relay, &fleet);
-            told.extend(audience(relay, &near, Some(&reader.data_centre)));
+            told.extend(recipients(relay, &near, Some(&reader.data_centre)));
         }
 
         assert_eq!(told.len(), fleet.len());
@@ -96,7 +98,7 @@
             .iter()
             .find(|member| member.address == told[at])
             .expect("a member");
-        let next = branches(own, &list(own, &fleet), root.address, Some(&"a".into()));
+        let next = fetch_children(own, &list(own, &fleet), root.address, Some(&"a".into()));
         assert!(next.len() <= 3);
         told.extend(next);
         at += 1;
--- a/crates/node/src/cookie/core/news.rs
+++ b/crates/node/src/cookie/core/news.rs
@@ -4,7 +4,7 @@
 
 use acacia_catalog::{
     Change,
-    spread::{audience, branches},
+    spread::{fetch_children, recipients},
 };
 
 use super::{Core, Outcome, Source, describe};
@@ -44,7 +44,7 @@
         let base = self.catalog.revision();
         let mut changed = false;
         for change in changes {
-            if !self.catalog.fits(&change) {
+            if !self.catalog.can_apply(&change) {
                 log::info!("event=step-missed revision={}", change.revision());
                 self.missed = true;
                 return Outcome {
@@ -97,8 +97,8 @@
         let complete = base >= self.catalog.forgotten();
         let fits = complete && size.is_ok_and(|size| size <= LONGEST);
         let to = match fits {
-            true => audience(&self.own, &self.list, centre),
-            false => branches(&self.own, &self.list, root, centre),
+            true => recipients(&self.own, &self.list, centre),
+            false => fetch_children(&self.own, &self.list, root, centre),
         };
         let mut message = self.message(now);
         message.root = root;
