--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,16 +1,18 @@
-//! Membership of the balancers of one group, from direct heartbeats.
+//! Membership of the balancers of one group, based on direct heartbeats between all members.
 //!
-//! [`Group`] decides; it has no socket and no clock. Time (since any fixed instant, on a clock that
-//! goes on while the process is suspended: `CLOCK_BOOTTIME`) and heartbeats come in; heartbeats to
-//! send, a [`View`] and [`Event`]s go out. The caller's loop is: [`Group::hint`] whenever the
-//! platform's list was read, [`Group::receive`] for each heartbeat, [`Group::tick`] every
-//! [`Settings::tick`], then [`Group::view`] for the threads that serve traffic. The thread that
-//! ticks must not wait for the platform or anything else: a pause of [`Settings::suspension_threshold`]
-//! counts as a suspension, and this balancer joins again.
+//! [`Group`] is a state machine without sockets or a clock. Its inputs are received heartbeats and
+//! the current time, measured from any fixed instant on a clock that also runs while the process
+//! is suspended (`CLOCK_BOOTTIME`). Its outputs are heartbeats to send, a [`View`] and [`Event`]s.
 //!
-//! A member counts as fresh by the *sending* time of our own heartbeat that it echoes, not by the
-//! arrival of its heartbeat: a heartbeat that waited in a queue, was replayed, or was answered
-//! before this process was suspended proves nothing about now.
+//! The caller runs this loop: [`Group::hint`] after each read of the platform's list of VMs,
+//! [`Group::receive`] for each heartbeat, [`Group::tick`] every [`Settings::tick`], then
+//! [`Group::view`] for the threads that serve traffic. The thread that ticks must not block on the
+//! platform or anything else: a pause longer than [`Settings::suspension_threshold`] counts as a
+//! suspension, after which this balancer joins again.
+//!
+//! Freshness is measured from the time at which we *sent* the heartbeat that a member echoes, not
+//! from the arrival of the member's heartbeat. A heartbeat that waited in a queue, was replayed, or
+//! was answered before this process was suspended says nothing about the member's present state.
 
 mod cost;
 mod error;
--- a/crates/member/src/message.rs
+++ b/crates/member/src/message.rs
@@ -3,10 +3,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Where a balancer is reached for control traffic.
+/// A balancer's identity and its address for control traffic.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contact {
-    /// The balancer's number, unique in the fleet.
+    /// The balancer's id, unique in the fleet.
     pub id: u16,
     /// Its control address.
     pub address: SocketAddr,
@@ -14,60 +14,63 @@
     pub data_centre: Arc<str>,
 }
 
-/// What a balancer says of itself.
+/// A balancer's phase, as it reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// It serves, but holds no flows for others yet.
+    /// It serves traffic, but owns no flows yet.
     Joining,
     /// It may own flows.
     Ready,
-    /// It is handing over and will end.
+    /// It is handing its flows over and will stop.
     Leaving,
 }
 
-/// The last heartbeat that the sender has from the receiver.
+/// The last heartbeat that the sender accepted from the receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The receiver's incarnation at that time.
+    /// The receiver's incarnation in that heartbeat.
     pub incarnation: u64,
     /// That heartbeat's number.
     pub number: u64,
 }
 
-/// What two balancers that don't know each other yet exchange; left out once acknowledged.
+/// Contact data for a peer that may not know the sender yet; omitted once the peer has acknowledged
+/// a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intro {
-    /// The sender.
+    /// The sender's contact data.
     pub sender: Contact,
-    /// The other members it knows and doesn't hold for dead: the platform's list lags.
+    /// The other members that the sender knows and doesn't consider dead. The platform's list lags
+    /// and may lack them.
     pub others: Vec<Contact>,
 }
 
 /// A heartbeat to one peer. The sender's id and incarnation travel in the frame's envelope.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Rises with every round of the sender's incarnation.
+    /// Increases with every round of heartbeats within the sender's incarnation.
     pub number: u64,
-    /// What the sender says of itself.
+    /// The sender's phase.
     pub phase: Phase,
-    /// What the sender last heard from the receiver.
+    /// The last heartbeat that the sender accepted from the receiver.
     pub echo: Option<Echo>,
-    /// Members that the sender doesn't hear and asks the receiver about. Usually empty: hence a
-    /// question and its answer instead of the whole list in every heartbeat.
+    /// Members that the sender doesn't hear and asks the receiver about. Usually empty, so this
+    /// costs less than sending the whole list of heard members in every heartbeat.
     pub ask: Vec<u16>,
-    /// Those of the members the receiver asked about that the sender itself hears.
+    /// Of the members that the receiver asked about, those that the sender hears.
     pub hear: Vec<u16>,
-    /// Milliseconds between the sender's heartbeats. In a view of another size the receiver would
-    /// expect them more often than they come.
+    /// Milliseconds between the sender's heartbeats. The receiver can't derive it: the interval
+    /// depends on the number of heard members, and the receiver's own view may have fewer.
     pub interval: u32,
-    /// Asks the receiver for a heartbeat at once.
+    /// Asks the receiver to answer with a heartbeat immediately.
     pub prompt: bool,
-    /// The revision of the configuration that the sender has in force.
+    /// The revision of the configuration in force at the sender.
     pub revision: u64,
-    /// The version of the tables that the sender has in force.
+    /// The version of the tables in force at the sender.
     pub table: u64,
-    /// Present until the receiver has acknowledged a heartbeat that had it.
+    /// Present until the receiver has acknowledged a heartbeat, and again after a restart of either
+    /// side.
     pub intro: Option<Intro>,
-    /// Of other crates; not looked at here.
+    /// Data of other crates; opaque here.
     pub payload: Vec<u8>,
 }
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -6,18 +6,20 @@
 
 use crate::Phase;
 
-/// What is known of a member.
+/// A member's state as this balancer sees it.
+///
+/// A member is *heard* while its heartbeats arrive and it has echoed a recent heartbeat of ours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum State {
-    /// Heard; serves, but owns no flows yet.
+    /// Heard; it serves traffic, but owns no flows yet.
     Joining,
-    /// Heard; may own flows.
+    /// Heard; it may own flows.
     Ready,
-    /// Heard; handing over.
+    /// Heard; it is handing its flows over before it stops.
     Leaving,
-    /// Not heard for the bound, or not yet proven alive; not known to be dead.
+    /// No heartbeat within the freshness timeout, or not yet proven alive; not known to be dead.
     Unheard,
-    /// Nobody who is heard hears it, for the bound.
+    /// No heard member has heard it for the death timeout, or it fell silent while it was leaving.
     Dead,
 }
 
@@ -46,7 +48,7 @@
 /// One other balancer of the group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its number.
+    /// Its id.
     pub id: u16,
     /// Its control address, once known.
     pub address: Option<SocketAddr>,
@@ -54,40 +56,40 @@
     pub data_centre: Option<Arc<str>>,
     /// Its latest known incarnation.
     pub incarnation: Option<u64>,
-    /// What is known of it.
+    /// Its state as this balancer sees it.
     pub state: State,
-    /// The revision of the configuration that it said it has in force.
+    /// The revision of the configuration in force there, as it last reported.
     pub revision: u64,
-    /// The version of the tables that it said it has in force.
+    /// The version of the tables in force there, as it last reported.
     pub table: u64,
-    /// The highest of our heartbeats' numbers that it acknowledged.
+    /// The highest number among our heartbeats that it has acknowledged.
     pub acknowledged: u64,
-    /// Whether it acknowledged one of our heartbeats that was sent within the bound. Heard and
-    /// not this: it reaches us, we don't reach it.
+    /// Whether it acknowledged a heartbeat that we sent within the freshness timeout. If it is
+    /// heard but this is false, only the direction from it to us works.
     pub hears_us: bool,
 }
 
 /// The group as one balancer sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct View {
-    /// This balancer.
+    /// This balancer's id.
     pub id: u16,
-    /// Its incarnation.
+    /// This balancer's incarnation.
     pub incarnation: u64,
-    /// What it says of itself.
+    /// This balancer's own phase.
     pub phase: Phase,
-    /// The other members, by id.
+    /// The other members, sorted by id.
     pub members: Vec<Member>,
-    /// Until when the view can be relied on; see [`View::is_sure`].
+    /// The time until which the view can be relied on; see [`View::is_sure`].
     pub sure_until: Option<Duration>,
 }
 
 impl View {
-    /// Whether every member that is not dead was fresh within the bound and this balancer is not
-    /// young.
+    /// Whether the view can be relied on: this balancer has run for at least the freshness timeout,
+    /// and every member that is not dead echoed one of our heartbeats within it.
     ///
-    /// Threads that serve traffic ask with the present time, so that a process that was suspended
-    /// is unsure from its first packet on, before its control thread has run.
+    /// Threads that serve traffic pass the current time. After a suspension the view is therefore
+    /// unreliable from the first packet on, even before the control thread has run.
     ///
     /// ```
     /// use std::time::Duration;
@@ -101,7 +103,7 @@
         self.sure_until.is_some_and(|until| now <= until)
     }
 
-    /// The balancers that may own flows, this one included, by id.
+    /// The ids of the balancers that may own flows, this one included, in ascending order.
     pub fn ready(&self) -> impl Iterator<Item = u16> + '_ {
         let own = (self.phase == Phase::Ready).then_some(self.id);
         let others = self
@@ -121,51 +123,51 @@
     }
 }
 
-/// Why this balancer took a new incarnation.
+/// Why this balancer started a new incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// It was suspended for this long.
+    /// The process was suspended for this long.
     Suspended(Duration),
-    /// Peers know this later incarnation of it: the clock it was started from went back, or
-    /// another balancer has its id.
+    /// Peers know this later incarnation: the clock that the incarnation was taken from was set
+    /// back, or another balancer has the same id.
     Outdated(u64),
 }
 
-/// A change, for the log and for those who act on changes.
+/// A change in the membership, for logging and for callers that act on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// A member's state has changed, or it is new (`from` is none).
+    /// A member's state has changed, or the member is new (`from` is `None`).
     Changed {
         /// The member.
         id: u16,
-        /// Its state before.
+        /// Its previous state.
         from: Option<State>,
-        /// Its state now.
+        /// Its new state.
         to: State,
     },
-    /// A member was started anew.
+    /// A member was restarted.
     Restarted {
         /// The member.
         id: u16,
         /// Its new incarnation.
         incarnation: u64,
     },
-    /// A dead member is no longer remembered.
+    /// The record of a dead member was dropped.
     Forgotten {
         /// The member.
         id: u16,
     },
-    /// This balancer joins again: whatever it holds of others' state may be stale.
+    /// This balancer joins again; all state that it holds about other members may be stale.
     Rejoined {
-        /// Its new incarnation.
+        /// This balancer's new incarnation.
         incarnation: u64,
-        /// Why.
+        /// Why it joins again.
         cause: Cause,
     },
 }
 
 impl Event {
-    /// The numbered code, where the event is one that operators look for.
+    /// The event's code, for events that are reported to operators.
     #[must_use]
     pub fn code(&self) -> Option<Code> {
         match self {
