--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -4,7 +4,7 @@
 use crate::record::{Listed, Record};
 use crate::{Cause, Contact, Event, Hint, MAX_GROUP, Member, Phase, Settings, State, View};
 
-/// The group of balancers around this one.
+/// The membership state machine of one balancer.
 #[derive(Debug)]
 pub struct Group {
     pub(crate) settings: Settings,
@@ -15,20 +15,20 @@
     pub(crate) table: u64,
     /// The number of the last round of heartbeats.
     pub(crate) number: u64,
-    /// When this incarnation began.
-    pub(crate) born: Duration,
-    /// When time last came in.
-    pub(crate) last: Duration,
+    /// When this incarnation started.
+    pub(crate) started: Duration,
+    /// The latest time that was passed in.
+    pub(crate) last_advance: Duration,
     pub(crate) records: BTreeMap<u16, Record>,
     pub(crate) events: Vec<Event>,
-    /// A later incarnation of this balancer than its own, known to a peer.
+    /// An incarnation of this balancer that a peer knows and that is later than the current one.
     pub(crate) outdated: Option<u64>,
 }
 
 impl Group {
-    /// A balancer that begins to join. `incarnation` must be higher than that of an earlier
-    /// process with this id: the wall clock in milliseconds will do, and where that has gone back
-    /// the peers' echoes put it right.
+    /// Creates a balancer that starts to join. `incarnation` must be higher than that of any earlier
+    /// process with this id. The wall clock in milliseconds is good enough: if it was set back, the
+    /// peers' echoes carry the later incarnation and this balancer takes a higher one.
     ///
     /// ```
     /// use std::time::Duration;
@@ -36,8 +36,8 @@
     /// let contact = Contact { id: 1, address: "127.0.0.1:7000".parse().unwrap(), data_centre: "hervanta".into() };
     /// let now = Duration::ZERO;
     /// let mut group = Group::new(Settings::default(), contact, 1, now);
-    /// assert!(group.tick(now, |_peer| Vec::new()).is_empty(), "nobody to talk to");
-    /// assert!(!group.view(now).is_sure(now), "too young");
+    /// assert!(group.tick(now, |_peer| Vec::new()).is_empty(), "no peer is known");
+    /// assert!(!group.view(now).is_sure(now), "other members may not be known yet");
     /// ```
     #[must_use]
     pub fn new(settings: Settings, contact: Contact, incarnation: u64, now: Duration) -> Self {
@@ -49,22 +49,23 @@
             revision: 0,
             table: 0,
             number: 0,
-            born: now,
-            last: now,
+            started: now,
+            last_advance: now,
             records: BTreeMap::new(),
             events: Vec::new(),
             outdated: None,
         }
     }
 
-    /// Takes in the platform's list of VMs. Who was listed and no longer is, is taken for gone;
-    /// who never was may be too new for the list.
+    /// Applies the platform's list of VMs. A member that was listed and no longer is counts as
+    /// gone; one that has never been listed may just be too new for the list.
     pub fn hint(&mut self, now: Duration, hints: &[Hint]) {
         for hint in hints {
-            let Some(record) = self.admit(hint.contact.id, now) else {
+            let Some(record) = self.record_or_insert(hint.contact.id, now) else {
                 continue;
             };
-            // While it is heard its own word counts; afterwards its id may have a new address.
+            // A heard member's own address takes precedence; once it is unheard, a new VM may have
+            // its id and another address.
             if record.contact.is_none() || !record.state.is_heard() {
                 record.contact = Some(hint.contact.clone());
             }
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Sets what this balancer says of itself, and tells the peers at once.
+    /// Sets this balancer's phase, and notifies the heard peers at the next tick.
     pub fn set_phase(&mut self, phase: Phase) {
         if self.phase != phase {
             self.phase = phase;
@@ -90,14 +91,14 @@
         }
     }
 
-    /// Sets which configuration and tables this balancer has in force.
+    /// Sets the versions of the configuration and tables that are in force on this balancer.
     pub fn set_versions(&mut self, revision: u64, table: u64) {
         self.revision = revision;
         self.table = table;
     }
 
-    /// Lets the next tick send to every heard peer and ask for prompt answers: after a change
-    /// that waits for acknowledgements.
+    /// Makes heartbeats to all heard peers due after the minimum gap, and has them ask for immediate
+    /// answers. Used after a change that waits for acknowledgements.
     pub fn request_prompt_answers(&mut self) {
         for record in self
             .records
@@ -109,19 +110,19 @@
         }
     }
 
-    /// This balancer's incarnation. It changes when it has to join again.
+    /// This balancer's incarnation. It changes when the balancer has to join again.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// What this balancer says of itself. It goes back to joining when it has to join again.
+    /// This balancer's phase. It returns to [`Phase::Joining`] when the balancer has to join again.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The changes since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
@@ -153,16 +154,17 @@
         }
     }
 
-    /// Until when every member that is not dead stays fresh without a further heartbeat. None
-    /// while this balancer is young: it may not know all members yet.
+    /// The time until which every member that is not dead stays fresh without a further heartbeat.
+    /// `None` during the first freshness timeout of an incarnation, in which this balancer may not
+    /// know all members yet.
     fn sure_until(&self, now: Duration) -> Option<Duration> {
         let interval = self.interval();
         let bound = interval * self.settings.fresh_intervals;
-        if now.saturating_sub(self.born) < bound {
+        if now.saturating_sub(self.started) < bound {
             return None;
         }
-        // Alone, it relies on its own ticks only.
-        let alone = Some(self.last + bound);
+        // Without other members, only the last call limits the view.
+        let alone = Some(self.last_advance + bound);
         let freshness_timeout =
             |record: &Record| record.freshness_timeout(&self.settings, interval);
         let living = self
@@ -177,9 +179,9 @@
             .filter(|record| record.state != State::Dead)
     }
 
-    /// Between our heartbeats to a heard member: the pace for the control transport. Members that
-    /// are not heard don't count: a list of machines that are long gone would make us fall silent
-    /// to those that live.
+    /// The interval of our heartbeats to a heard member; the control transport uses it too. Members
+    /// that are not heard don't count: a platform list full of VMs that are long gone would
+    /// otherwise stretch the interval until the live members miss our heartbeats.
     #[must_use]
     pub fn interval(&self) -> Duration {
         let heard = self
@@ -189,9 +191,9 @@
         self.settings.interval_for(heard.count())
     }
 
-    /// The record of this id, a new one if there is room. A full group makes room by forgetting
-    /// the member that has been dead for longest.
-    pub(crate) fn admit(&mut self, id: u16, now: Duration) -> Option<&mut Record> {
+    /// Returns the record of this id, and inserts one if needed. A full group drops the member that
+    /// has been dead for longest; `None` if there is none, or for this balancer's own id.
+    pub(crate) fn record_or_insert(&mut self, id: u16, now: Duration) -> Option<&mut Record> {
         if id == self.contact.id {
             return None;
         }
@@ -201,7 +203,7 @@
                     .records
                     .values()
                     .filter(|record| record.state == State::Dead);
-                let oldest = dead.min_by_key(|record| record.quiet)?.id;
+                let oldest = dead.min_by_key(|record| record.unheard_since)?.id;
                 self.forget(oldest);
             }
             self.records.insert(id, Record::new(id, now));
@@ -216,13 +218,15 @@
         self.events.push(Event::Forgotten { id });
     }
 
-    /// Takes the time in, and joins again if this process was suspended or is outdated.
+    /// Advances the time, and joins again if this process was suspended or its incarnation is
+    /// outdated.
     ///
-    /// A suspended balancer's peers may have given it up and moved on; it would notice nothing and
-    /// go on with views and flows from before. The jump between two calls shows it.
+    /// The peers of a suspended balancer may have declared it dead and taken its flows over. It
+    /// would otherwise continue with its old view and flows, so a jump between two calls counts as
+    /// a suspension.
     pub(crate) fn advance(&mut self, now: Duration) {
-        let jump = now.saturating_sub(self.last);
-        self.last = self.last.max(now);
+        let jump = now.saturating_sub(self.last_advance);
+        self.last_advance = self.last_advance.max(now);
         if jump > self.settings.suspension_threshold_at(self.interval()) {
             self.rejoin(now, Cause::Suspended(jump));
         }
@@ -239,23 +243,23 @@
     fn rejoin(&mut self, now: Duration, cause: Cause) {
         self.incarnation += 1;
         self.phase = Phase::Joining;
-        self.born = now;
+        self.started = now;
         let incarnation = self.incarnation;
         self.events.push(Event::Rejoined { incarnation, cause });
         let ids: Vec<u16> = self.records.keys().copied().collect();
         for id in ids {
-            self.distrust(now, id);
+            self.discard_proof(now, id);
         }
         self.records.values_mut().for_each(Record::forget_sent);
     }
 
-    /// Lets a member prove anew that it lives.
-    pub(crate) fn distrust(&mut self, now: Duration, id: u16) {
+    /// Discards the evidence that a member is alive, so that it has to prove it again.
+    pub(crate) fn discard_proof(&mut self, now: Duration, id: u16) {
         let Some(record) = self.records.get_mut(&id) else {
             return;
         };
         let from = record.state;
-        record.distrust(now);
+        record.discard_proof(now);
         let to = record.state;
         if from != to {
             self.events.push(Event::Changed {
--- a/crates/member/src/receive.rs
+++ b/crates/member/src/receive.rs
@@ -4,8 +4,8 @@
 use crate::{Contact, Echo, Event, Group, Heartbeat, MAX_GROUP, Refusal, State};
 
 impl Group {
-    /// Takes in a heartbeat from the balancer `sender` in its `incarnation`, as the frame's
-    /// envelope says. A refused heartbeat changes nothing, and its payload must not be used.
+    /// Applies a heartbeat. `sender` and `incarnation` come from the frame's envelope. A refused
+    /// heartbeat has no effect beyond advancing the time, and its payload must not be used.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -19,16 +19,16 @@
         }
         let own = self.incarnation;
         let longest = self.settings.interval_for(MAX_GROUP);
-        let record = self.admit(sender, now).ok_or(Refusal::Full)?;
-        let restarted = check(record, incarnation, heartbeat.number)?;
+        let record = self.record_or_insert(sender, now).ok_or(Refusal::Full)?;
+        let restarted = check_order(record, incarnation, heartbeat.number)?;
         if restarted {
             self.events.push(Event::Restarted {
                 id: sender,
                 incarnation,
             });
-            self.distrust(now, sender);
+            self.discard_proof(now, sender);
         }
-        let record = self.admit(sender, now).ok_or(Refusal::Full)?;
+        let record = self.record_or_insert(sender, now).ok_or(Refusal::Full)?;
         record.incarnation = Some(incarnation);
         record.number = heartbeat.number;
         record.heard = Some(now);
@@ -39,19 +39,20 @@
         record.ask.clone_from(&heartbeat.ask);
         record.hear.clone_from(&heartbeat.hear);
         record.urgent |= heartbeat.prompt;
-        self.take_echo(now, sender, own, heartbeat.echo);
+        self.apply_echo(now, sender, own, heartbeat.echo);
         if let Some(intro) = &heartbeat.intro {
-            self.take_contact(now, &intro.sender, sender);
+            self.apply_contact(now, &intro.sender, sender);
             for other in &intro.others {
-                self.take_contact(now, other, sender);
+                self.apply_contact(now, other, sender);
             }
         }
         self.update(now, sender);
         Ok(())
     }
 
-    /// An echo of a heartbeat of ours proves that the peer lived after we had sent it.
-    fn take_echo(&mut self, now: Duration, sender: u16, own: u64, echo: Option<Echo>) {
+    /// Applies the echo of one of our heartbeats, which proves that the peer was alive after we sent
+    /// it.
+    fn apply_echo(&mut self, now: Duration, sender: u16, own: u64, echo: Option<Echo>) {
         let interval = self.interval();
         let Some(record) = self.records.get_mut(&sender) else {
             return;
@@ -68,18 +69,18 @@
             }
             _ => {}
         }
-        // A first contact, or one after a partition: a prompt exchange settles it in one round
-        // trip instead of in two intervals.
+        // At first contact and after a partition, an immediate exchange proves both sides alive in
+        // one round trip instead of two intervals.
         if !record.proven {
             record.urgent = true;
             record.prompt = true;
         }
     }
 
-    /// A member's own word on its address goes before the platform's, others' word only counts
-    /// where nothing is known.
-    fn take_contact(&mut self, now: Duration, contact: &Contact, sender: u16) {
-        if let Some(record) = self.admit(contact.id, now)
+    /// Applies contact data. A member's own data replaces that of the platform's list; data from
+    /// other members is used only if none is known yet.
+    fn apply_contact(&mut self, now: Duration, contact: &Contact, sender: u16) {
+        if let Some(record) = self.record_or_insert(contact.id, now)
             && (contact.id == sender || record.contact.is_none())
         {
             record.contact = Some(contact.clone());
@@ -87,8 +88,8 @@
     }
 }
 
-/// Whether the heartbeat shows a restart, or is to be refused.
-fn check(record: &Record, incarnation: u64, number: u64) -> Result<bool, Refusal> {
+/// Returns whether the heartbeat belongs to a new incarnation, or why it is refused.
+fn check_order(record: &Record, incarnation: u64, number: u64) -> Result<bool, Refusal> {
     match record.incarnation {
         Some(known) if incarnation < known => Err(Refusal::Older),
         Some(known) if incarnation == known && number <= record.number => Err(Refusal::Replayed),
@@ -98,17 +99,17 @@
 }
 
 impl Group {
-    /// Brings one member's state up to date.
+    /// Updates one member's state.
     pub(crate) fn update(&mut self, now: Duration, id: u16) {
         let Some(record) = self.records.get(&id) else {
             return;
         };
-        let (from, to) = (record.state, self.judge(now, record));
+        let (from, to) = (record.state, self.evaluate(now, record));
         if let Some(record) = self.records.get_mut(&id)
             && from != to
         {
             if from.is_heard() && !to.is_heard() {
-                record.quiet = record.heard.unwrap_or(now);
+                record.unheard_since = record.heard.unwrap_or(now);
                 record.proven = false;
             }
             record.state = to;
@@ -120,15 +121,15 @@
         }
     }
 
-    fn judge(&self, now: Duration, record: &Record) -> State {
+    fn evaluate(&self, now: Duration, record: &Record) -> State {
         let interval = self.interval();
-        let fresh = record.freshness_timeout(&self.settings, interval);
-        let arriving = record.is_arriving(now, fresh);
+        let timeout = record.freshness_timeout(&self.settings, interval);
+        let arriving = record.is_arriving(now, timeout);
         if arriving && record.proven {
             return record.phase.into();
         }
-        // It reaches us, but has not shown that we reach it: no reason to call it dead, nor to
-        // call a dead one back.
+        // Its heartbeats arrive, but it has not echoed a recent one of ours. That is no reason to
+        // declare it dead, nor to take a dead member back.
         if arriving || record.state == State::Dead {
             return if record.state == State::Dead {
                 State::Dead
@@ -136,18 +137,18 @@
                 State::Unheard
             };
         }
-        let waited = now.saturating_sub(record.last_sign());
-        let ending = record.is_ending() && waited > fresh;
-        let given_up = waited > record.death_timeout(&self.settings, interval)
+        let waited = now.saturating_sub(record.last_sign_of_life());
+        let stopped = record.is_ending() && waited > timeout;
+        let timed_out = waited > record.death_timeout(&self.settings, interval)
             && !self.is_heard_by_others(record.id);
-        if ending || given_up {
+        if stopped || timed_out {
             State::Dead
         } else {
             State::Unheard
         }
     }
 
-    /// Whether a member that is heard says that it hears this one itself.
+    /// Whether any heard member reports that it hears this one.
     fn is_heard_by_others(&self, id: u16) -> bool {
         let mut heard = self.records.values().filter(|other| other.state.is_heard());
         heard.any(|other| other.hear.contains(&id))
--- a/crates/member/src/settle.rs
+++ b/crates/member/src/settle.rs
@@ -2,8 +2,8 @@
 
 use crate::Group;
 
-/// A point in the order of our heartbeats: every heartbeat generated from here on carries the
-/// change it was taken for.
+/// A position in the sequence of our heartbeats, taken when a change was made: every heartbeat
+/// generated from there on carries the change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Mark {
     number: u64,
@@ -20,7 +20,7 @@
 }
 
 impl Group {
-    /// Marks a change that the payload of every heartbeat from now on carries.
+    /// Marks a change that the payloads of all further heartbeats carry.
     ///
     /// ```
     /// use std::time::Duration;
@@ -28,7 +28,7 @@
     /// # let contact = Contact { id: 1, address: "127.0.0.1:7000".parse().unwrap(), data_centre: "hervanta".into() };
     /// let now = Duration::ZERO;
     /// let group = Group::new(Settings::default(), contact, 1, now);
-    /// assert!(group.is_settled(&group.mark(now), now), "alone, nobody has to know");
+    /// assert!(group.is_settled(&group.mark(now), now), "there is no other member");
     /// ```
     #[must_use]
     pub fn mark(&self, now: Duration) -> Mark {
@@ -39,13 +39,15 @@
         }
     }
 
-    /// Whether each member either has acknowledged a heartbeat with the marked change, or can no
-    /// longer trust one without it, or is dead.
+    /// Whether every member has acknowledged a heartbeat with the marked change, or no longer trusts
+    /// a heartbeat without it, or is dead.
     ///
-    /// The second follows from how freshness is measured. A member trusts us only while our last
-    /// heartbeat echoes one that it sent within its bound, so that heartbeat was generated within
-    /// its bound; when the bound has passed since the mark, it carries the change. A member that
-    /// never acknowledged this incarnation may not know of us at all, and has to do so first.
+    /// The second case follows from how freshness is measured. A member trusts us only while our
+    /// last heartbeat echoes one that the member sent within its freshness timeout, so our heartbeat
+    /// was generated within that timeout too. Once the timeout has passed since the mark, any
+    /// heartbeat that the member still trusts carries the change. A member that has never
+    /// acknowledged this incarnation may not know of us at all, so time alone doesn't settle the
+    /// change for it.
     #[must_use]
     pub fn is_settled(&self, mark: &Mark, now: Duration) -> bool {
         let expired = now.saturating_sub(mark.at) >= self.settings.settle_timeout();
--- a/crates/member/src/tick.rs
+++ b/crates/member/src/tick.rs
@@ -16,9 +16,9 @@
 }
 
 impl Group {
-    /// Brings all states up to date and gives the heartbeats that are due. `payload` fills the
-    /// part of other crates for each receiver. They belong to [`Group::incarnation`] as it is after
-    /// the call.
+    /// Updates all member states and returns the heartbeats that are due. `payload` supplies the
+    /// data of other crates for each receiver. The heartbeats belong to the [`Group::incarnation`]
+    /// after the call, which may have changed in it.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -29,7 +29,7 @@
         for id in &ids {
             self.update(now, *id);
         }
-        self.forget_old(now);
+        self.forget_expired(now);
         let due: Vec<u16> = ids.into_iter().filter(|id| self.is_due(now, *id)).collect();
         if due.is_empty() {
             return Vec::new();
@@ -40,19 +40,19 @@
             .collect()
     }
 
-    fn forget_old(&mut self, now: Duration) {
-        let old = |record: &&Record| {
+    fn forget_expired(&mut self, now: Duration) {
+        let expired = |record: &&Record| {
             record.state == State::Dead
-                && now.saturating_sub(record.quiet) > self.settings.dead_retention
+                && now.saturating_sub(record.unheard_since) > self.settings.dead_retention
                 && record.listed != crate::record::Listed::Live
         };
-        let old: Vec<u16> = self
+        let expired: Vec<u16> = self
             .records
             .values()
-            .filter(old)
+            .filter(expired)
             .map(|record| record.id)
             .collect();
-        old.into_iter().for_each(|id| self.forget(id));
+        expired.into_iter().for_each(|id| self.forget(id));
     }
 
     fn is_due(&self, now: Duration, id: u16) -> bool {
@@ -66,7 +66,8 @@
         let Some(last) = record.last_sent() else {
             return true;
         };
-        // Those that are not heard share a budget of their own, as large as that of the heard.
+        // Unheard members have a separate budget, as large as that of the heard ones, so that they
+        // don't slow down the heartbeats to those.
         let unheard = self.settings.interval_for(self.records.len());
         let gap = match record.state {
             _ if record.urgent => self.settings.min_gap,
@@ -74,8 +75,8 @@
             State::Unheard => unheard,
             _ => self.interval(),
         };
-        // Half a tick early rather than half a tick late: otherwise every interval is rounded up
-        // to the next tick, and the bounds lose that much of their reserve.
+        // Rounds to the nearest tick. Rounding every interval up to the next one would use up part
+        // of the reserve in the timeouts.
         now.saturating_sub(last) + self.settings.tick / 2 >= gap
     }
 
