--- a/crates/member/src/cost.rs
+++ b/crates/member/src/cost.rs
@@ -1,23 +1,24 @@
 use crate::Settings;
 
-/// Bytes of a heartbeat's frame without its payload when all is well: 8 of its length, 18 of
-/// envelope, 16 of authenticator, 15 of addressing and transport echo, one that tells the kind of
-/// message, and 27 of heartbeat. A test of `acacia-peer` holds it against a sealed frame.
+/// Size of a heartbeat's frame without its payload when all members are heard: 8 bytes for the
+/// length, 18 for the envelope, 16 for the authenticator, 15 for addressing and the transport's
+/// echo, one for the kind of message, and 27 for the heartbeat. A test of `acacia-peer` compares it
+/// with a sealed frame.
 pub const FRAME_BYTES: usize = 85;
-/// Bytes of TCP and IP headers around a frame (20 + 20, 12 of timestamps).
+/// Size of the TCP and IP headers of a segment: 20 bytes each, and 12 for TCP timestamps.
 pub const HEADER_BYTES: usize = 52;
 
-/// What heartbeats cost one balancer, in bytes a second.
+/// Traffic that heartbeats cause at one balancer, in bytes per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Cost {
-    /// Sent, headers included.
+    /// Heartbeats sent, headers included.
     pub sent: f64,
-    /// Acknowledgements that its host's TCP sends for the heartbeats it receives.
+    /// TCP acknowledgements that its host sends for received heartbeats.
     pub acknowledgements: f64,
 }
 
-/// The cost in a group of `group` balancers whose payload has `payload` bytes. It stays constant
-/// beyond [`Settings::full_rate_peers`] peers: the interval grows instead.
+/// The traffic per balancer in a group of `group` balancers with payloads of `payload` bytes. Beyond
+/// [`Settings::full_rate_peers`] peers it stays constant, because the interval grows instead.
 ///
 /// ```
 /// use acacia_member::{Settings, cost};
--- a/crates/member/src/error.rs
+++ b/crates/member/src/error.rs
@@ -1,25 +1,25 @@
 use acacia_code::Code;
 use thiserror::Error;
 
-/// Why a heartbeat was dropped. Nothing of it may be used, its payload included.
+/// Why a heartbeat was dropped. No part of it may be used, its payload included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// Of an older incarnation than the one known.
+    /// It belongs to an older incarnation of the sender than the one known.
     #[error("heartbeat of an older incarnation")]
     Older,
-    /// Its number, or a later one, was seen before.
+    /// Its number is not higher than that of the last accepted heartbeat.
     #[error("heartbeat was seen before")]
     Replayed,
-    /// It bears this balancer's own id.
+    /// Its sender has this balancer's own id.
     #[error("heartbeat bears this balancer's own id")]
     Own,
-    /// The group holds as many members as it may.
+    /// The group already has [`MAX_GROUP`](crate::MAX_GROUP) members, none of them dead.
     #[error("group is full")]
     Full,
 }
 
 impl Refusal {
-    /// The numbered code.
+    /// The code under which the refusal is reported.
     ///
     /// ```
     /// assert_eq!(acacia_member::Refusal::Replayed.code().number(), 299);
--- a/crates/member/src/settings.rs
+++ b/crates/member/src/settings.rs
@@ -2,42 +2,43 @@
 
 /// The largest group of balancers that serves one address.
 ///
-/// Load: 3,900 balancers in all. Harm without it: each would send and remember 3,899 peers'
-/// heartbeats. At 64 the interval that the byte budget allows is already 3.9 s, so that failures
-/// are noticed late; 8 to 16 is better.
+/// A fleet may have 3,900 balancers; without a limit each would send heartbeats to 3,899 peers and
+/// keep state for them. At 64 members the byte budget already requires an interval of 3.9 s, which
+/// delays failure detection; groups of 8 to 16 work better.
 pub const MAX_GROUP: usize = 64;
 
-/// Every number of the membership. All balancers of a group must hold the same, because each
-/// relies on when the others stop trusting it.
+/// Timing of the membership protocol. All balancers of a group must use the same values, because
+/// each relies on when the others stop trusting its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// How often the caller ticks. 50 ms: a tenth of the interval, so that heartbeats leave
-    /// evenly, and cheap enough for a control thread.
+    /// Time between two calls of [`Group::tick`](crate::Group::tick). 50 ms is a tenth of the
+    /// heartbeat interval, which spreads heartbeats evenly, and cheap enough for a control thread.
     pub tick: Duration,
-    /// Between two heartbeats to a peer, in a group with up to [`Settings::full_rate_peers`] peers.
-    /// 500 ms: with [`Settings::fresh_intervals`] intervals a silent peer is noticed after 2 s, while 8
-    /// peers cost about 2 KB/s.
+    /// Time between two heartbeats to a peer, in a group with up to [`Settings::full_rate_peers`]
+    /// peers. At 500 ms and [`Settings::fresh_intervals`] intervals a silent peer is noticed after
+    /// 2 s, while 8 peers cost about 2 KB/s.
     pub interval: Duration,
-    /// With more heard peers than this the interval grows with their number, so that the cost per
-    /// balancer stays constant. 8: today's largest group has 9 balancers.
+    /// Up to this many heard peers the interval stays the same; beyond it, the interval grows in
+    /// proportion, so that the traffic per balancer stays constant. 8 covers the largest group in
+    /// use, which has 9 balancers.
     pub full_rate_peers: usize,
-    /// Intervals after which a member counts as unheard, and its echo as stale. 4: an echo is up
-    /// to two intervals old when everything is well, one lost heartbeat adds a third, and one is
-    /// left for delays. Fewer would flag all buckets at every lost heartbeat.
+    /// Intervals after which a member counts as unheard, and its echo as stale. 4, because an echo is
+    /// up to two intervals old without any failure, one lost heartbeat adds a third, and one is left
+    /// for delays. With fewer, every lost heartbeat would flag all buckets.
     pub fresh_intervals: u32,
-    /// Intervals without a sign of life after which a member that nobody hears is dead. 10: two and a
-    /// half times the bound for unheard, so that every peer that is asked whether it hears the
-    /// member has had two rounds to answer. More would keep its flows waiting for longer.
+    /// Intervals without a sign of life after which a member that no other member hears is dead. 10
+    /// is two and a half times the freshness timeout, which gives every peer that is asked whether
+    /// it hears the member two rounds to answer. More would delay the takeover of its flows.
     pub death_intervals: u32,
-    /// Intervals between two attempts to reach a dead member. 4: a healed partition is noticed
-    /// within the bound for unheard, at a quarter of the cost of a live member.
+    /// Intervals between two attempts to reach a dead member. With 4, a healed partition is noticed
+    /// within the freshness timeout, at a quarter of the traffic of a live member.
     pub probe_intervals: u32,
-    /// Least time between two heartbeats to one peer, however urgent. 100 ms: a change of flags
-    /// is acknowledged within two ticks and two transits, and a peer that asks for prompt answers
-    /// without end can raise the cost fivefold at most.
+    /// Minimum time between two heartbeats to one peer, even for immediate answers. With 100 ms a
+    /// change of flags is acknowledged within two ticks and two one-way delays, and a peer that keeps
+    /// asking for immediate answers raises the traffic fivefold at most.
     pub min_gap: Duration,
-    /// How long a dead member is remembered, so that frames of its old incarnation are known as
-    /// such. 10 min: far beyond the time frames live in any queue.
+    /// How long the record of a dead member is kept, so that frames of its old incarnation are
+    /// recognised. 10 min is far longer than a frame stays in any queue.
     pub dead_retention: Duration,
 }
 
@@ -57,7 +58,7 @@
 }
 
 impl Settings {
-    /// Time between two heartbeats to one of `peers` peers.
+    /// The heartbeat interval with `peers` peers.
     ///
     /// ```
     /// use std::time::Duration;
@@ -72,20 +73,20 @@
         self.interval.mul_f64(peers as f64 / full_rate_peers as f64)
     }
 
-    /// The bound after which a member is unheard, and an echo stale.
+    /// The time after which a member is unheard, and an echo stale.
     #[must_use]
     pub fn freshness_timeout(&self, peers: usize) -> Duration {
         self.interval_for(peers) * self.fresh_intervals
     }
 
-    /// The bound after which a member that nobody hears is dead.
+    /// The time after which a member that no other member hears is dead.
     #[must_use]
     pub fn death_timeout(&self, peers: usize) -> Duration {
         self.interval_for(peers) * self.death_intervals
     }
 
-    /// A jump between two ticks beyond which this process counts as having been suspended: one
-    /// interval less than the bound after which a peer may have given it up.
+    /// The time between two ticks beyond which this process counts as suspended: one interval less
+    /// than the freshness timeout, after which a peer may have stopped trusting it.
     #[must_use]
     pub fn suspension_threshold(&self, peers: usize) -> Duration {
         self.suspension_threshold_at(self.interval_for(peers))
@@ -95,9 +96,9 @@
         interval * self.fresh_intervals.saturating_sub(1).max(1)
     }
 
-    /// Time after which a change needs no acknowledgement: no peer still trusts a heartbeat
-    /// without it. The peer may believe in a larger group than we do, hence the bound of the
-    /// largest; a sixteenth more covers clocks of different speed.
+    /// The time after which a change needs no acknowledgement, because no peer still trusts a
+    /// heartbeat without it. A peer's view may have more members than ours, so this is the freshness
+    /// timeout of the largest group, plus a sixteenth for clocks that run at different rates.
     #[must_use]
     pub fn settle_timeout(&self) -> Duration {
         self.freshness_timeout(MAX_GROUP).mul_f64(1.0 + 1.0 / 16.0)
