--- a/crates/member/tests/it/cost.rs
+++ b/crates/member/tests/it/cost.rs
@@ -4,10 +4,10 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::today(9)]
+#[case::largest_in_use(9)]
 #[case::small(16)]
 #[case::large(64)]
-fn the_cost_is_constant_and_well_under_the_budget(#[case] group: usize) {
+fn heartbeat_traffic_is_constant_and_under_half_the_budget(#[case] group: usize) {
     let settings = Settings::default();
 
     let cost = cost(&settings, group, 16);
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn the_bounds_leave_room_for_each_other() {
+fn timeouts_leave_the_reserve_that_they_depend_on() {
     let settings = Settings::default();
     for peers in [1, 8, 15, 63] {
         let interval = settings.interval_for(peers);
         assert!(
             settings.freshness_timeout(peers) >= interval * 4,
-            "two lags, a loss and a delay"
+            "two intervals of echo age, one lost heartbeat, one for delays"
         );
         assert!(
             settings.suspension_threshold(peers) + interval <= settings.freshness_timeout(peers)
--- a/crates/member/tests/it/faults.rs
+++ b/crates/member/tests/it/faults.rs
@@ -15,8 +15,9 @@
     }
 }
 
-/// The bound for death, one more interval to ask the others, and one for the last heartbeat.
-fn death(size: u16) -> Duration {
+/// Time until a stopped member is dead in all views: the death timeout, one interval to ask the
+/// others, and one for the last heartbeat.
+fn death_deadline(size: u16) -> Duration {
     let settings = Settings::default();
     let peers = usize::from(size) - 1;
     settings.death_timeout(peers) + settings.interval_for(peers) * 2
@@ -38,8 +39,8 @@
 proptest! {
     #![proptest_config(config(24))]
 
-    /// A network that loses and delays heartbeats. A membership that is too quick to declare a
-    /// death would move flows away from a balancer that still serves them.
+    /// The network loses and delays heartbeats. If a live member were declared dead, its flows would
+    /// move away from a balancer that still serves them.
     #[test]
     fn a_live_member_is_not_declared_dead(
         seed: u64, size in 2u16..10, loss in 0.0..0.2, delay in 0u64..400,
@@ -54,7 +55,8 @@
         });
     }
 
-    /// A balancer's VM dies. Until the others say so, packets redirected to it are lost.
+    /// A balancer's VM stops. Packets that are redirected to it are lost until the others declare it
+    /// dead.
     #[test]
     fn a_dead_member_is_declared_dead_within_the_bound(
         seed: u64, size in 2u16..10, loss in 0.0..0.1,
@@ -62,33 +64,33 @@
         let mut net = Net::settled(size, seed);
         net.loss = loss;
         net.nodes.remove(&size);
-        net.run(death(size));
+        net.run(death_deadline(size));
         for viewer in 1..size {
             prop_assert_eq!(net.state(viewer, size), Some(State::Dead));
         }
         net.loss = 0.0;
         net.run(Duration::from_secs(1));
         for viewer in 1..size {
-            prop_assert!(net.is_sure(viewer), "the dead don't keep the living unsure");
+            prop_assert!(net.is_sure(viewer), "a dead member doesn't keep the others unsure");
         }
     }
 
-    /// A VM is suspended and resumed. Meanwhile its peers may have given its flows to others, so
-    /// what it remembers is worth nothing, and heartbeats that waited in its socket prove nothing.
+    /// A VM is suspended and resumed. Its peers may have moved its flows in the meantime, so its own
+    /// state is stale, and the heartbeats that waited in its socket are no proof of life.
     #[test]
-    fn a_frozen_member_comes_back_with_a_new_incarnation(
+    fn a_suspended_member_rejoins_with_a_new_incarnation(
         seed: u64, size in 2u16..8, millis in 2200u64..20_000,
     ) {
         let mut net = Net::settled(size, seed);
         let before = net.node(1).group.incarnation();
         let now = net.now;
         let mark = net.node(1).group.mark(now);
-        net.freeze(1, Duration::from_millis(millis));
+        net.suspend(1, Duration::from_millis(millis));
         net.run(Duration::from_millis(millis) - STEP);
-        prop_assert!(!net.is_sure(1), "at its first packet, before its control thread has run");
+        prop_assert!(!net.is_sure(1), "from the first packet on, before its control thread has run");
         net.run(STEP);
         let trusted = |member: &Member| member.state.is_heard() || member.acknowledged > 0;
-        prop_assert!(!net.view(1).members.iter().any(trusted), "nothing on trust");
+        prop_assert!(!net.view(1).members.iter().any(trusted), "no member is trusted without new proof");
         net.run(Duration::from_secs(1));
 
         let node = net.node(1);
@@ -96,22 +98,22 @@
         prop_assert_eq!(node.group.phase(), Phase::Joining);
         let rejoined = |event: &Event| matches!(event, Event::Rejoined { cause: Cause::Suspended(_), .. });
         prop_assert_eq!(node.events.iter().filter(|event| rejoined(event)).count(), 1);
-        prop_assert!(!net.is_sure(1), "young again");
+        prop_assert!(!net.is_sure(1), "it may not know all members yet");
         net.run(Duration::from_secs(3));
         prop_assert!(net.is_sure(1));
         let now = net.now;
-        prop_assert!(!net.node(1).group.is_settled(&mark, now), "it belongs to another life");
+        prop_assert!(!net.node(1).group.is_settled(&mark, now), "it belongs to the previous incarnation");
         for viewer in 2..=size {
             prop_assert_eq!(net.state(viewer, 1), Some(State::Joining));
             prop_assert_eq!(net.view(viewer).member(1).and_then(|m| m.incarnation), Some(before + 1));
         }
     }
 
-    /// Somebody between two balancers records authentic heartbeats and plays them back.
+    /// An attacker between two balancers records authentic heartbeats and replays them.
     #[test]
     fn replays_change_nothing(seed: u64, size in 2u16..6, picks in prop::collection::vec(any::<prop::sample::Index>(), 1..50)) {
         let mut net = Net::settled(size, seed);
-        net.freeze(1, Duration::from_secs(4));
+        net.suspend(1, Duration::from_secs(4));
         net.run(Duration::from_secs(8));
         let (now, recorded) = (net.now, net.delivered.clone());
         for pick in picks {
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Data centres lose each other for a while. Each side goes on with what it reaches, and must
-    /// find the other again without anybody's help.
+    /// Data centres are partitioned for a while. Each side continues with the members it reaches, and
+    /// both must find each other again without outside help.
     #[test]
     fn after_healing_all_views_agree(seed: u64, size in 2u16..10, border in 1u16..9, secs in 1u64..40) {
         let mut net = Net::settled(size, seed);
@@ -133,7 +135,7 @@
         net.run(Duration::from_secs(secs));
         if secs > 8 {
             for id in 1..=size {
-                prop_assert!(net.is_sure(id), "each side goes on");
+                prop_assert!(net.is_sure(id), "each side continues on its own");
             }
         }
         net.cut.clear();
@@ -141,20 +143,20 @@
         all_agree(&net, size);
     }
 
-    /// A change is acted upon once it is settled. If then a member that trusts us doesn't know of
-    /// the change, two balancers send one flow to two servers and the flow breaks.
+    /// A balancer acts on a change once it is settled. If a member that trusts it didn't know of the
+    /// change by then, the two would send one flow to two servers and break it.
     #[test]
-    fn settled_means_that_whoever_is_sure_knows(
+    fn once_a_change_is_settled_every_sure_member_knows_it(
         seed: u64, loss in 0.0..0.5, delay in 0u64..3000,
         cuts in prop::collection::btree_set((1u16..5, 1u16..5), 0..6),
-        frozen in 0u64..8000,
+        suspended in 0u64..8000,
     ) {
         const SIZE: u16 = 4;
         let mut net = Net::settled(SIZE, seed);
         net.loss = loss;
         net.delay = Duration::from_millis(delay);
         net.cut = cuts;
-        net.freeze(3, Duration::from_millis(frozen));
+        net.suspend(3, Duration::from_millis(suspended));
         net.run(Duration::from_millis(700));
         let now = net.now;
         let mark = net.node(1).group.mark(now);
@@ -176,8 +178,8 @@
     }
 }
 
-/// One direction between two balancers is blocked. Each must see it, or one of them would wait for
-/// flags that never come and the other for acknowledgements.
+/// One direction between two balancers is blocked. Both must see that; otherwise one would wait for
+/// flags and the other for acknowledgements that never arrive.
 #[test]
 fn one_way_reachability_is_visible_and_nobody_is_dead() {
     let mut net = Net::settled(3, 1);
@@ -187,14 +189,18 @@
 
     let seen = net.view(1).member(2).cloned().expect("a member");
     assert_eq!((seen.state, seen.hears_us), (State::Ready, false));
-    assert_eq!(net.state(2, 1), Some(State::Unheard), "3 hears it");
+    assert_eq!(
+        net.state(2, 1),
+        Some(State::Unheard),
+        "not dead, because 3 hears it"
+    );
     assert!(!net.is_sure(1) && !net.is_sure(2) && net.is_sure(3));
 }
 
-/// A VM is replaced and its clock is behind its predecessor's. Its heartbeats look like replays
-/// and would be dropped for good.
+/// A VM is replaced by one whose clock is behind. Its heartbeats carry a lower incarnation, look
+/// like replays and would be dropped for good.
 #[test]
-fn a_clock_that_went_back_is_put_right_by_the_peers() {
+fn an_incarnation_from_a_slow_clock_is_raised_above_the_one_that_peers_know() {
     let mut net = Net::settled(3, 1);
     net.nodes.remove(&2);
     net.run(Duration::from_secs(10));
@@ -209,8 +215,8 @@
     assert!(net.is_sure(1) && net.is_sure(2));
 }
 
-/// A newborn's heartbeats arrive, but ours never reach it, so it knows nothing of us and may be sure
-/// without us. Time alone must not settle a change that it has never heard of.
+/// A new member's heartbeats arrive here, but ours never reach it. It may not know of us and yet be
+/// sure of its view, so time alone must not settle a change that it has never received.
 #[test]
 fn a_member_that_never_acknowledged_keeps_a_change_from_settling() {
     let mut net = Net::settled(2, 1);
@@ -230,10 +236,10 @@
     assert!(net.node(1).group.is_settled(&mark, now));
 }
 
-/// A balancer starts while somebody plays it what a dead one once said. Were that believed, it
-/// would send flows to a balancer that is gone.
+/// An attacker replays the heartbeats of a dead balancer to one that has just started. If they
+/// counted as proof of life, it would send flows to a balancer that is gone.
 #[test]
-fn a_newborn_does_not_take_a_recording_for_a_live_member() {
+fn a_new_balancer_does_not_take_replayed_heartbeats_for_a_live_member() {
     let mut net = Net::settled(2, 1);
     let recorded: Vec<_> = net
         .delivered
@@ -249,16 +255,16 @@
         let group = &mut net.node(1).group;
         group
             .receive(now, 2, frame.incarnation, &frame.heartbeat)
-            .expect("new to it");
+            .expect("accepted: its number is new to this process");
     }
 
     assert_eq!(net.state(1, 2), Some(State::Unheard));
 }
 
-/// The platform's list still names fifty VMs that are long gone. A balancer that spread its
-/// heartbeats over all of them would fall silent to those that live, or break its budget.
+/// The platform's list still has fifty VMs that are long gone. A balancer that spread its heartbeats
+/// over all of them would send too few to the live members, or exceed its traffic budget.
 #[test]
-fn a_list_full_of_dead_machines_slows_nothing() {
+fn listed_vms_that_are_gone_do_not_slow_heartbeats_to_live_members() {
     let mut net = Net::settled(4, 1);
     let hints: Vec<_> = (1..=4).chain(100..150).map(hint).collect();
     let now = net.now;
@@ -273,7 +279,7 @@
     });
 
     assert!(net.is_sure(1));
-    // At most 16 a second each to the heard and the unheard, and 4 to the dead.
+    // At most 16 a second to the heard members, 16 to the unheard ones, and 4 to the dead.
     assert!(
         net.sent[&1] < 20 * 36 * 2 / 3,
         "{} heartbeats in 20 s",
@@ -281,10 +287,10 @@
     );
 }
 
-/// Part of a large group is cut off from one member, which then hears few and expects more of
-/// them than the large group's slow pace gives.
+/// One member of a large group is cut off from most of it. It hears few members, so its own interval
+/// is short, while those still send at the long interval of the large group.
 #[test]
-fn a_slow_peer_is_given_its_own_time() {
+fn timeouts_follow_the_longer_interval_of_a_peer_with_a_larger_view() {
     let mut net = Net::settled(36, 1);
     let others = 8..=36;
     for other in others {
--- a/crates/member/tests/it/main.rs
+++ b/crates/member/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the membership.
+//! Integration tests of the membership.
 
 mod cost;
 mod faults;
--- a/crates/member/tests/it/net.rs
+++ b/crates/member/tests/it/net.rs
@@ -1,4 +1,4 @@
-//! Several members joined by queues that lose, delay and cut, in virtual time.
+//! Simulated network of members in virtual time, with loss, delay, partitions and suspensions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,22 +19,22 @@
 
 pub struct Node {
     pub group: Group,
-    pub frozen_until: Duration,
+    pub suspended_until: Duration,
     pub events: Vec<Event>,
-    /// Frames that wait in the socket of a frozen process.
+    /// Frames in the socket buffer of a suspended process.
     waiting: Vec<Frame>,
 }
 
 pub struct Net {
     pub now: Duration,
     pub nodes: BTreeMap<u16, Node>,
-    /// Directed pairs that nothing passes between.
+    /// Directed pairs (from, to) between which all frames are dropped.
     pub cut: BTreeSet<(u16, u16)>,
     pub loss: f64,
     pub delay: Duration,
-    /// Every frame that was delivered.
+    /// Every frame that reached its receiver's socket.
     pub delivered: Vec<Frame>,
-    /// How many heartbeats each member has sent.
+    /// Number of heartbeats that each member has sent.
     pub sent: BTreeMap<u16, usize>,
     queue: BTreeMap<(Duration, u64), Frame>,
     incarnations: BTreeMap<(u16, u16), u64>,
@@ -60,7 +60,7 @@
 }
 
 impl Net {
-    /// A settled group of `size` members that are all ready.
+    /// A group of `size` members that are all ready and know each other.
     pub fn settled(size: u16, seed: u64) -> Self {
         let mut net = Net::empty(seed);
         let hints: Vec<Hint> = (1..=size).map(hint).collect();
@@ -96,20 +96,20 @@
         group.hint(self.now, hints);
         let node = Node {
             group,
-            frozen_until: self.now,
+            suspended_until: self.now,
             events: Vec::new(),
             waiting: Vec::new(),
         };
         self.nodes.insert(id, node);
-        // A new process has no memory, so its views may begin anywhere.
+        // A new process knows no incarnations, so those in its view may be lower than before.
         self.incarnations.retain(|(viewer, _), _| *viewer != id);
     }
 
-    pub fn freeze(&mut self, id: u16, period: Duration) {
-        self.node(id).frozen_until = self.now + period;
+    pub fn suspend(&mut self, id: u16, period: Duration) {
+        self.node(id).suspended_until = self.now + period;
     }
 
-    /// Cuts both directions between the members for which `side` differs.
+    /// Drops frames in both directions between members for which `side` differs.
     pub fn partition(&mut self, side: impl Fn(u16) -> bool) {
         let ids: Vec<u16> = self.nodes.keys().copied().collect();
         for a in &ids {
@@ -139,14 +139,14 @@
         self.run_checked(period, |_| {});
     }
 
-    /// Runs, and calls `check` after every step.
+    /// Runs for `period` and calls `check` after every step.
     pub fn run_checked(&mut self, period: Duration, mut check: impl FnMut(&mut Net)) {
         let end = self.now + period;
         while self.now < end {
             self.now += STEP;
             self.deliver();
             self.tick();
-            self.no_view_goes_back();
+            self.assert_incarnations_never_decrease();
             check(self);
         }
     }
@@ -166,10 +166,10 @@
         for node in self
             .nodes
             .values_mut()
-            .filter(|node| node.frozen_until <= now)
+            .filter(|node| node.suspended_until <= now)
         {
             for frame in std::mem::take(&mut node.waiting) {
-                // Reordering by random delays makes some of them late; those are refused.
+                // Random delays reorder frames; overtaken ones are refused as replays.
                 let _ = node
                     .group
                     .receive(now, frame.from, frame.incarnation, &frame.heartbeat);
@@ -183,7 +183,7 @@
         for (id, node) in self
             .nodes
             .iter_mut()
-            .filter(|(_, node)| node.frozen_until <= now)
+            .filter(|(_, node)| node.suspended_until <= now)
         {
             for outgoing in node.group.tick(now, |_| Vec::new()) {
                 let (to, heartbeat) = (outgoing.to, outgoing.heartbeat);
@@ -207,7 +207,7 @@
         }
     }
 
-    fn no_view_goes_back(&mut self) {
+    fn assert_incarnations_never_decrease(&mut self) {
         for (viewer, node) in &self.nodes {
             for member in node.group.view(self.now).members {
                 let known = self.incarnations.entry((*viewer, member.id)).or_default();
--- a/crates/member/tests/it/rules.rs
+++ b/crates/member/tests/it/rules.rs
@@ -11,24 +11,27 @@
 #[rstest]
 #[case::new(5)]
 #[case::restarted(4)]
-fn a_newborn_learns_of_members_that_its_list_lacks(#[case] newborn: u16) {
+fn a_new_balancer_learns_of_members_that_its_list_lacks(#[case] new: u16) {
     let mut net = Net::settled(4, 1);
-    net.start(newborn, 9, &[hint(newborn), hint(2)]);
+    net.start(new, 9, &[hint(new), hint(2)]);
 
     net.run(SECOND / 2);
 
-    for id in (1..=4).filter(|id| *id != newborn) {
-        assert_eq!(net.state(newborn, id), Some(State::Ready));
-        assert_eq!(net.state(id, newborn), Some(State::Joining));
-        assert!(net.is_sure(id), "a newborn doesn't unsettle the others");
+    for id in (1..=4).filter(|id| *id != new) {
+        assert_eq!(net.state(new, id), Some(State::Ready));
+        assert_eq!(net.state(id, new), Some(State::Joining));
+        assert!(
+            net.is_sure(id),
+            "a new balancer doesn't make the others unsure"
+        );
     }
-    assert!(!net.is_sure(newborn), "young");
+    assert!(!net.is_sure(new), "it may not know all members yet");
     net.run(SECOND * 2);
-    assert!(net.is_sure(newborn));
+    assert!(net.is_sure(new));
 }
 
 #[test]
-fn alone_it_serves_on() {
+fn a_single_balancer_is_sure_of_its_view() {
     let mut net = Net::empty(1);
     net.start(1, 1, &[hint(1)]);
 
@@ -38,7 +41,7 @@
 }
 
 #[test]
-fn a_leaving_member_that_falls_silent_is_dead_at_once() {
+fn a_leaving_member_that_falls_silent_is_dead_after_the_freshness_timeout() {
     let mut net = Net::settled(3, 1);
     net.node(3).group.set_phase(Phase::Leaving);
     net.run(SECOND);
@@ -51,10 +54,10 @@
     assert!(net.is_sure(1));
 }
 
-/// The platform's list lags: it may lack a balancer that is well. Were it believed, a late list
+/// The platform's list lags and may lack a healthy balancer. If it overrode heartbeats, a late list
 /// would take balancers out of service.
 #[test]
-fn the_platforms_list_ends_only_whom_nobody_hears() {
+fn a_member_missing_from_the_platforms_list_is_dead_only_once_unheard() {
     let mut net = Net::settled(3, 1);
     let now = net.now;
     net.node(1).group.hint(now, &[hint(1), hint(2)]);
@@ -64,16 +67,20 @@
 
     net.run(Settings::default().freshness_timeout(2) + SECOND / 10);
 
-    assert_eq!(net.state(1, 3), Some(State::Dead), "gone and unheard");
+    assert_eq!(
+        net.state(1, 3),
+        Some(State::Dead),
+        "no longer listed, and unheard"
+    );
     assert_eq!(
         net.state(2, 3),
         Some(State::Unheard),
-        "unheard, not known to be gone"
+        "unheard, but not known to be gone"
     );
 }
 
 #[test]
-fn a_hasty_change_settles_within_half_an_interval() {
+fn a_change_with_prompt_answers_settles_within_half_an_interval() {
     let mut net = Net::settled(8, 1);
     net.run(SECOND / 5);
     let now = net.now;
@@ -87,7 +94,7 @@
 }
 
 #[test]
-fn heartbeats_of_its_own_id_and_beyond_the_limit_are_refused() {
+fn heartbeats_with_its_own_id_or_beyond_the_group_limit_are_refused() {
     let net = Net::settled(2, 1);
     let heartbeat = net.delivered[0].heartbeat.clone();
     let now = net.now;
@@ -100,7 +107,7 @@
 }
 
 #[test]
-fn the_dead_are_forgotten_after_a_while() {
+fn dead_members_are_forgotten_after_the_retention_time() {
     let mut net = Net::settled(2, 1);
     net.nodes.remove(&2);
     net.run(SECOND * 10);
@@ -121,10 +128,10 @@
     let group = &mut net.node(1).group;
     group
         .receive(now, 2, last.incarnation, &last.heartbeat)
-        .expect("nobody remembers it");
+        .expect("accepted: the record was dropped");
     assert_eq!(
         net.state(1, 2),
         Some(State::Unheard),
-        "a recording proves nothing"
+        "a replayed heartbeat is no proof of life"
     );
 }
