--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -8,58 +8,58 @@
     server::Server,
 };
 
-/// Steps from one configuration to the next that are kept for peers. Within the seconds that a peer
-/// may be behind, a storm of changes makes a few dozen.
-const STEPS: usize = 64;
+/// Number of patches between configurations that are kept for peers. A peer may lag by seconds, in
+/// which a burst of changes makes a few dozen patches.
+const MAX_PATCHES: usize = 64;
 
-/// Something at a revision of the store.
+/// A value of the store with the revision of its last change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item<T> {
-    /// The store's revision of its last change.
+    /// The store's revision of the last change.
     pub revision: u64,
-    /// What it is since.
+    /// The value as of that change.
     pub value: T,
 }
 
-/// News of one thing.
+/// A change of one item, from the store or from a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// The operators' configuration.
+    /// A new version of the operators' configuration.
     Config {
-        /// The store's revision that made it.
+        /// The store's revision of the change.
         revision: u64,
         /// The whole configuration.
         config: Arc<Config>,
     },
-    /// A step from the configuration before.
+    /// The difference from the previous configuration.
     Patch {
-        /// The store's revision that made it.
+        /// The store's revision of the change.
         revision: u64,
-        /// The step.
+        /// The difference.
         patch: Arc<Patch>,
     },
     /// A backend server's entry.
     Server {
         /// The server's name.
         id: Arc<str>,
-        /// The store's revision that made the change.
+        /// The store's revision of the change.
         revision: u64,
-        /// What it says; nothing if the entry was removed or names no server.
+        /// The server's description; `None` if the entry was removed or doesn't describe a server.
         server: Option<Arc<Server>>,
     },
-    /// The operators' mark that a data centre's servers are to get no new flows.
+    /// The operators' evacuation mark, under which a data centre's servers get no new flows.
     Evacuation {
         /// The data centre.
         data_centre: Arc<str>,
-        /// The store's revision that made the change.
+        /// The store's revision of the change.
         revision: u64,
-        /// Whether the mark stands; false once it was removed.
+        /// Whether the mark is set; false once it was removed.
         stands: bool,
     },
 }
 
 impl Change {
-    /// The store's revision that made the change.
+    /// The store's revision of the change.
     ///
     /// ```
     /// use acacia_catalog::Change;
@@ -79,23 +79,23 @@
 
 /// The routes, servers and evacuations as one balancer knows them.
 ///
-/// Answers of the store and messages of peers overtake each other, repeat, and come from replicas
-/// that lag. Each item keeps its revision, and an older one changes nothing, so that no configuration
-/// reverts and no draining server gets new flows again.
+/// Answers of the store and messages from peers may be reordered, repeated, or come from lagging
+/// replicas. Each item keeps its revision and ignores older changes, so that the configuration doesn't
+/// revert and a draining server doesn't get new flows again.
 #[derive(Debug, Clone, Default)]
 pub struct Catalog {
     revision: u64,
     config: Option<Item<Arc<Config>>>,
-    /// The last steps between configurations, each from the one before to the next.
-    steps: VecDeque<Item<Arc<Patch>>>,
+    /// The latest patches, each from one configuration to the next.
+    patches: VecDeque<Item<Arc<Patch>>>,
     servers: Entries<Arc<Server>>,
     evacuations: Entries<()>,
-    /// The revision up to which removals are forgotten.
+    /// The revision up to which tombstones were dropped.
     forgotten: u64,
 }
 
 impl Catalog {
-    /// The store's revision up to which everything is known; 0 before the first whole reading.
+    /// The store's revision up to which all changes are known; 0 before the first full read.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.revision
@@ -107,7 +107,7 @@
         self.config.as_ref()
     }
 
-    /// Each backend server by name; an entry without a value was removed.
+    /// The backend servers by name, including tombstones: entries without a value were removed.
     pub fn servers(&self) -> impl Iterator<Item = (&Arc<str>, &Item<Option<Arc<Server>>>)> {
         self.servers.iter()
     }
@@ -119,7 +119,9 @@
         standing.map(|(centre, item)| (centre, item.revision))
     }
 
-    /// Takes a change in; false if nothing changes by it, because something as new is known.
+    /// Applies a change. Returns false if it has no effect: because the known revision is the same or
+    /// newer, a patch doesn't start from the present configuration, or the tombstone of the entry may
+    /// have been dropped.
     ///
     /// ```
     /// use acacia_catalog::{Catalog, Change};
@@ -130,7 +132,7 @@
     /// ```
     pub fn apply(&mut self, change: Change) -> bool {
         match change {
-            Change::Config { revision, config } => self.configure(revision, config),
+            Change::Config { revision, config } => self.set_config(revision, config),
             Change::Patch { revision, patch } => {
                 let old = self
                     .config
@@ -139,7 +141,7 @@
                 let Some(config) = old.map(|item| patch.apply(&item.value)) else {
                     return false;
                 };
-                self.configure(revision, Arc::new(config))
+                self.set_config(revision, Arc::new(config))
             }
             Change::Server {
                 id,
@@ -147,7 +149,7 @@
                 server,
             } => {
                 let known = self.servers.contains(&id);
-                self.may_be_news(known, revision) && self.servers.set(id, revision, server)
+                self.is_acceptable(known, revision) && self.servers.set(id, revision, server)
             }
             Change::Evacuation {
                 data_centre,
@@ -155,7 +157,7 @@
                 stands,
             } => {
                 let known = self.evacuations.contains(&data_centre);
-                self.may_be_news(known, revision)
+                self.is_acceptable(known, revision)
                     && self
                         .evacuations
                         .set(data_centre, revision, stands.then_some(()))
@@ -163,13 +165,15 @@
         }
     }
 
-    /// Whether an entry may be taken in. Everything up to the forgotten revision was known: an entry that
-    /// is unknown now was removed by then, and a peer that was cut off tells of it late.
-    fn may_be_news(&self, known: bool, revision: u64) -> bool {
+    /// Whether a change of an entry may be applied. Up to the forgotten revision everything was known
+    /// here, so an entry that is unknown now was removed by then, and the change comes from a peer
+    /// that was partitioned.
+    fn is_acceptable(&self, known: bool, revision: u64) -> bool {
         known || revision > self.forgotten
     }
 
-    /// Whether a change can be taken in: a step needs the configuration that it starts from.
+    /// Whether a change can be applied: a patch needs the configuration that it starts from, unless its
+    /// result is already known.
     #[must_use]
     pub fn can_apply(&self, change: &Change) -> bool {
         let own = self.config.as_ref().map_or(0, |item| item.revision);
@@ -179,18 +183,18 @@
         }
     }
 
-    fn configure(&mut self, revision: u64, config: Arc<Config>) -> bool {
+    fn set_config(&mut self, revision: u64, config: Arc<Config>) -> bool {
         if let Some(old) = &self.config {
             if old.revision >= revision {
                 return false;
             }
-            let step = Patch::between(&old.value, old.revision, &config);
-            self.steps.push_back(Item {
+            let patch = Patch::between(&old.value, old.revision, &config);
+            self.patches.push_back(Item {
                 revision,
-                value: Arc::new(step),
+                value: Arc::new(patch),
             });
-            if self.steps.len() > STEPS {
-                self.steps.pop_front();
+            if self.patches.len() > MAX_PATCHES {
+                self.patches.pop_front();
             }
         }
         self.config = Some(Item {
@@ -200,27 +204,27 @@
         true
     }
 
-    /// What brings the configuration of a peer that knows everything up to `revision` up to date:
-    /// the steps since, or the whole.
+    /// The changes that update the configuration of a peer that knows everything up to `revision`: the
+    /// patches since then or, if they are no longer kept, the whole configuration.
     fn configuration_since(&self, revision: u64) -> Vec<Change> {
         let Some(config) = self.config.as_ref().filter(|item| item.revision > revision) else {
             return Vec::new();
         };
-        let mut steps = self
-            .steps
+        let mut patches = self
+            .patches
             .iter()
-            .filter(|step| step.revision > revision)
+            .filter(|patch| patch.revision > revision)
             .peekable();
-        // The peer has the configuration that the first step starts from, and no later one.
-        if steps
+        // The peer has the configuration that the first patch starts from, and no later one.
+        if patches
             .peek()
             .is_some_and(|first| first.value.base <= revision)
         {
-            let step = |step: &Item<Arc<Patch>>| Change::Patch {
-                revision: step.revision,
-                patch: Arc::clone(&step.value),
+            let patch = |patch: &Item<Arc<Patch>>| Change::Patch {
+                revision: patch.revision,
+                patch: Arc::clone(&patch.value),
             };
-            return steps.map(step).collect();
+            return patches.map(patch).collect();
         }
         vec![Change::Config {
             revision: config.revision,
@@ -228,15 +232,16 @@
         }]
     }
 
-    /// Takes note that all changes up to `revision` have been taken in.
+    /// Records that all changes up to `revision` have been applied.
     pub fn complete(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes in a whole reading as of `revision`: servers and evacuations that it doesn't hold are
-    /// removed, unless they are known from a later revision. Gives whether anything changed.
+    /// Applies a full read of the store as of `revision`: servers and evacuations that it lacks are
+    /// removed, unless they changed at a later revision. Returns whether anything changed.
     ///
-    /// Without it, a server that left while the history was unavailable would get flows for good.
+    /// Without it, a server that was removed while the store's history was unavailable would get new
+    /// flows forever.
     ///
     /// ```
     /// use acacia_catalog::{Catalog, Change};
@@ -245,14 +250,14 @@
     /// catalog.replace(Vec::new(), 9);
     /// assert_eq!(catalog.revision(), 9);
     /// ```
-    pub fn replace(&mut self, reading: Vec<Change>, revision: u64) -> bool {
+    pub fn replace(&mut self, entries: Vec<Change>, revision: u64) -> bool {
         if revision < self.revision {
             return false;
         }
-        let mut servers = Vec::with_capacity(reading.len());
+        let mut servers = Vec::with_capacity(entries.len());
         let mut evacuations = Vec::new();
         let mut changed = false;
-        for change in reading {
+        for change in entries {
             changed |= match change {
                 Change::Server {
                     id,
@@ -274,13 +279,13 @@
                 other => self.apply(other),
             };
         }
-        changed |= self.servers.remove_all_but(servers, revision);
-        changed |= self.evacuations.remove_all_but(evacuations, revision);
+        changed |= self.servers.remove_unlisted(servers, revision);
+        changed |= self.evacuations.remove_unlisted(evacuations, revision);
         self.complete(revision);
         changed
     }
 
-    /// All changes after `revision`, the oldest first.
+    /// All changes after `revision`, in order of their revisions.
     #[must_use]
     pub fn since(&self, revision: u64) -> Vec<Change> {
         let servers = self.servers.iter().map(|(id, item)| Change::Server {
@@ -301,18 +306,19 @@
         changes
     }
 
-    /// Forgets removals at or before `revision`: by then no flow of such a server is open, and peers know
-    /// of it but for those that were cut off; these need the whole, see [`Catalog::forgotten`].
+    /// Drops the tombstones of removals at or before `revision`. The caller picks a revision that is old
+    /// enough for the removed servers' flows to have ended and for all connected peers to know of the
+    /// removals. A partitioned peer needs the full state instead; see [`Catalog::forgotten`].
     ///
-    /// Otherwise memory and whole differences would grow with every server that ever lived.
+    /// Otherwise memory and the changes sent to peers would grow with every server that ever existed.
     pub fn forget(&mut self, revision: u64) {
-        self.servers.forget(revision);
-        self.evacuations.forget(revision);
+        self.servers.drop_tombstones(revision);
+        self.evacuations.drop_tombstones(revision);
         self.forgotten = self.forgotten.max(revision);
     }
 
-    /// The revision up to which removals are forgotten. Whoever knows less needs the whole in place
-    /// of what changed.
+    /// The revision up to which tombstones were dropped. A peer whose revision is lower needs the full
+    /// state instead of the changes since then.
     ///
     /// ```
     /// let mut catalog = acacia_catalog::Catalog::default();
--- a/crates/catalog/src/entries.rs
+++ b/crates/catalog/src/entries.rs
@@ -1,11 +1,12 @@
-//! Entries of the store by name, each with the revision of its last change.
+//! The store's entries of one kind, by name.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use crate::Item;
 
-/// Entries of one kind. A removed one is kept without a value, so that a late word doesn't bring it
-/// back, until [`Entries::forget`].
+/// Entries of one kind, each with the revision of its last change. A removed entry is kept as a
+/// tombstone, without a value, so that a delayed message doesn't restore it; see
+/// [`Entries::drop_tombstones`].
 #[derive(Debug, Clone)]
 pub(crate) struct Entries<T> {
     items: BTreeMap<Arc<str>, Item<Option<T>>>,
@@ -28,7 +29,7 @@
         self.items.contains_key(name)
     }
 
-    /// Sets an entry; false if something as new is known of it.
+    /// Sets an entry; returns false if the known revision is the same or newer.
     pub(crate) fn set(&mut self, name: Arc<str>, revision: u64, value: Option<T>) -> bool {
         let known = self.items.get(&name);
         if known.is_some_and(|item| item.revision >= revision) {
@@ -38,14 +39,14 @@
         true
     }
 
-    /// Removes the entries, known up to `revision`, that are not among the `held`; gives whether there
-    /// are any.
-    pub(crate) fn remove_all_but(&mut self, mut held: Vec<Arc<str>>, revision: u64) -> bool {
-        held.sort_unstable();
+    /// Removes the entries, as of `revision`, whose names are not in `listed`. Entries that changed
+    /// after `revision` stay. Returns whether any entry was removed.
+    pub(crate) fn remove_unlisted(&mut self, mut listed: Vec<Arc<str>>, revision: u64) -> bool {
+        listed.sort_unstable();
         let mut changed = false;
         for (name, item) in &mut self.items {
             let present = item.value.is_some() && item.revision <= revision;
-            if present && held.binary_search(name).is_err() {
+            if present && listed.binary_search(name).is_err() {
                 *item = Item {
                     revision,
                     value: None,
@@ -56,8 +57,8 @@
         changed
     }
 
-    /// Forgets entries that were removed at or before `revision`.
-    pub(crate) fn forget(&mut self, revision: u64) {
+    /// Drops the tombstones of entries that were removed at or before `revision`.
+    pub(crate) fn drop_tombstones(&mut self, revision: u64) {
         self.items
             .retain(|_, item| item.value.is_some() || item.revision > revision);
     }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,9 +1,9 @@
-//! What every balancer must know where flows carry a cookie: the operators' routes, the backend servers
-//! and the data centres under evacuation, all with the revisions of the store they come from.
+//! The data that every balancer needs where flows carry a cookie: the operators' routes, the backend
+//! servers and the data centres under evacuation, each with the store's revision of its last change.
 //!
-//! A [`Catalog`] takes [`Change`]s in any order, from the store and from peers, and never goes back
-//! to an older one. [`spread`] decides who reads the store and who is told; [`member`] keeps the
-//! list of balancers. Nothing here opens a socket or reads a clock.
+//! A [`Catalog`] applies [`Change`]s from the store and from peers in any order, and never reverts to
+//! an older one. [`spread`] decides which balancers read the store and to whom they pass changes on;
+//! [`member`] keeps the list of balancers. Nothing here opens a socket or reads a clock.
 
 mod catalog;
 mod entries;
