--- a/crates/catalog/src/route.rs
+++ b/crates/catalog/src/route.rs
@@ -1,10 +1,10 @@
-//! Where callers' flows may go.
+//! The operators' configuration: which services take the flows to which addresses.
 
 use std::{collections::BTreeMap, net::Ipv4Addr, sync::Arc, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// An address and port that callers use.
+/// An address and port to which callers connect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Front {
     /// The address.
@@ -13,31 +13,31 @@
     pub port: u16,
 }
 
-/// A service that takes a part of a route's new flows.
+/// A service that takes a share of a route's new flows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service's name.
     pub service: Arc<str>,
-    /// Its part, in proportion to the weights of the route's other targets.
+    /// Its share, relative to the weights of the route's other targets.
     pub weight: u32,
 }
 
-/// What a route's callers expect of their requests. What the operators left out or stated absurdly
-/// is not there.
+/// The service level that a route's callers expect. Values that the operators left out, or set to
+/// something absurd, are `None`.
 ///
-/// It travels as two numbers, without the names of its fields: a large configuration fills small links, and
-/// callers' packets and probes wait behind it.
+/// It is serialised as two numbers without field names: a large configuration saturates small
+/// links, and callers' packets and probes queue behind it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct Objective {
-    /// Within which time an answer is worth all to them; whole milliseconds travel.
+    /// The time within which an answer has its full value; serialised in whole milliseconds.
     pub latency: Option<Duration>,
-    /// How urgent they are: 0 is the most urgent.
+    /// The requests' priority; 0 is the most urgent.
     pub priority: Option<u32>,
 }
 
 impl From<Objective> for (u32, u32) {
-    /// Milliseconds, 0 for none, and the priority plus one, 0 for none.
+    /// Encodes the latency in milliseconds and the priority plus one, each with 0 for `None`.
     fn from(objective: Objective) -> Self {
         let millis = objective.latency.map_or(0, |latency| latency.as_millis());
         let priority = objective.priority.map_or(0, |own| own.saturating_add(1));
@@ -54,67 +54,67 @@
     }
 }
 
-/// A front and the services behind it.
+/// An address and port, and the services that its flows go to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Its name; patches and logs refer to it.
     pub name: Arc<str>,
-    /// What callers use.
+    /// The address and port to which callers connect.
     pub front: Front,
-    /// Where new flows go.
+    /// The services that take new flows.
     pub targets: Vec<Target>,
-    /// What its callers expect.
+    /// The service level that its callers expect.
     #[serde(rename = "o")]
     pub objective: Objective,
 }
 
-/// What the operators say of a service's backend servers that have just started. Only services with
-/// a limit are listed.
+/// A service's limit on requests to backend servers that have just started. Services without such a
+/// limit have no entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Warmup {
     /// The service's name.
     pub service: Arc<str>,
-    /// How long a server stays cold after its start, in milliseconds.
+    /// How long a server counts as cold after its start, in milliseconds.
     pub time_ms: u32,
-    /// Requests that a cold server bears in a thousand seconds.
+    /// Requests that a cold server can handle in a thousand seconds.
     pub requests: u32,
 }
 
 /// The operators' configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Config {
-    /// The operators' own number of it; rises in uneven steps.
+    /// The operators' version number; it increases, but not always by one.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
-    /// How long a flow may be idle before it may be forgotten; unlimited if none.
+    /// How long a flow may be idle before it may be dropped; unlimited if `None`.
     pub idle: Option<Duration>,
-    /// Limits of servers that have just started, by service.
+    /// Limits for servers that have just started, one per service.
     pub warmups: Vec<Warmup>,
 }
 
-/// What leads from one configuration to the next.
+/// The difference between one configuration and the next.
 ///
-/// Sent whole for each change of a route or two, a large configuration would fill the links of the small
-/// balancers that pass it on, and callers' packets would wait behind it.
+/// If every change of a route or two sent the whole of a large configuration, it would saturate the
+/// links of the small balancers that pass it on, and callers' packets would queue behind it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patch {
-    /// The store's revision of the configuration that it applies to.
+    /// The store's revision of the configuration to which the patch applies.
     pub base: u64,
-    /// The operators' number of the configuration that it leads to.
+    /// The version of the resulting configuration; see [`Config::version`].
     pub version: u64,
-    /// Routes that are new or changed.
+    /// New and changed routes.
     pub put: Vec<Route>,
-    /// Names of routes that are no more.
+    /// Names of removed routes.
     pub remove: Vec<Arc<str>>,
     /// See [`Config::idle`].
     pub idle: Option<Duration>,
-    /// See [`Config::warmups`]; none where they are as before.
+    /// See [`Config::warmups`]; `None` if unchanged.
     pub warmups: Option<Vec<Warmup>>,
 }
 
 impl Patch {
-    /// What leads from `old`, which stands at the store's revision `base`, to `new`.
+    /// The patch that leads from `old`, whose revision in the store is `base`, to `new`.
     ///
     /// ```
     /// use acacia_catalog::route::{Config, Patch};
@@ -127,7 +127,7 @@
         let before: BTreeMap<&str, &Route> = by_name(old);
         let after: BTreeMap<&str, &Route> = by_name(new);
         let differs = |route: &&Route| before.get(&*route.name) != Some(route);
-        let gone = |route: &&Route| !after.contains_key(&*route.name);
+        let removed = |route: &&Route| !after.contains_key(&*route.name);
         Patch {
             base,
             version: new.version,
@@ -135,7 +135,7 @@
             remove: old
                 .routes
                 .iter()
-                .filter(gone)
+                .filter(removed)
                 .map(|route| Arc::clone(&route.name))
                 .collect(),
             idle: new.idle,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The configuration that `old` becomes. Routes keep their places; new ones come last.
+    /// Applies the patch to `old`. Existing routes keep their order; new ones are appended.
     #[must_use]
     pub fn apply(&self, old: &Config) -> Config {
         let mut put: BTreeMap<&str, &Route> = BTreeMap::new();
--- a/crates/catalog/src/server.rs
+++ b/crates/catalog/src/server.rs
@@ -7,33 +7,33 @@
 /// Whether a backend server takes new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It does.
+    /// It takes new flows.
     Ready,
-    /// It is leaving: it keeps its flows and must get no new ones.
+    /// It is shutting down: it keeps its flows and must not get new ones.
     Draining,
 }
 
-/// What a backend server says of itself.
+/// A backend server, as it describes itself in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its name, unique; a server that starts again mostly has a new one.
+    /// Its unique name; a restarted server usually has a new one.
     pub id: Arc<str>,
-    /// The number by which it knows that a datagram is meant for it. Another server that has its
-    /// address later keeps silent.
+    /// The number by which it recognises datagrams that are meant for it. A server that gets the same
+    /// address later has another tag and doesn't answer them.
     pub tag: u64,
-    /// The service that it belongs to.
+    /// The service it belongs to.
     pub service: Arc<str>,
-    /// Where it takes datagrams.
+    /// The address on which it receives datagrams.
     pub address: SocketAddrV4,
     /// Its data centre.
     pub data_centre: Arc<str>,
-    /// Requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u16,
     /// Whether it takes new flows.
     pub state: State,
-    /// For how many milliseconds longer it is slow after its start.
+    /// Milliseconds for which it will still be slow after its start.
     pub warmup_ms: u32,
-    /// When it started, in milliseconds since 1970 by its own clock. A server that starts again
-    /// under its name has lost all its flows.
+    /// When it started, in milliseconds since the Unix epoch by its own clock. It tells a restart
+    /// under the same name, after which the server has lost all its flows.
     pub started_ms: u64,
 }
