--- a/crates/catalog/src/member.rs
+++ b/crates/catalog/src/member.rs
@@ -1,45 +1,47 @@
-//! The list of balancers, kept by gossip: each tells a few others, picked at random, whom it knows.
+//! The list of balancers, maintained by gossip: each balancer sends the members that it knows to a
+//! few others, picked at random.
 //!
-//! A full mesh of heartbeats grows with the square of the fleet; here each balancer sends the same
-//! few messages whatever its size, and news of a death or a birth reaches all in a number of rounds
-//! that grows with its logarithm (van Renesse, Minsky and Hayden, 1998).
+//! The traffic of a full mesh of heartbeats grows with the square of the fleet's size. With gossip
+//! each balancer sends a constant number of messages, and a new or failed member becomes known to
+//! all in a number of rounds that grows with the logarithm of the size (van Renesse, Minsky and
+//! Hayden, "A Gossip-Style Failure Detection Service", 1998).
 
 use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc, time::Duration};
 
 use acacia_wire::flow::mix;
 use serde::{Deserialize, Serialize};
 
-/// How long a balancer may go unheard, directly and through others, before it is taken off the
-/// list. Twelve rounds of gossip at 500 ms.
+/// The time after which a balancer expires if no newer beat of it arrives, from itself or through
+/// others. It covers twelve rounds of gossip at 500 ms.
 pub const MEMBER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How long it is remembered that a balancer has expired.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// How long an expired balancer's record is kept, counted from its last beat.
+const EXPIRED_RETENTION: Duration = Duration::from_secs(60);
 
-/// A balancer as it describes itself, and how often it has.
+/// A balancer's description of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where it takes control messages: its identity.
+    /// Its address for control messages, which is also its identity.
     pub address: SocketAddrV4,
     /// Its data centre.
     pub data_centre: Arc<str>,
-    /// Rises with every start of its process.
+    /// Increases with every start of its process.
     pub incarnation: u64,
-    /// Rises with every round of its gossip.
+    /// Heartbeat counter: increases with every round of its gossip.
     pub beat: u64,
-    /// Whether its latest call to the store was answered.
+    /// Whether the store answered its latest call.
     pub sighted: bool,
-    /// Whether it is leaving, and should neither read for others nor pass on.
+    /// Whether it is leaving, and should neither read the store for others nor relay messages.
     pub leaving: bool,
 }
 
-/// That a member which the receiver knows still lives: what changes of a [`Member`] from one round of
-/// gossip to the next, in a third of the bytes.
+/// Reports that a member which the receiver already knows is still alive. It has only the fields of a
+/// [`Member`] that change from one round of gossip to the next, in a third of the bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The member's identity.
     pub address: SocketAddrV4,
-    /// The low 16 bits of its incarnation, which tell a new life from the old one.
+    /// The low 16 bits of its incarnation, which tell a restarted process from the previous one.
     pub incarnation: u16,
     /// See [`Member::beat`].
     pub beat: u64,
@@ -61,24 +63,24 @@
     }
 }
 
-/// A member and when its beat last rose here.
+/// A member, and when its beat last increased as seen here.
 #[derive(Debug, Clone)]
-struct Heard {
+struct Record {
     member: Member,
-    at: Duration,
+    beat_at: Duration,
 }
 
-/// The other balancers.
+/// The other balancers that are known to be alive.
 #[derive(Debug, Clone, Default)]
 pub struct MemberList {
-    members: BTreeMap<SocketAddrV4, Heard>,
-    /// Those that have expired, and when their beat last rose here: an old word that is still under way
-    /// must not bring them back.
-    expired: BTreeMap<SocketAddrV4, Heard>,
+    members: BTreeMap<SocketAddrV4, Record>,
+    /// Expired members. Their last beats are kept so that an old message that is still in transit
+    /// doesn't put them on the list again.
+    expired: BTreeMap<SocketAddrV4, Record>,
 }
 
 impl MemberList {
-    /// Takes in what was said of a balancer; true if it was not on the list.
+    /// Merges a received description of a balancer; returns true if the balancer was not on the list.
     ///
     /// ```
     /// use std::time::Duration;
@@ -89,31 +91,40 @@
     /// };
     /// let mut list = MemberList::default();
     /// assert!(list.merge(member.clone(), Duration::ZERO));
-    /// assert!(!list.merge(member, Duration::from_secs(1)), "nothing new");
+    /// assert!(!list.merge(member, Duration::from_secs(1)), "already on the list");
     /// assert_eq!(list.expire(Duration::from_secs(7)).len(), 1);
     /// ```
     pub fn merge(&mut self, member: Member, now: Duration) -> bool {
         let Some(known) = self.members.get_mut(&member.address) else {
-            let is_old = |heard: &Heard| {
-                (member.incarnation, member.beat) <= (heard.member.incarnation, heard.member.beat)
+            let is_old = |record: &Record| {
+                (member.incarnation, member.beat) <= (record.member.incarnation, record.member.beat)
             };
             if self.expired.get(&member.address).is_some_and(is_old) {
                 return false;
             }
             self.expired.remove(&member.address);
-            self.members
-                .insert(member.address, Heard { member, at: now });
+            self.members.insert(
+                member.address,
+                Record {
+                    member,
+                    beat_at: now,
+                },
+            );
             return true;
         };
         let newer =
             (member.incarnation, member.beat) > (known.member.incarnation, known.member.beat);
         if newer {
-            *known = Heard { member, at: now };
+            *known = Record {
+                member,
+                beat_at: now,
+            };
         }
         false
     }
 
-    /// Takes in that a balancer lives; false if it is not on the list in that life and should be.
+    /// Applies a heartbeat. Returns false if the balancer is not on the list with this incarnation, so
+    /// that its full description is needed; a late heartbeat of an expired member needs none.
     ///
     /// ```
     /// use std::time::Duration;
@@ -131,9 +142,9 @@
     /// ```
     pub fn confirm(&mut self, heartbeat: &Heartbeat, now: Duration) -> bool {
         let Some(known) = self.members.get_mut(&heartbeat.address) else {
-            let is_old = |heard: &Heard| {
-                heard.member.incarnation as u16 == heartbeat.incarnation
-                    && heartbeat.beat <= heard.member.beat
+            let is_old = |record: &Record| {
+                record.member.incarnation as u16 == heartbeat.incarnation
+                    && heartbeat.beat <= record.member.beat
             };
             return self.expired.get(&heartbeat.address).is_some_and(is_old);
         };
@@ -141,7 +152,7 @@
             return false;
         }
         if heartbeat.beat > known.member.beat {
-            known.at = now;
+            known.beat_at = now;
             known.member.beat = heartbeat.beat;
             known.member.sighted = heartbeat.sighted;
             known.member.leaving = heartbeat.leaving;
@@ -149,65 +160,67 @@
         true
     }
 
-    /// Takes off the list, and gives, those unheard for [`MEMBER_TIMEOUT`].
+    /// Removes the members without a newer beat for [`MEMBER_TIMEOUT`], and returns them.
     pub fn expire(&mut self, now: Duration) -> Vec<Member> {
-        let is_gone = |heard: &Heard| now.saturating_sub(heard.at) > MEMBER_TIMEOUT;
-        let gone: Vec<(SocketAddrV4, Heard)> = self
+        let is_expired = |record: &Record| now.saturating_sub(record.beat_at) > MEMBER_TIMEOUT;
+        let expired: Vec<(SocketAddrV4, Record)> = self
             .members
-            .extract_if(.., |_, heard| is_gone(heard))
+            .extract_if(.., |_, record| is_expired(record))
             .collect();
-        let members = gone.iter().map(|(_, heard)| heard.member.clone());
+        let members = expired.iter().map(|(_, record)| record.member.clone());
         let members = members.collect();
         self.expired
-            .retain(|_, heard| now.saturating_sub(heard.at) <= REMEMBERED);
-        self.expired.extend(gone);
+            .retain(|_, record| now.saturating_sub(record.beat_at) <= EXPIRED_RETENTION);
+        self.expired.extend(expired);
         members
     }
 
-    /// Those heard within half of [`MEMBER_TIMEOUT`], the latest first. Those heard at one time come in an order
-    /// that `salt` decides, so that balancers don't all pass on the same ones. A word that is passed on
-    /// while it is new reaches all in a number of rounds that grows with the logarithm of the fleet; one
-    /// that is passed on for longer brings a dead member back to lists that it has expired from.
+    /// The members whose beat increased within half of [`MEMBER_TIMEOUT`], the latest first. `salt`
+    /// decides the order among equal times, so that balancers don't all pass on the same members.
+    ///
+    /// Passing on only recent beats is enough to reach all in a number of rounds that grows with the
+    /// logarithm of the fleet's size. Older ones would put a dead member back on lists from which it
+    /// has expired.
     #[must_use]
     pub fn latest(&self, salt: u64, now: Duration) -> Vec<&Member> {
-        let is_new = |heard: &&Heard| heard.at + MEMBER_TIMEOUT / 2 > now;
-        let mut heard: Vec<&Heard> = self.members.values().filter(is_new).collect();
-        heard.sort_by_cached_key(|heard| {
-            let place = mix(rank(heard.member.address) ^ salt);
-            (std::cmp::Reverse(heard.at), place)
+        let is_recent = |record: &&Record| record.beat_at + MEMBER_TIMEOUT / 2 > now;
+        let mut records: Vec<&Record> = self.members.values().filter(is_recent).collect();
+        records.sort_by_cached_key(|record| {
+            let place = mix(rank(record.member.address) ^ salt);
+            (std::cmp::Reverse(record.beat_at), place)
         });
-        heard.into_iter().map(|heard| &heard.member).collect()
+        records.into_iter().map(|record| &record.member).collect()
     }
 
-    /// What is known of the balancer at `address`.
+    /// The balancer at `address`, if it is on the list.
     #[must_use]
     pub fn get(&self, address: SocketAddrV4) -> Option<&Member> {
-        self.members.get(&address).map(|heard| &heard.member)
+        self.members.get(&address).map(|record| &record.member)
     }
 
-    /// Those on the list.
+    /// The members on the list.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
-        self.members.values().map(|heard| &heard.member)
+        self.members.values().map(|record| &record.member)
     }
 
-    /// How many there are.
+    /// The number of members, without this balancer.
     #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether nobody else is known.
+    /// Whether no other balancer is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 }
 
-/// How long the largest size of the fleet is remembered. A balancer that is cut off from the others for
-/// less still takes them for there.
-const SIZE_KEPT: Duration = Duration::from_secs(600);
+/// How long the largest size of the fleet is kept. A balancer that is partitioned from the others for
+/// a shorter time still counts them as present.
+const PEAK_RETENTION: Duration = Duration::from_secs(600);
 
-/// The largest number of balancers that were known lately.
+/// The largest recent number of known balancers.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Peak {
     count: usize,
@@ -215,7 +228,7 @@
 }
 
 impl Peak {
-    /// Takes in how many are known now; gives the largest number of late.
+    /// Records the number of balancers known at `now`, and returns the largest recent one.
     ///
     /// ```
     /// use std::time::Duration;
@@ -225,15 +238,15 @@
     /// assert_eq!(peak.follow(20, Duration::from_secs(900)), 20);
     /// ```
     pub fn follow(&mut self, count: usize, now: Duration) -> usize {
-        if count >= self.count || now >= self.at + SIZE_KEPT {
+        if count >= self.count || now >= self.at + PEAK_RETENTION {
             *self = Peak { count, at: now };
         }
         self.count
     }
 }
 
-/// The place of a balancer in an order on which all agree that know the same members; the highest
-/// comes first (rendezvous hashing: a birth or death moves nobody else).
+/// A balancer's rank; the highest comes first. Balancers with the same list agree on the order, and a
+/// member that joins or leaves doesn't change the order of the others (rendezvous hashing).
 #[must_use]
 pub fn rank(address: SocketAddrV4) -> u64 {
     mix(u64::from(address.ip().to_bits()) << 16 | u64::from(address.port()))
