--- a/crates/catalog/src/spread.rs
+++ b/crates/catalog/src/spread.rs
@@ -1,11 +1,14 @@
-//! Who reads the store, and whom a balancer tells.
+//! Decides which balancer reads the store, and to whom a balancer passes changes on.
 //!
-//! The store counts each call, and its rates grow more slowly than the fleet: if every balancer watched,
-//! each change would cost a call a balancer, and a recovering store would be overrun. So one balancer of
-//! the fleet, the *reader*, watches; it tells one balancer of each data centre, the *relay*, which tells
-//! its own data centre. Nobody is elected and nothing is leased: readers
-//! and relays follow from the list of members, and a balancer whose word from the reader has grown
-//! old reads for itself, so a wrong list costs calls and never freshness.
+//! The store limits the rate of calls, and the limit grows more slowly than the fleet. If every balancer
+//! watched, each change would cost one call per balancer, and a recovering store would be overloaded. So
+//! one balancer of the fleet, the *reader*, watches the store. It sends changes to all balancers of its
+//! own data centre and to one of each other data centre, the *relay*, which sends them to the rest of
+//! its data centre.
+//!
+//! There is no election and no lease: reader and relays are derived from the list of members. A
+//! balancer whose last confirmation from the reader is too old reads the store itself, so a wrong list
+//! costs extra calls but never freshness.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -13,24 +16,24 @@
 
 use crate::member::{Member, MemberList, rank};
 
-/// The times that govern reading, all derived from the bound on a change being in force.
+/// The timing of store reads, derived from the time within which a change must be in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadTiming {
-    /// How long the reader's watch waits at the store: its heartbeat. A watch that is silent for
-    /// longer has lost its connection.
+    /// How long the store may hold the reader's watch before it answers without a change, which serves
+    /// as a heartbeat. A watch that takes longer has lost its connection.
     pub watch_timeout: Duration,
-    /// How old a balancer's knowledge may be before it reads for itself.
+    /// The age of a balancer's data at which it reads the store itself.
     pub max_age: Duration,
-    /// Spread of that age over the balancers, so that they don't all read in one moment.
+    /// The range by which balancers extend that age, so that they don't all read at once.
     pub jitter: Duration,
-    /// Longest wait between two failed calls.
+    /// The longest wait after a failed call, before it is scaled by the number of balancers that fail.
     pub max_backoff: Duration,
 }
 
 impl ReadTiming {
-    /// The pace that keeps a change in force within `bound` of the store's answer, also when the
-    /// reader is lost at the worst moment: half of it may pass before anybody notices, a fifth
-    /// spreads the readings, the rest is for the reading itself.
+    /// The timing with which a change is in force within `bound` of the store's answer, even if the
+    /// reader fails at the worst moment: half of `bound` may pass before the others' data is too old, a fifth is jitter, and the
+    /// rest is left for the read itself.
     ///
     /// ```
     /// use std::time::Duration;
@@ -49,32 +52,32 @@
     }
 }
 
-/// What a balancer does next about the store.
+/// The next action of a balancer towards the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadAction {
-    /// Call and let the store hold the answer until something changes.
+    /// Call, and let the store hold the answer until something changes.
     Watch,
-    /// Call for an answer at once.
+    /// Call for an immediate answer.
     Poll,
-    /// Nothing, for so long.
+    /// Make no call for this long.
     Wait(Duration),
 }
 
-/// A balancer's own part in reading.
+/// Decides when this balancer reads the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadSchedule {
     timing: ReadTiming,
-    /// Until when everything is known; none before the first whole reading.
+    /// The time up to which all changes are known; `None` before the first confirmed read.
     fresh_until: Option<Duration>,
-    /// When a reading of unknown age came in; none if there was none.
+    /// When a read of unknown age was answered, if any.
     primed: Option<Duration>,
-    /// Calls failed in a row, and when the last did.
+    /// The number of consecutive failed calls, and the time of the last one.
     failures: u32,
     failed: Duration,
 }
 
 impl ReadSchedule {
-    /// Nothing is known yet.
+    /// A schedule without any data from the store.
     #[must_use]
     pub const fn new(timing: ReadTiming) -> Self {
         ReadSchedule {
@@ -86,81 +89,88 @@
         }
     }
 
-    /// The pace in force.
+    /// The timing in use.
     #[must_use]
     pub const fn timing(&self) -> ReadTiming {
         self.timing
     }
 
-    /// Takes another pace.
+    /// Replaces the timing.
     pub fn set_timing(&mut self, timing: ReadTiming) {
         self.timing = timing;
     }
 
-    /// Until when everything is known.
+    /// The time up to which all changes are known.
     #[must_use]
     pub const fn fresh_until(&self) -> Option<Duration> {
         self.fresh_until
     }
 
-    /// Whether a reading has come in, of whatever age.
+    /// Whether any data has been received, of whatever age.
     #[must_use]
     pub const fn is_primed(&self) -> bool {
         self.primed.is_some() || self.fresh_until.is_some()
     }
 
-    /// The store has answered with what may be seconds old.
+    /// Records an answer of the store whose data may be seconds old.
     pub fn prime(&mut self, now: Duration) {
         self.failures = 0;
         self.primed = Some(now);
     }
 
-    /// Whether the latest call to the store was answered.
+    /// Whether the store answered the latest call.
     #[must_use]
     pub const fn is_store_reachable(&self) -> bool {
         self.failures == 0
     }
 
-    /// The store has answered a call that left at `sent`.
+    /// Records an answer of the store to a call that was sent at `sent`.
     pub fn answered(&mut self, sent: Duration) {
         self.failures = 0;
         self.confirmed(sent);
     }
 
-    /// A peer has vouched that everything is known until `at`.
+    /// Records a peer's confirmation that all changes up to `at` are known.
     pub fn confirmed(&mut self, at: Duration) {
         self.fresh_until = Some(self.fresh_until.map_or(at, |fresh| fresh.max(at)));
     }
 
-    /// A call to the store has failed.
+    /// Records a failed call to the store.
     pub fn failed(&mut self, now: Duration) {
         self.failures += 1;
         self.failed = now;
     }
 
-    /// What to do now. `reads` tells whether this balancer is the reader; `share` in 0..1 is its
-    /// own place in the spread; `blind` is how many other balancers don't see the store either.
+    /// The action that is due at `now`. `reads` tells whether this balancer is the reader, `share` in
+    /// 0..1 is its fraction of the jitter, and `failing` is the number of other balancers that can't
+    /// reach the store either.
     ///
     /// ```
     /// use std::time::Duration;
     /// use acacia_catalog::spread::{ReadTiming, ReadSchedule, ReadAction};
-    /// let mut reading = ReadSchedule::new(ReadTiming::within(Duration::from_secs(3)));
-    /// assert_eq!(reading.next_action(Duration::ZERO, false, 0.0, 0), ReadAction::Poll);
-    /// reading.answered(Duration::ZERO);
-    /// assert_eq!(reading.next_action(Duration::ZERO, true, 0.0, 0), ReadAction::Watch);
-    /// assert!(matches!(reading.next_action(Duration::ZERO, false, 0.0, 0), ReadAction::Wait(_)));
-    /// assert_eq!(reading.next_action(Duration::from_secs(2), false, 0.0, 0), ReadAction::Poll);
+    /// let mut schedule = ReadSchedule::new(ReadTiming::within(Duration::from_secs(3)));
+    /// assert_eq!(schedule.next_action(Duration::ZERO, false, 0.0, 0), ReadAction::Poll);
+    /// schedule.answered(Duration::ZERO);
+    /// assert_eq!(schedule.next_action(Duration::ZERO, true, 0.0, 0), ReadAction::Watch);
+    /// assert!(matches!(schedule.next_action(Duration::ZERO, false, 0.0, 0), ReadAction::Wait(_)));
+    /// assert_eq!(schedule.next_action(Duration::from_secs(2), false, 0.0, 0), ReadAction::Poll);
     /// ```
     #[must_use]
-    pub fn next_action(&self, now: Duration, reads: bool, share: f64, blind: usize) -> ReadAction {
-        let wait = self.pause(now, share, blind);
+    pub fn next_action(
+        &self,
+        now: Duration,
+        reads: bool,
+        share: f64,
+        failing: usize,
+    ) -> ReadAction {
+        let wait = self.remaining_backoff(now, share, failing);
         if !wait.is_zero() {
             return ReadAction::Wait(wait);
         }
         if reads && self.fresh_until.is_some() {
             return ReadAction::Watch;
         }
-        // What is primed waits for a peer's word; the reader has none to wait for.
+        // With data of unknown age, wait for a peer's confirmation. The reader has no peer to wait for.
         let Some(fresh) = self.fresh_until.or(self.primed.filter(|_| !reads)) else {
             return ReadAction::Poll;
         };
@@ -171,42 +181,46 @@
         }
     }
 
-    /// How long to leave the store alone after failures. It doubles from an eighth of the longest
-    /// wait, and grows with the number of balancers that wait as well.
+    /// The remaining wait after failed calls. It doubles from an eighth of the longest wait, and grows
+    /// with the number of balancers that are failing as well.
     ///
-    /// Whoever reaches the store first tells the others at once, so it is enough that the fleet as a whole
-    /// asks a few times a second. More would overrun a store that is coming back.
-    fn pause(&self, now: Duration, share: f64, blind: usize) -> Duration {
+    /// The first balancer that reaches the store informs the others immediately, so a few calls a second
+    /// from the whole fleet are enough. More would overload a store that is recovering.
+    fn remaining_backoff(&self, now: Duration, share: f64, failing: usize) -> Duration {
         if self.failures == 0 {
             return Duration::ZERO;
         }
         let doubled = (self.timing.max_backoff / 8) * (1 << (self.failures - 1).min(3));
-        let crowd = (blind as f64 / CROWD).clamp(1.0, MOST_CROWDED);
-        let pause = doubled.mul_f64((0.75 + share / 2.0) * crowd);
-        (self.failed + pause).saturating_sub(now)
+        let factor = (failing as f64 / UNSCALED_BALANCERS).clamp(1.0, MAX_SCALE);
+        let backoff = doubled.mul_f64((0.75 + share / 2.0) * factor);
+        (self.failed + backoff).saturating_sub(now)
     }
 }
 
-/// Balancers that may each keep to their own pace towards a store that is away.
-const CROWD: f64 = 8.0;
-/// Largest factor on that pace: at 64 balancers and a longest wait of 1.7 s, 13 s.
-const MOST_CROWDED: f64 = 8.0;
+/// Number of failing balancers up to which the backoff isn't scaled.
+const UNSCALED_BALANCERS: f64 = 8.0;
+/// Largest factor on the backoff. It is reached at 64 balancers, where a longest wait of
+/// 1.7 s becomes 13 s.
+const MAX_SCALE: f64 = 8.0;
 
-/// Whether `own` is the first in rank among those that can see the store.
+/// Whether `own` is the reader: the first in rank among the balancers that reach the store and are not
+/// leaving.
 #[must_use]
 pub fn is_reader(own: &Member, list: &MemberList) -> bool {
-    let able = |member: &Member| member.sighted && !member.leaving;
-    able(own)
+    let eligible = |member: &Member| member.sighted && !member.leaving;
+    eligible(own)
         && list
             .iter()
-            .filter(|member| able(member))
+            .filter(|member| eligible(member))
             .all(|member| rank(member.address) < rank(own.address))
 }
 
-/// Whom a balancer tells small news that came to it from `source`: the store itself, when none.
+/// The balancers to which `own` sends a small change. `source` is the data centre from which it
+/// received the change, `None` if it read it from the store.
 ///
-/// From the store: all of its own data centre, and one relay of each other. From another data
-/// centre: all of its own. From its own data centre: nobody, they were all told.
+/// A change from the store goes to all balancers of its own data centre and one relay of each other.
+/// One from another data centre goes to all of its own. One from its own data centre goes to nobody,
+/// as the sender sent it to all of them.
 #[must_use]
 pub fn recipients(own: &Member, list: &MemberList, source: Option<&Arc<str>>) -> Vec<SocketAddrV4> {
     let near = |member: &&Member| member.data_centre == own.data_centre;
@@ -221,9 +235,11 @@
     recipients
 }
 
-/// Whether `own` is among the first `count` of its data centre in the order that belongs to `key`:
-/// those that do something for all of it. Each key has its own, so that work is spread evenly, and a
-/// balancer that dies hands its part to the next without a word.
+/// Whether `own` is among the first `count` balancers of its data centre in the order for `key`. These
+/// do a piece of work on behalf of the data centre.
+///
+/// Each key has its own order, which spreads the work evenly. When a balancer fails, the next in order
+/// takes its place without any coordination (rendezvous hashing).
 ///
 /// ```
 /// use acacia_catalog::{member::{MemberList, Member}, spread::is_chosen};
@@ -231,7 +247,7 @@
 ///     address: "192.0.2.1:7000".parse()?, data_centre: "a".into(), incarnation: 1, beat: 0,
 ///     sighted: true, leaving: false,
 /// };
-/// assert!(is_chosen(&own, &MemberList::default(), 7, 1), "nobody else is there");
+/// assert!(is_chosen(&own, &MemberList::default(), 7, 1), "no other balancer is known");
 /// # Ok::<(), std::net::AddrParseError>(())
 /// ```
 #[must_use]
@@ -244,7 +260,7 @@
     before.take(count).count() < count
 }
 
-/// The first `count` balancers of a data centre in the order that belongs to `key`, see [`is_chosen`].
+/// The first `count` balancers of a data centre in the order for `key`; see [`is_chosen`].
 ///
 /// ```
 /// use acacia_catalog::{member::{MemberList, Member}, spread::chosen};
@@ -275,15 +291,17 @@
         .collect()
 }
 
-/// How many each balancer tells of large news.
-const BRANCHES: usize = 3;
+/// Number of children of each balancer in the tree of a large change.
+const FAN_OUT: usize = 3;
 
-/// Whom a balancer tells news that are too large for a datagram, so that whoever is told fetches
-/// them from it. `root` is the first of the data centre that had them.
+/// The balancers to which `own` announces a change that is too large for a datagram; they then fetch it
+/// from `own`. `root` is the first balancer of the data centre that had the change, and `source` is as
+/// in [`recipients`].
 ///
-/// The data centre is a tree in which each is asked by a few: fetched from one by all, a large
-/// configuration would fill its link, and callers' packets would wait behind it. Whoever is missed, as
-/// one above has just died, hears by gossip within a second.
+/// The balancers of a data centre form a tree, so that each serves only a few fetches. If all fetched a
+/// large configuration from one balancer, it would saturate that balancer's link, and callers' packets
+/// would queue behind it. A balancer that is missed because one above it has just failed learns of the
+/// change by gossip within a second.
 #[must_use]
 pub fn fetch_children(
     own: &Member,
@@ -298,21 +316,21 @@
         .map(|member| member.address)
         .chain([own.address])
         .collect();
-    // The root first, then all in an order on which everybody agrees.
+    // The root first, then all others by rank, so that all balancers build the same tree.
     order.sort_by_key(|address| (*address != root, rank(*address)));
     let at = order
         .iter()
         .position(|address| *address == own.address)
         .unwrap_or(0);
-    let first = at * BRANCHES + 1;
-    let mut told: Vec<SocketAddrV4> = order.into_iter().skip(first).take(BRANCHES).collect();
+    let first = at * FAN_OUT + 1;
+    let mut children: Vec<SocketAddrV4> = order.into_iter().skip(first).take(FAN_OUT).collect();
     if source.is_none() {
-        told.extend(relays(own, list));
+        children.extend(relays(own, list));
     }
-    told
+    children
 }
 
-/// The first in rank of each other data centre.
+/// The relay of each other data centre: its first balancer in rank.
 fn relays(own: &Member, list: &MemberList) -> Vec<SocketAddrV4> {
     let mut first: Vec<&Member> = Vec::new();
     for member in list
@@ -331,7 +349,8 @@
     first.into_iter().map(|member| member.address).collect()
 }
 
-/// One that leaves comes last: it may be gone before it has passed anything on.
+/// Whether `one` is preferred to `other` as a relay. Leaving balancers come last, as they may stop
+/// before they pass anything on.
 fn precedes(one: &Member, other: &Member) -> bool {
     (!one.leaving, rank(one.address)) > (!other.leaving, rank(other.address))
 }
