--- a/crates/catalog/tests/it/catalog.rs
+++ b/crates/catalog/tests/it/catalog.rs
@@ -9,9 +9,9 @@
 
 use crate::fixture::{added, config, evacuation, removed};
 
-/// A replica of the store that lags answers a reading, or a peer's message was held up. Taken as it
-/// comes, it would put an older configuration in force again: callers of a route that was just
-/// added would be reset.
+/// A lagging replica of the store answers a read, or a peer's message is delayed. Applied without a
+/// check, it would restore an older configuration, and callers of a route that was just added would be
+/// reset.
 #[test]
 fn an_older_configuration_never_comes_back() {
     let mut catalog = Catalog::default();
@@ -23,11 +23,11 @@
     assert_eq!(catalog.config().map(|item| item.value.version), Some(9));
 }
 
-/// The store drops its history while a server leaves, so that no event tells of it. Only the whole
-/// reading after it shows that its entry is missing; without notice of that, new flows would go to
-/// a server that is gone.
+/// The store drops its history while a server is removed, so no event reports the removal. Only the
+/// next full read shows that the entry is missing; if that were ignored, new flows would go to a server
+/// that is gone.
 #[test]
-fn a_server_that_a_whole_reading_lacks_is_removed() {
+fn a_server_missing_from_a_full_read_is_removed() {
     let mut catalog = Catalog::default();
     catalog.replace(vec![added("a", 3), added("b", 4)], 5);
 
@@ -37,10 +37,10 @@
     assert_eq!(catalog.since(5), [removed("b", 9)]);
 }
 
-/// A reading takes several pages and seconds; meanwhile a peer tells of a server that is newer. The
-/// reading knows nothing of it, and must not take it away.
+/// A full read takes several pages and seconds; meanwhile a peer reports a newer server. The read lacks
+/// that server, but must not remove it.
 #[test]
-fn a_server_from_a_later_revision_outlives_an_older_reading() {
+fn a_full_read_does_not_remove_a_server_of_a_later_revision() {
     let mut catalog = Catalog::default();
     catalog.apply(added("young", 12));
 
@@ -61,9 +61,9 @@
         .collect()
 }
 
-/// A late word of a mark that was taken back evacuates the data centre again.
+/// A delayed message about a mark that was removed would evacuate the data centre again.
 #[test]
-fn an_evacuation_that_was_taken_back_is_not_brought_back_by_an_older_word() {
+fn a_removed_evacuation_is_not_restored_by_an_older_change() {
     let mut catalog = Catalog::default();
     catalog.apply(evacuation("a", 3, true));
     catalog.apply(evacuation("b", 4, true));
@@ -75,9 +75,9 @@
     assert_eq!(evacuated(&catalog), [("b", 4)]);
 }
 
-/// The store drops its history while a mark is set and another taken back, so that no event tells.
+/// The store drops its history while one mark is set and another removed, so no event reports either.
 #[test]
-fn a_whole_reading_sets_marks_and_takes_them_back() {
+fn a_full_read_sets_and_removes_evacuation_marks() {
     let mut catalog = Catalog::default();
     catalog.replace(vec![evacuation("a", 3, true)], 5);
 
@@ -91,9 +91,9 @@
     );
 }
 
-/// A peer that was cut off tells of a mark whose removal has been forgotten here.
+/// A peer that was partitioned sends a mark whose tombstone was dropped here.
 #[test]
-fn a_forgotten_evacuation_is_not_taken_from_a_late_peer() {
+fn an_evacuation_whose_tombstone_was_dropped_is_not_restored_by_a_peer() {
     let mut catalog = Catalog::default();
     catalog.apply(evacuation("a", 3, true));
     catalog.apply(evacuation("a", 5, false));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_reading_older_than_what_is_complete_changes_nothing() {
+fn a_full_read_older_than_the_known_revision_changes_nothing() {
     let mut catalog = Catalog::default();
     catalog.replace(vec![added("a", 3), config(1, 2)], 9);
 
@@ -140,10 +140,11 @@
     }
 }
 
-/// A configuration of hundreds of routes changes in one. Sent whole to every balancer, it would fill
-/// the links of the small ones that pass it on, and callers' packets would wait behind it.
+/// One of hundreds of routes changes. If the whole configuration were sent to every balancer, it would
+/// saturate the links of the small balancers that pass it on, and callers' packets would queue behind
+/// it.
 #[test]
-fn peers_are_told_the_steps_between_configurations() {
+fn peers_are_sent_patches_between_configurations() {
     let mut catalog = Catalog::default();
     catalog.apply(routes(3, &["a", "b"]));
     catalog.apply(routes(4, &["a", "c"]));
@@ -162,39 +163,40 @@
     );
 }
 
-/// A balancer that has missed a configuration is sent the step to the one after it. Applied to what
-/// it has, the step would leave routes in force that nobody configured.
+/// A balancer that missed a configuration receives the patch to the one after it. Applied to an older
+/// configuration, the patch would leave routes in force that nobody configured.
 #[test]
-fn a_step_from_another_configuration_is_refused() {
+fn a_patch_from_another_configuration_is_refused() {
     let (mut ahead, mut behind) = (Catalog::default(), Catalog::default());
     ahead.apply(routes(3, &["a"]));
     ahead.apply(routes(4, &["b"]));
     ahead.apply(routes(5, &["c"]));
     behind.apply(routes(3, &["a"]));
-    let step = ahead.since(4).remove(0);
+    let patch = ahead.since(4).remove(0);
 
-    assert!(!behind.can_apply(&step));
-    assert!(!behind.apply(step));
+    assert!(!behind.can_apply(&patch));
+    assert!(!behind.apply(patch));
     assert_eq!(behind.config().map(|item| item.revision), Some(3));
 }
 
 #[test]
-fn removals_are_told_to_peers_until_they_are_forgotten() {
+fn removals_are_sent_to_peers_until_their_tombstones_are_dropped() {
     let mut catalog = Catalog::default();
     catalog.apply(added("a", 3));
     catalog.apply(removed("a", 7));
 
-    let told = catalog.since(3);
+    let sent = catalog.since(3);
     catalog.forget(7);
 
-    assert_eq!(told, [removed("a", 7)]);
+    assert_eq!(sent, [removed("a", 7)]);
     assert_eq!(catalog.since(0), []);
 }
 
-/// A peer that was cut off for minutes tells of a server that was removed meanwhile, and whose removal
-/// is forgotten here. It must not come back: new flows would go to a server that is gone.
+/// A peer that was partitioned for minutes sends a server that was removed in the meantime, and whose
+/// tombstone was dropped here. It must not be restored, or new flows would go to a server that is
+/// gone.
 #[test]
-fn a_forgotten_server_is_not_taken_back_from_a_peer() {
+fn a_server_whose_tombstone_was_dropped_is_not_restored_by_a_peer() {
     let mut catalog = Catalog::default();
     catalog.apply(added("a", 3));
     catalog.apply(removed("a", 7));
@@ -205,12 +207,12 @@
     assert!(catalog.apply(added("b", 10)));
     assert!(
         catalog.replace(vec![added("c", 4)], 11),
-        "the store knows better"
+        "a full read of the store takes precedence"
     );
 }
 
 fn change() -> impl Strategy<Value = Change> {
-    // A revision belongs to one change, as in the store: it decides what the change is.
+    // As in the store, each revision belongs to one change; here it determines the change.
     (0..60u64).prop_map(|revision| match revision % 5 {
         0 => config(revision, revision + 1),
         1 => removed(["a", "b", "c"][revision as usize % 3], revision + 1),
@@ -219,10 +221,10 @@
 }
 
 proptest! {
-    /// Messages overtake each other, are lost and repeated. Whatever comes in whatever order,
-    /// balancers that have had the same changes know the same.
+    /// Messages are reordered and repeated. Balancers that have received the same changes must have the
+    /// same state, whatever the order.
     #[test]
-    fn the_order_of_news_does_not_matter(
+    fn the_state_does_not_depend_on_the_order_of_changes(
         changes in prop::collection::vec(change(), 0..40),
         seed in any::<u64>(),
     ) {
@@ -244,10 +246,10 @@
         prop_assert_eq!(one.since(0), other.since(0));
     }
 
-    /// A balancer that has everything up to some revision and takes a peer's difference since then
-    /// knows what the peer knows.
+    /// A balancer that has all changes up to a revision and applies a peer's changes since then must
+    /// have the same state as the peer.
     #[test]
-    fn a_difference_brings_a_peer_up_to_date(
+    fn the_changes_since_a_revision_bring_a_peer_up_to_date(
         changes in prop::collection::vec(change(), 0..40),
         upto in 0..60u64,
     ) {
@@ -260,7 +262,8 @@
         }
 
         let mut difference = ahead.since(upto);
-        // A peer that skipped a configuration has no step from it, and is asked for the whole.
+        // A peer that skipped a configuration itself has no patch from it, and is asked for the full
+        // state.
         if !difference.iter().all(|change| behind.can_apply(change)) {
             difference = ahead.since(0);
         }
@@ -272,14 +275,14 @@
     }
 }
 
-/// A configuration of many routes fills small links on its way from balancer to balancer. What callers
-/// expect must add little to it, and arrive as it left.
+/// A configuration of many routes saturates small links on its way between balancers. Objectives must
+/// add little to its size, and survive the round trip unchanged.
 #[rstest]
 #[case(Objective::default())]
 #[case(Objective { latency: Some(Duration::from_millis(200)), priority: Some(0) })]
 #[case(Objective { latency: None, priority: Some(7) })]
 #[case(Objective { latency: Some(Duration::from_secs(600)), priority: Some(u32::MAX - 1) })]
-fn an_objective_travels_as_two_numbers(#[case] objective: Objective) {
+fn an_objective_is_serialised_as_two_numbers(#[case] objective: Objective) {
     let text = serde_json::to_string(&objective).expect("text");
 
     assert!(text.len() <= 24, "{text}");
--- a/crates/catalog/tests/it/fixture.rs
+++ b/crates/catalog/tests/it/fixture.rs
@@ -7,7 +7,7 @@
     server::{Server, State},
 };
 
-/// A ready server of that name.
+/// A ready server named `id`.
 pub fn server(id: &str) -> Arc<Server> {
     Arc::new(Server {
         id: id.into(),
@@ -38,7 +38,7 @@
     }
 }
 
-/// The operators' mark on a data centre, set or taken back.
+/// A change that sets or removes the operators' evacuation mark of a data centre.
 pub fn evacuation(data_centre: &str, revision: u64, stands: bool) -> Change {
     Change::Evacuation {
         data_centre: data_centre.into(),
@@ -58,7 +58,7 @@
     }
 }
 
-/// Balancer `number` of a data centre.
+/// Balancer `number` of the data centre `centre`.
 pub fn member(number: u8, centre: &str) -> Member {
     Member {
         address: SocketAddrV4::new([10, 1, centre.as_bytes()[0], number].into(), 7000),
--- a/crates/catalog/tests/it/main.rs
+++ b/crates/catalog/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of what balancers must know and how news of it spread.
+//! Integration tests of the catalog and of how changes reach all balancers.
 
 mod catalog;
 mod fixture;
--- a/crates/catalog/tests/it/spread.rs
+++ b/crates/catalog/tests/it/spread.rs
@@ -19,7 +19,7 @@
         .collect()
 }
 
-/// The list that `own` has of the others.
+/// The member list of `own`, with all others of the fleet.
 fn list(own: &Member, fleet: &[Member]) -> MemberList {
     let mut list = MemberList::default();
     for other in fleet.iter().filter(|other| other.address != own.address) {
@@ -29,9 +29,9 @@
 }
 
 #[rstest]
-#[case::today(9)]
-#[case::grown(62)]
-fn one_of_the_fleet_reads(#[case] count: u8) {
+#[case::current_size(9)]
+#[case::larger_fleet(62)]
+fn exactly_one_balancer_is_the_reader(#[case] count: u8) {
     let fleet = fleet(count, &["a", "b", "c"]);
 
     let readers = fleet
@@ -41,10 +41,10 @@
     assert_eq!(readers.count(), 1);
 }
 
-/// The store turns some balancers away and serves the others. Were the first in rank among those
-/// that are turned away, nobody would hear of changes but by reading alone.
+/// The store refuses some balancers and serves the others. If the first in rank were refused and yet
+/// stayed the reader, the others would learn of changes only by reading the store themselves.
 #[test]
-fn one_that_does_not_see_the_store_is_not_the_reader() {
+fn a_balancer_that_cannot_reach_the_store_is_not_the_reader() {
     let mut fleet = fleet(9, &["a", "b", "c"]);
     let first = fleet
         .iter()
@@ -60,13 +60,13 @@
     assert_ne!(readers[0], first);
 }
 
-/// What the reader learns must reach every balancer by the reader's own messages and one relay in
-/// each other data centre, whoever the reader is; else the balancers that are missed would turn to
-/// the store after every change.
+/// Whichever balancer is the reader, a change must reach all balancers by the reader's messages and
+/// those of one relay in each other data centre. Balancers that are missed would call the store after
+/// every change.
 #[rstest]
-#[case::today(9, &["a", "b", "c"])]
-#[case::grown(61, &["a", "b", "c", "d"])]
-fn news_reach_all_in_two_steps(#[case] count: u8, #[case] centres: &[&str]) {
+#[case::current_size(9, &["a", "b", "c"])]
+#[case::larger_fleet(61, &["a", "b", "c", "d"])]
+fn a_small_change_reaches_all_balancers_in_two_hops(#[case] count: u8, #[case] centres: &[&str]) {
     let fleet = fleet(count, centres);
     for reader in &fleet {
         let mut told: BTreeSet<SocketAddrV4> = BTreeSet::from([reader.address]);
@@ -80,15 +80,15 @@
         }
 
         assert_eq!(told.len(), fleet.len());
-        // A reader tells its own data centre and one of each other, not the fleet.
+        // The reader sends to its own data centre and one relay of each other, not to the whole fleet.
         assert!(first.len() < fleet.len().div_ceil(centres.len()) + centres.len());
     }
 }
 
-/// A large configuration is fetched from whoever told of it. All must get it, and none may be asked
-/// by more than a few: the small ones' links would be full for a second.
+/// A large configuration is fetched from the balancer that announced it. All must get it, and none
+/// may serve more than a few fetches, which would saturate the link of a small balancer for a second.
 #[test]
-fn large_news_reach_a_data_centre_by_few_steps_of_each() {
+fn a_large_change_reaches_a_data_centre_with_few_fetches_from_each() {
     let fleet = fleet(20, &["a"]);
     let root = &fleet[7];
     let mut told: Vec<SocketAddrV4> = vec![root.address];
@@ -108,44 +108,45 @@
     assert_eq!((told.len(), all.len()), (fleet.len(), fleet.len()));
 }
 
-/// The reader is killed, cut off or frozen just after it told the others. Nobody tells them, and a
-/// change that the store accepts at that moment must be in force within the bound all the same.
+/// The reader is killed, partitioned or suspended just after it sent a confirmation, so no further one
+/// follows. A change that the store accepts at that moment must still be in force within the bound.
 #[rstest]
 #[case::first(0.0)]
 #[case::last(0.999)]
-fn whoever_hears_nothing_reads_within_the_bound(#[case] share: f64) {
-    let mut reading = ReadSchedule::new(ReadTiming::within(BOUND));
-    reading.confirmed(Duration::ZERO);
+fn a_balancer_without_confirmations_reads_the_store_within_the_bound(#[case] share: f64) {
+    let mut schedule = ReadSchedule::new(ReadTiming::within(BOUND));
+    schedule.confirmed(Duration::ZERO);
     let mut now = Duration::ZERO;
 
-    while let ReadAction::Wait(wait) = reading.next_action(now, false, share, 0) {
+    while let ReadAction::Wait(wait) = schedule.next_action(now, false, share, 0) {
         now += wait;
     }
 
     assert!(now <= BOUND * 3 / 4, "read after {now:?}");
 }
 
-/// Calls of one balancer in 20 s of a store that is away, while so many others don't see it either.
-fn calls(blind: usize) -> usize {
-    let mut reading = ReadSchedule::new(ReadTiming::within(BOUND));
+/// The number of calls of one balancer to an unreachable store in 20 s, while `failing` other balancers
+/// can't reach it either.
+fn calls(failing: usize) -> usize {
+    let mut schedule = ReadSchedule::new(ReadTiming::within(BOUND));
     let (mut now, mut calls) = (Duration::ZERO, 0);
     while now < Duration::from_secs(20) {
-        match reading.next_action(now, false, 0.5, blind) {
+        match schedule.next_action(now, false, 0.5, failing) {
             ReadAction::Wait(wait) => now += wait,
             ReadAction::Watch | ReadAction::Poll => {
                 calls += 1;
-                reading.failed(now);
+                schedule.failed(now);
             }
         }
     }
     calls
 }
 
-/// The store is down for long, and each of 61 balancers asks it. What is refused counts as well, and
-/// would run over the store just when it comes back: the fleet as a whole must not ask more often the
-/// larger it is.
+/// The store is down for a long time, and each of 61 balancers retries. Refused calls count against
+/// the store's limits too and would overload it just as it recovers, so the fleet's total rate of calls
+/// must not grow with its size.
 #[test]
-fn a_store_that_is_away_is_asked_as_often_by_sixty_balancers_as_by_eight() {
+fn the_rate_of_calls_to_an_unreachable_store_does_not_grow_with_the_fleet() {
     let (few, many) = (9 * calls(8), 61 * calls(60));
 
     assert!(
@@ -155,28 +156,32 @@
     assert!(many < few * 2, "{many} calls of 61 balancers, {few} of 9");
 }
 
-/// A balancer that a peer has just told is as well informed as the peer, and has no reason to read.
+/// A confirmation from a peer is as good as a read of the store, so a balancer that keeps getting them
+/// doesn't read.
 #[test]
-fn a_peer_s_word_takes_the_place_of_a_reading() {
-    let mut reading = ReadSchedule::new(ReadTiming::within(BOUND));
+fn a_confirmation_from_a_peer_replaces_a_read() {
+    let mut schedule = ReadSchedule::new(ReadTiming::within(BOUND));
     for second in 0..30 {
         let now = Duration::from_secs(second);
-        reading.confirmed(now);
+        schedule.confirmed(now);
 
         assert!(matches!(
-            reading.next_action(now, false, 0.0, 0),
+            schedule.next_action(now, false, 0.0, 0),
             ReadAction::Wait(_)
         ));
     }
 }
 
-/// Three balancers of each data centre examine a server for the others, whatever the fleet's size. If
-/// nobody did, or everybody, nobody would hear of it or the server would drown in connections.
+/// Three balancers of each data centre examine a server on behalf of the others, whatever the fleet's
+/// size. With none, its failure would go unnoticed; with all, it would be flooded with connections.
 #[rstest]
-#[case::today(9, 3)]
-#[case::grown(73, 3)]
-#[case::fewer(2, 1)]
-fn as_many_are_chosen_in_each_data_centre_for_each_key(#[case] count: u8, #[case] chosen: usize) {
+#[case::current_size(9, 3)]
+#[case::larger_fleet(73, 3)]
+#[case::fewer_than_three(2, 1)]
+fn each_data_centre_chooses_the_same_number_of_balancers_for_each_key(
+    #[case] count: u8,
+    #[case] chosen: usize,
+) {
     let fleet = fleet(count, &["a", "b", "c"]);
     for key in 0..100 {
         for centre in ["a", "b"] {
@@ -187,9 +192,9 @@
     }
 }
 
-/// Each key has its own examiners: none may carry the work of all.
+/// Each key has its own examiners, so that no balancer gets a large part of all the work.
 #[test]
-fn the_chosen_of_many_keys_are_spread_over_all() {
+fn the_balancers_chosen_for_many_keys_are_spread_evenly() {
     let fleet = fleet(72, &["a", "b", "c"]);
     for own in &fleet {
         let list = list(own, &fleet);
