--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -119,9 +119,9 @@
         standing.map(|(centre, item)| (centre, item.revision))
     }
 
-    /// Applies a change. Returns false if it has no effect: because the known revision is the same or
-    /// newer, a patch doesn't start from the present configuration, or the tombstone of the entry may
-    /// have been dropped.
+    /// Applies a change. Returns false if it has no effect: the known revision is the same or newer, a
+    /// patch doesn't start from the present configuration, or an unknown entry isn't newer than
+    /// [`Catalog::forgotten`] and may have been removed.
     ///
     /// ```
     /// use acacia_catalog::{Catalog, Change};
