--- a/crates/catalog/tests/it/member.rs
+++ b/crates/catalog/tests/it/member.rs
@@ -1,39 +1,40 @@
 use std::time::Duration;
 
-use acacia_catalog::member::{List, Member, UNHEARD};
+use acacia_catalog::member::{MEMBER_TIMEOUT, Member, MemberList};
 
 use crate::fixture::member;
 
-/// A balancer that has died is still named in messages of those that have not noticed. Each such
-/// word would keep it on the list for good, and news would be sent to nobody.
+/// A failed balancer is still in the messages of peers that have not noticed. If each of these
+/// counted as a sign of life, it would stay on the list forever, and changes would be sent to it in
+/// vain.
 #[test]
-fn a_word_that_was_heard_before_keeps_nobody_on_the_list() {
-    let mut list = List::default();
-    list.hear(member(1, "a"), Duration::ZERO);
-    list.hear(member(1, "a"), UNHEARD);
+fn a_repeated_beat_does_not_keep_a_member_on_the_list() {
+    let mut list = MemberList::default();
+    list.merge(member(1, "a"), Duration::ZERO);
+    list.merge(member(1, "a"), MEMBER_TIMEOUT);
 
-    let expired = list.expire(UNHEARD + Duration::from_millis(1));
+    let expired = list.expire(MEMBER_TIMEOUT + Duration::from_millis(1));
 
     assert_eq!(expired, [member(1, "a")]);
     assert!(list.is_empty());
 }
 
 #[test]
-fn a_new_life_counts_as_heard_whatever_its_beat() {
-    let mut list = List::default();
+fn a_new_incarnation_counts_as_alive_whatever_its_beat() {
+    let mut list = MemberList::default();
     let old = Member {
         beat: 90,
         ..member(1, "a")
     };
-    let born = Member {
+    let restarted = Member {
         incarnation: 2,
         beat: 0,
         ..member(1, "a")
     };
-    list.hear(old, Duration::ZERO);
+    list.merge(old, Duration::ZERO);
 
-    list.hear(born.clone(), UNHEARD);
+    list.merge(restarted.clone(), MEMBER_TIMEOUT);
 
-    assert_eq!(list.expire(UNHEARD + Duration::from_millis(1)), []);
-    assert_eq!(list.iter().collect::<Vec<_>>(), [&born]);
+    assert_eq!(list.expire(MEMBER_TIMEOUT + Duration::from_millis(1)), []);
+    assert_eq!(list.iter().collect::<Vec<_>>(), [&restarted]);
 }
--- a/crates/node/src/cookie/core/news.rs
+++ b/crates/node/src/cookie/core/news.rs
@@ -4,7 +4,7 @@
 
 use acacia_catalog::{
     Change,
-    spread::{audience, branches},
+    spread::{fetch_children, recipients},
 };
 
 use super::{Core, Outcome, Source, describe};
@@ -44,7 +44,7 @@
         let base = self.catalog.revision();
         let mut changed = false;
         for change in changes {
-            if !self.catalog.fits(&change) {
+            if !self.catalog.can_apply(&change) {
                 log::info!("event=step-missed revision={}", change.revision());
                 self.missed = true;
                 return Outcome {
@@ -65,9 +65,9 @@
     /// Takes in that everything was known at `at`; whether that is worth passing on. Peers' words
     /// differ by milliseconds, and each would otherwise go through the whole data centre.
     fn confirm(&mut self, at: Duration) -> bool {
-        let before = self.reading.fresh();
+        let before = self.reading.fresh_until();
         self.reading.confirmed(at);
-        before.is_none_or(|before| at > before + self.reading.pace().watch / 2)
+        before.is_none_or(|before| at > before + self.reading.timing().watch_timeout / 2)
     }
 
     pub(super) fn apply(&mut self, change: Change) -> bool {
@@ -97,8 +97,8 @@
         let complete = base >= self.catalog.forgotten();
         let fits = complete && size.is_ok_and(|size| size <= LONGEST);
         let to = match fits {
-            true => audience(&self.own, &self.list, centre),
-            false => branches(&self.own, &self.list, root, centre),
+            true => recipients(&self.own, &self.list, centre),
+            false => fetch_children(&self.own, &self.list, root, centre),
         };
         let mut message = self.message(now);
         message.root = root;
