--- a/crates/cookie/src/lib.rs
+++ b/crates/cookie/src/lib.rs
@@ -18,6 +18,6 @@
 pub mod speed;
 pub mod trial;
 
-pub use resolver::{Action, Busy, Ended, Notice, Resolver, Timing};
+pub use resolver::{Action, EndedFlow, FlowRefusal, Notice, Resolver, Timing};
 pub use roster::Roster;
 pub use snapshot::Snapshot;
--- a/crates/cookie/src/resolver.rs
+++ b/crates/cookie/src/resolver.rs
@@ -44,7 +44,7 @@
     /// Tell the caller that the flow will not open, as no server would answer it in time.
     Refuse {
         /// What was known of the server that would answer first.
-        busy: Busy,
+        refusal: FlowRefusal,
     },
     /// Nothing; the caller's transport sends it again.
     Drop {
@@ -55,7 +55,7 @@
 
 /// What an opening was refused by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Busy {
+pub struct FlowRefusal {
     /// Why.
     pub code: Code,
     /// The position in the snapshot of the server that would answer first.
@@ -117,7 +117,7 @@
 
 /// A flow that was ended as its server is lost.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedFlow {
     /// The flow.
     pub key: Key,
     /// Its server.
@@ -202,13 +202,13 @@
     /// The flows of servers that are gone: their callers are told at once.
     ///
     /// A caller whose flow has ended opens another at once, where it would else wait out its deadline.
-    pub fn end_lost(&mut self, snapshot: &Snapshot) -> Vec<Ended> {
+    pub fn end_flows_of_gone_servers(&mut self, snapshot: &Snapshot) -> Vec<EndedFlow> {
         let is_gone = |server: &Arc<str>| {
             let server = snapshot.server(Cookie::of(server, 0));
             server.is_some_and(|server| server.standing == Standing::Gone)
         };
         let lost = self.flows.take_lost(is_gone);
-        let ended = |(key, flow): (Key, Flow)| Ended {
+        let ended = |(key, flow): (Key, Flow)| EndedFlow {
             key,
             server: flow.server,
             acknowledged: flow.acknowledged,
@@ -217,7 +217,7 @@
     }
 
     /// Forgets what was learned of servers and services that a new snapshot doesn't hold.
-    pub fn forget(&mut self, snapshot: &Snapshot) {
+    pub fn retain_known(&mut self, snapshot: &Snapshot) {
         let is_server = |id: &Arc<str>| snapshot.server(Cookie::of(id, 0)).is_some();
         let is_service = |name: &Arc<str>| snapshot.pools.iter().any(|pool| pool.service == *name);
         self.delays.retain(is_server, is_service);
--- a/crates/cookie/src/resolver/open.rs
+++ b/crates/cookie/src/resolver/open.rs
@@ -7,7 +7,7 @@
 use acacia_load::overload::{self, Prospect, Terms};
 use acacia_wire::{flow::mix, packet::Packet};
 
-use super::{Action, Busy, Opening, Resolver};
+use super::{Action, FlowRefusal, Opening, Resolver};
 use crate::{
     cookie::Cookie,
     place::{Candidate, choose},
@@ -53,7 +53,7 @@
             let flow = packet.key.hash();
             position = match self.admit(snapshot, route, flow, position, now) {
                 Ok(position) => position,
-                Err(busy) => return Action::Refuse { busy },
+                Err(refusal) => return Action::Refuse { refusal },
             };
         }
         let server = &snapshot.servers[position as usize];
@@ -193,7 +193,7 @@
         flow: u64,
         placed: u32,
         now: Duration,
-    ) -> Result<u32, Busy> {
+    ) -> Result<u32, FlowRefusal> {
         let Some(demand) = route.demand else {
             return Ok(placed);
         };
@@ -228,7 +228,7 @@
             }
         };
         let others = pool.map_or(&[][..], |pool| &pool.open).iter().copied();
-        overload::admit(&terms, placed, others, prospect).map_err(|refusal| Busy {
+        overload::admit(&terms, placed, others, prospect).map_err(|refusal| FlowRefusal {
             code: Code::ServersBusy,
             server: refusal.server,
             expected: seconds(refusal.expected),
--- a/crates/cookie/src/resolver/urgency.rs
+++ b/crates/cookie/src/resolver/urgency.rs
@@ -10,7 +10,7 @@
 };
 use acacia_wire::flow::{mix, uniform};
 
-use super::{Busy, Resolver, open::seconds};
+use super::{FlowRefusal, Resolver, open::seconds};
 use crate::snapshot::Snapshot;
 
 /// Tells the draw among less urgent flows from the flow's other uses of its hash.
@@ -38,7 +38,7 @@
         flow: u64,
         placed: u32,
         now: Duration,
-    ) -> Result<(), Busy> {
+    ) -> Result<(), FlowRefusal> {
         let Some(baseline) = self.delays.baseline(service) else {
             return Ok(());
         };
@@ -60,7 +60,7 @@
         if uniform(mix(flow ^ SALT)) >= part {
             return Ok(());
         }
-        Err(Busy {
+        Err(FlowRefusal {
             code: Code::LessUrgent,
             server: placed,
             expected: seconds(mean),
--- a/crates/cookie/tests/it/evacuation.rs
+++ b/crates/cookie/tests/it/evacuation.rs
@@ -115,7 +115,7 @@
     let (server, cookie) = sent(&opened, &before).expect("forwarded");
     let after = seen([evacuation("a", 6, true), evacuation("b", 7, true)]);
 
-    let ended = resolver.end_lost(&after);
+    let ended = resolver.end_flows_of_gone_servers(&after);
     let action = resolver.resolve(&after, &middle(1, 101, 50, 1), Some(cookie), ms(900));
 
     assert_eq!(ended, []);
--- a/crates/cookie/tests/it/resolver.rs
+++ b/crates/cookie/tests/it/resolver.rs
@@ -181,7 +181,7 @@
 
     let after = roster.snapshot(&detector, ms(100));
     let mut ended: Vec<u16> = resolver
-        .end_lost(&after)
+        .end_flows_of_gone_servers(&after)
         .iter()
         .map(|ended| ended.key.client_port)
         .collect();
--- a/crates/node/src/cookie/traffic.rs
+++ b/crates/node/src/cookie/traffic.rs
@@ -8,7 +8,7 @@
 use acacia_adapter::packet::{self, Frame};
 use acacia_code::Code;
 use acacia_cookie::{
-    Action, Busy, Ended, Notice, Resolver, Snapshot, cookie::Cookie, snapshot::Server,
+    Action, EndedFlow, FlowRefusal, Notice, Resolver, Snapshot, cookie::Cookie, snapshot::Server,
 };
 use acacia_wire::{
     flow::Key,
@@ -63,10 +63,10 @@
             .as_ref()
             .is_none_or(|before| !Arc::ptr_eq(before, &snapshot))
         {
-            for ended in resolver.end_lost(&snapshot) {
+            for ended in resolver.end_flows_of_gone_servers(&snapshot) {
                 end(&ended, &snapshot, context, to_send);
             }
-            resolver.forget(&snapshot);
+            resolver.retain_known(&snapshot);
             before = Some(Arc::clone(&snapshot));
         }
         batch(&mut resolver, &snapshot, context, received, to_send);
@@ -148,10 +148,10 @@
                 to_send,
             );
         }
-        Action::Refuse { busy } => {
-            refused(frame, &busy, snapshot);
+        Action::Refuse { refusal } => {
+            refused(frame, &refusal, snapshot);
             context.counter.kind(Kind::Refused, 1);
-            context.counter.code(busy.code);
+            context.counter.code(refusal.code);
             burn::refused(&context.ledger, &frame.packet.key, snapshot);
             let acknowledged = frame.packet.acknowledgement;
             reset(&frame.packet.key, acknowledged, context, to_send);
@@ -178,9 +178,9 @@
 }
 
 /// Tells of an opening that was refused under load, and by what.
-fn refused(frame: &Frame, busy: &Busy, snapshot: &Snapshot) {
-    let (code, server) = (busy.code, &snapshot.servers[busy.server as usize]);
-    let (expected, limit) = (busy.expected.as_millis(), busy.limit.as_millis());
+fn refused(frame: &Frame, refusal: &FlowRefusal, snapshot: &Snapshot) {
+    let (code, server) = (refusal.code, &snapshot.servers[refusal.server as usize]);
+    let (expected, limit) = (refusal.expected.as_millis(), refusal.limit.as_millis());
     let (id, copies) = (&server.id, frame.copies);
     let what = format_args!(
         "code={code} first={id} expected_ms={expected} limit_ms={limit} copies={copies}"
@@ -189,7 +189,7 @@
 }
 
 /// Tells the caller of a lost server that its flow has ended.
-fn end(ended: &Ended, snapshot: &Snapshot, context: &Context, to_send: &mut ToSend) {
+fn end(ended: &EndedFlow, snapshot: &Snapshot, context: &Context, to_send: &mut ToSend) {
     let (code, server) = (Code::FlowServerGone, &ended.server);
     burn::ended(&context.ledger, ended, snapshot);
     say(
