--- a/crates/bench/src/balance/cookie.rs
+++ b/crates/bench/src/balance/cookie.rs
@@ -85,9 +85,9 @@
         let factors = &self.balancers[at].factors;
         let candidate = |server: usize| Candidate {
             position: server as u32,
-            name: acacia_cookie::cookie::hash(&self.names[server]),
+            hash: acacia_cookie::cookie::hash(&self.names[server]),
             weight: factors[server],
-            near: true,
+            local: true,
         };
         let candidates = (0..factors.len()).filter(|s| usable(*s)).map(candidate);
         let load = |server: u32| {
--- a/crates/cookie/src/place.rs
+++ b/crates/cookie/src/place.rs
@@ -8,11 +8,11 @@
     /// Its position in the snapshot.
     pub position: u32,
     /// A number that names it on every balancer.
-    pub name: u64,
+    pub hash: u64,
     /// Its part of new flows, in proportion to the others.
     pub weight: f64,
     /// Whether it is in the balancer's own data centre.
-    pub near: bool,
+    pub local: bool,
 }
 
 /// How many candidates of the flow's own order are compared. Two choices take the worst of the
@@ -37,7 +37,7 @@
 /// ```
 /// use acacia_cookie::place::{Candidate, choose};
 /// let server = |position| Candidate {
-///     position, name: position.into(), weight: 1.0, near: true,
+///     position, hash: position.into(), weight: 1.0, local: true,
 /// };
 /// let load = |position| [5.0, 1.0][position as usize];
 /// assert_eq!(choose(7, [server(0), server(1)], load), Some(1));
@@ -59,7 +59,7 @@
         }
     }
     let weighed = first.into_iter().flatten().map(|(_, candidate)| {
-        let distance = if candidate.near { 1.0 } else { DISTANCE };
+        let distance = if candidate.local { 1.0 } else { DISTANCE };
         (load(candidate.position) * distance, candidate.position)
     });
     let least = weighed.min_by(|(one, _), (other, _)| one.total_cmp(other));
@@ -76,8 +76,8 @@
 /// The candidate's number in the flow's order, exponentially distributed with its weight as rate:
 /// the smallest is each one's with the probability of its part.
 fn cost(flow: u64, candidate: &Candidate) -> f64 {
-    let hash = mix(flow ^ mix(candidate.name));
+    let hash = mix(flow ^ mix(candidate.hash));
     let uniform = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    let part = if candidate.near { 1.0 } else { FAR };
+    let part = if candidate.local { 1.0 } else { FAR };
     -uniform.ln() / (candidate.weight * part).max(f64::MIN_POSITIVE)
 }
--- a/crates/cookie/src/resolver/open.rs
+++ b/crates/cookie/src/resolver/open.rs
@@ -258,9 +258,9 @@
     let server = &snapshot.servers[position as usize];
     Candidate {
         position,
-        name: server.hash,
+        hash: server.hash,
         weight: server.weight,
-        near: server.data_centre == snapshot.data_centre,
+        local: server.data_centre == snapshot.data_centre,
     }
 }
 
--- a/crates/cookie/tests/it/place.rs
+++ b/crates/cookie/tests/it/place.rs
@@ -9,9 +9,9 @@
             .enumerate()
             .map(|(at, weight)| Candidate {
                 position: at as u32,
-                name: at as u64 * 77 + 1,
+                hash: at as u64 * 77 + 1,
                 weight: *weight,
-                near: true,
+                local: true,
             })
             .collect();
         let load = |at: u32| (counts[at as usize] + 1.0) / weights[at as usize];
@@ -48,9 +48,9 @@
 fn the_busiest_of_several_gets_nothing() {
     let server = |position: u32| Candidate {
         position,
-        name: position.into(),
+        hash: position.into(),
         weight: 1.0,
-        near: true,
+        local: true,
     };
     let load = |position| [90.0, 1.0][position as usize];
     for flow in 0..1_000 {
@@ -65,9 +65,9 @@
     let candidates: Vec<Candidate> = (0..15)
         .map(|position| Candidate {
             position,
-            name: u64::from(position) * 77 + 1,
+            hash: u64::from(position) * 77 + 1,
             weight: 1.0,
-            near: position < 5,
+            local: position < 5,
         })
         .collect();
     let load = |position: u32| if position < 5 { near } else { 10.0 };
