--- a/crates/cookie/src/flow.rs
+++ b/crates/cookie/src/flow.rs
@@ -52,7 +52,7 @@
 
 /// What a packet shows of its flow's server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
+pub enum Observation {
     /// Nothing.
     None,
     /// The server has answered something on this flow since the last packet.
@@ -60,9 +60,9 @@
     /// It has answered the opening, after so long.
     Opened(Duration),
     /// It has answered data, after so long.
-    Timed(Duration),
+    AnsweredAfter(Duration),
     /// Data went to it, and nothing was unanswered before.
-    Asked,
+    RequestSent,
     /// The packet was sent before, and the server had time to answer.
     Unanswered,
     /// The caller ends the flow although its request has not been answered.
@@ -73,19 +73,19 @@
 #[derive(Debug, Default)]
 pub struct Table {
     flows: Map<Key, Flow>,
-    held: Map<Arc<str>, Held>,
+    counts: Map<Arc<str>, FlowCounts>,
 }
 
 /// What this balancer sees of a server's work in hand.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct FlowCounts {
     /// Flows that their callers have not closed.
     pub flows: u32,
     /// Those of them on which a request waits for its answer.
     pub pending: u32,
 }
 
-impl Held {
+impl FlowCounts {
     fn add(&mut self, flow: &Flow) {
         self.flows += 1;
         self.pending += u32::from(flow.is_pending());
@@ -101,11 +101,11 @@
     /// What a server has in hand through here.
     ///
     /// ```
-    /// assert_eq!(acacia_cookie::flow::Table::default().held("host-1").flows, 0);
+    /// assert_eq!(acacia_cookie::flow::Table::default().counts("host-1").flows, 0);
     /// ```
     #[must_use]
-    pub fn held(&self, server: &str) -> Held {
-        self.held.get(server).copied().unwrap_or_default()
+    pub fn counts(&self, server: &str) -> FlowCounts {
+        self.counts.get(server).copied().unwrap_or_default()
     }
 
     /// How many flows are known.
@@ -121,7 +121,13 @@
     }
 
     /// Takes in an opening that goes to a server; a copy that goes elsewhere takes the place.
-    pub fn opened(&mut self, packet: &Packet, cookie: Cookie, server: &Arc<str>, now: Duration) {
+    pub fn record_opening(
+        &mut self,
+        packet: &Packet,
+        cookie: Cookie,
+        server: &Arc<str>,
+        now: Duration,
+    ) {
         let flow = Flow {
             cookie,
             server: Arc::clone(server),
@@ -137,24 +143,28 @@
 
     /// The server of a flow of which nothing has passed since its opening at `sent`.
     #[must_use]
-    pub fn unopened(&self, key: &Key, sent: Duration) -> Option<&Arc<str>> {
+    pub fn server_of_half_open(&self, key: &Key, sent: Duration) -> Option<&Arc<str>> {
         let flow = self.flows.get(key)?;
         let waits = flow.opening && flow.sent == Some(sent);
         waits.then_some(&flow.server)
     }
 
     /// Takes in a packet of an open flow and tells what it shows.
-    pub fn passed(
+    pub fn observe(
         &mut self,
         packet: &Packet,
         cookie: Cookie,
         server: &Arc<str>,
         now: Duration,
-    ) -> Sign {
+    ) -> Observation {
         if packet.kind == Kind::Reset {
             let flow = self.remove(&packet.key);
             let pending = flow.is_some_and(|flow| !flow.closed && flow.is_pending());
-            return if pending { Sign::Abandoned } else { Sign::None };
+            return if pending {
+                Observation::Abandoned
+            } else {
+                Observation::None
+            };
         }
         let known = self
             .flows
@@ -162,14 +172,14 @@
             .filter(|flow| flow.cookie == cookie);
         let Some(flow) = known else {
             self.insert(packet.key, first_seen(packet, cookie, server, now));
-            return Sign::Answered;
+            return Observation::Answered;
         };
         flow.seen = now;
         if flow.closed {
-            return Sign::None;
+            return Observation::None;
         }
         let pending = flow.is_pending();
-        let sign = flow.take(packet, now);
+        let observation = flow.take(packet, now);
         let closes = packet.kind == Kind::Closing;
         let abandons = closes && flow.is_pending();
         flow.closed = closes;
@@ -178,18 +188,22 @@
             let still = flow.is_pending() && !closes;
             self.recount(server, pending, still, closes);
         }
-        if abandons { Sign::Abandoned } else { sign }
+        if abandons {
+            Observation::Abandoned
+        } else {
+            observation
+        }
     }
 
     /// A flow of the server `was` waiting for an answer and `is` now, and perhaps has been closed.
     fn recount(&mut self, server: &Arc<str>, was: bool, is: bool, closes: bool) {
-        let Some(held) = self.held.get_mut(server) else {
+        let Some(counts) = self.counts.get_mut(server) else {
             return;
         };
-        held.pending = held.pending - u32::from(was) + u32::from(is);
-        held.flows -= u32::from(closes);
-        if held.flows == 0 {
-            self.held.remove(server);
+        counts.pending = counts.pending - u32::from(was) + u32::from(is);
+        counts.flows -= u32::from(closes);
+        if counts.flows == 0 {
+            self.counts.remove(server);
         }
     }
 
@@ -199,8 +213,8 @@
             return;
         }
         if !flow.closed {
-            let held = self.held.entry(Arc::clone(&flow.server)).or_default();
-            held.add(&flow);
+            let counts = self.counts.entry(Arc::clone(&flow.server)).or_default();
+            counts.add(&flow);
         }
         if let Some(before) = self.flows.insert(key, flow) {
             self.release(&before);
@@ -217,19 +231,19 @@
         if flow.closed {
             return;
         }
-        if let Some(held) = self.held.get_mut(&flow.server) {
-            held.remove(flow);
-            if held.flows == 0 {
-                self.held.remove(&flow.server);
+        if let Some(counts) = self.counts.get_mut(&flow.server) {
+            counts.remove(flow);
+            if counts.flows == 0 {
+                self.counts.remove(&flow.server);
             }
         }
     }
 
-    /// Takes out the flows of the servers that `is_lost` names, so that their callers are told.
-    pub fn take_lost(&mut self, is_lost: impl Fn(&Arc<str>) -> bool) -> Vec<(Key, Flow)> {
+    /// Takes out the flows of the servers that `is_affected` names, so that their callers are told.
+    pub fn remove_flows_of(&mut self, is_affected: impl Fn(&Arc<str>) -> bool) -> Vec<(Key, Flow)> {
         let mut lost: Vec<(Key, Flow)> = self
             .flows
-            .extract_if(|_, flow| is_lost(&flow.server))
+            .extract_if(|_, flow| is_affected(&flow.server))
             .collect();
         for (_, flow) in &lost {
             self.release(flow);
@@ -240,7 +254,7 @@
 
     /// Forgets what is too old to matter: flows without a packet for `idle`, closed ones and
     /// requests without an answer sooner. Gives the servers of those requests.
-    pub fn sweep(&mut self, idle: Duration, now: Duration) -> Vec<Arc<str>> {
+    pub fn expire(&mut self, idle: Duration, now: Duration) -> Vec<Arc<str>> {
         let is_old = |flow: &Flow| {
             let kept = if flow.closed { CLOSED } else { idle };
             flow.seen + kept < now
@@ -255,8 +269,8 @@
                 continue;
             }
             flow.sent = None;
-            if let Some(held) = self.held.get_mut(&flow.server) {
-                held.pending -= 1;
+            if let Some(counts) = self.counts.get_mut(&flow.server) {
+                counts.pending -= 1;
             }
             given_up.push(Arc::clone(&flow.server));
         }
@@ -284,7 +298,7 @@
         self.sent.is_some() && !self.opening
     }
 
-    fn take(&mut self, packet: &Packet, now: Duration) -> Sign {
+    fn take(&mut self, packet: &Packet, now: Duration) -> Observation {
         let end = end(packet);
         let advanced = self.opening || is_before(self.acknowledged, packet.acknowledgement);
         let fresh = packet.payload > 0 && is_before(self.end, end);
@@ -295,17 +309,21 @@
             self.end = end;
             let idle = self.sent.is_none();
             self.sent = self.sent.or(Some(now));
-            return if idle { Sign::Asked } else { Sign::None };
+            return if idle {
+                Observation::RequestSent
+            } else {
+                Observation::None
+            };
         }
         match self.sent {
-            Some(sent) if packet.payload > 0 && now >= sent + PATIENCE => Sign::Unanswered,
-            _ => Sign::None,
+            Some(sent) if packet.payload > 0 && now >= sent + PATIENCE => Observation::Unanswered,
+            _ => Observation::None,
         }
     }
 
     /// The caller has acknowledged more than before. An acknowledgement that comes with data may
     /// have waited for it, so only a bare one tells the time that the server took.
-    fn advance(&mut self, packet: &Packet, end: u32, now: Duration) -> Sign {
+    fn advance(&mut self, packet: &Packet, end: u32, now: Duration) -> Observation {
         let took = self.sent.map(|sent| now.saturating_sub(sent));
         let opened = std::mem::take(&mut self.opening);
         self.acknowledged = packet.acknowledgement;
@@ -315,9 +333,9 @@
             self.sent = Some(now);
         }
         match took {
-            Some(took) if opened => Sign::Opened(took),
-            Some(took) if packet.payload == 0 => Sign::Timed(took),
-            _ => Sign::Answered,
+            Some(took) if opened => Observation::Opened(took),
+            Some(took) if packet.payload == 0 => Observation::AnsweredAfter(took),
+            _ => Observation::Answered,
         }
     }
 }
--- a/crates/cookie/src/resolver.rs
+++ b/crates/cookie/src/resolver.rs
@@ -21,7 +21,7 @@
 use crate::{
     cold,
     cookie::Cookie,
-    flow::{Flow, Sign, Table},
+    flow::{Flow, Observation, Table},
     snapshot::{Server, Snapshot, Standing},
     speed::{Counts, Seen},
 };
@@ -207,7 +207,7 @@
             let server = snapshot.server(Cookie::of(server, 0));
             server.is_some_and(|server| server.standing == Standing::Gone)
         };
-        let lost = self.flows.take_lost(is_gone);
+        let lost = self.flows.remove_flows_of(is_gone);
         let ended = |(key, flow): (Key, Flow)| EndedFlow {
             key,
             server: flow.server,
@@ -257,12 +257,12 @@
                 },
             };
         }
-        let sign = self.flows.passed(packet, cookie, &server.id, now);
-        if packet.payload > 0 && sign != Sign::Unanswered {
+        let observation = self.flows.observe(packet, cookie, &server.id, now);
+        if packet.payload > 0 && observation != Observation::Unanswered {
             let requests = self.requests.entry(Arc::clone(&server.service));
             requests.or_insert_with(|| Rate::new(now)).add(now);
         }
-        self.learn(sign, server, now);
+        self.learn(observation, server, now);
         Action::Forward {
             server: position,
             cookie,
@@ -270,28 +270,30 @@
     }
 
     /// Takes in what a packet has shown of its server.
-    fn learn(&mut self, sign: Sign, server: &Server, now: Duration) {
-        match sign {
-            Sign::None => {}
-            Sign::Asked => {
+    fn learn(&mut self, observation: Observation, server: &Server, now: Duration) {
+        match observation {
+            Observation::None => {}
+            Observation::RequestSent => {
                 self.counts.asked(&server.id);
                 self.delays.asked(&server.id, now);
             }
-            Sign::Unanswered => self.notice(&server.id, now),
-            Sign::Abandoned => self.failed(&server.id, now),
-            Sign::Answered => self.lives(&server.id, now),
-            Sign::Opened(took) => {
+            Observation::Unanswered => self.notice(&server.id, now),
+            Observation::Abandoned => self.failed(&server.id, now),
+            Observation::Answered => self.lives(&server.id, now),
+            Observation::Opened(took) => {
                 self.lives(&server.id, now);
                 self.counts.opened(&server.id, took);
                 self.unopened.opened(took);
                 let server = Arc::clone(&server.id);
                 self.timings.push(Timing::Opening { server, took });
             }
-            Sign::Timed(took) if server.idle.is_some_and(|idle| idle.is_hasty(took)) => {
+            Observation::AnsweredAfter(took)
+                if server.idle.is_some_and(|idle| idle.is_hasty(took)) =>
+            {
                 self.lives(&server.id, now);
                 self.failed(&server.id, now);
             }
-            Sign::Timed(took) => {
+            Observation::AnsweredAfter(took) => {
                 self.lives(&server.id, now);
                 self.counts.answered(&server.id, took);
                 self.delays.answered(&server.id, &server.service, took, now);
@@ -326,7 +328,7 @@
     /// answers callers directly, and they open anew: no packet is ever sent again here.
     fn notice_unopened(&mut self, now: Duration) {
         for (sent, key) in self.unopened.due(now) {
-            let server = self.flows.unopened(&key, sent).map(Arc::clone);
+            let server = self.flows.server_of_half_open(&key, sent).map(Arc::clone);
             if let Some(server) = server {
                 self.notice(&server, now);
             }
@@ -341,7 +343,7 @@
         self.swept = now;
         self.openings
             .retain(|_, opening| opening.at + OPENING > now);
-        for server in self.flows.sweep(IDLE, now) {
+        for server in self.flows.expire(IDLE, now) {
             self.failed(&server, now);
         }
         self.answered.retain(|_, at| *at + IDLE > now);
--- a/crates/cookie/src/resolver/open.rs
+++ b/crates/cookie/src/resolver/open.rs
@@ -65,7 +65,8 @@
         };
         self.unopened.sent(packet.key, now);
         self.openings.insert(packet.key, opening);
-        self.flows.opened(packet, server.cookie, &server.id, now);
+        self.flows
+            .record_opening(packet, server.cookie, &server.id, now);
         Action::Forward {
             server: position,
             cookie: server.cookie,
@@ -242,7 +243,7 @@
     /// lately. By flows in hand alone, an idle flow would count like a request at work, a full queue like
     /// an empty one, and a server that answers nothing like one that does.
     fn load(&self, server: &Server, now: Duration) -> f64 {
-        let pending = self.flows.held(&server.id).pending;
+        let pending = self.flows.counts(&server.id).pending;
         let expected = self.delays.expected(&server.id, &server.service, now);
         let given_up = self.delays.given_up(&server.id, now);
         f64::from(pending + 1) * (given_up + 1.0) * expected / server.weight
--- a/crates/cookie/tests/it/flow.rs
+++ b/crates/cookie/tests/it/flow.rs
@@ -2,7 +2,7 @@
 
 use acacia_cookie::{
     cookie::Cookie,
-    flow::{Held, Sign, Table},
+    flow::{FlowCounts, Observation, Table},
 };
 use acacia_wire::packet::{Kind, Packet};
 use proptest::prelude::*;
@@ -18,10 +18,10 @@
 fn open() -> Table {
     let (cookie, server) = host();
     let mut table = Table::default();
-    table.opened(&opening(1), cookie, &server, ms(0));
+    table.record_opening(&opening(1), cookie, &server, ms(0));
     assert_eq!(
-        table.passed(&middle(1, 101, 0, 50), cookie, &server, ms(4)),
-        Sign::Opened(ms(4))
+        table.observe(&middle(1, 101, 0, 50), cookie, &server, ms(4)),
+        Observation::Opened(ms(4))
     );
     table
 }
@@ -31,10 +31,13 @@
     let ((cookie, server), mut table) = (host(), open());
     let request = middle(1, 101, 200, 50);
 
-    assert_eq!(table.passed(&request, cookie, &server, ms(10)), Sign::Asked);
     assert_eq!(
-        table.passed(&request, cookie, &server, ms(210)),
-        Sign::Unanswered
+        table.observe(&request, cookie, &server, ms(10)),
+        Observation::RequestSent
+    );
+    assert_eq!(
+        table.observe(&request, cookie, &server, ms(210)),
+        Observation::Unanswered
     );
 }
 
@@ -45,22 +48,22 @@
 fn a_copy_that_comes_with_its_original_shows_nothing() {
     let ((cookie, server), mut table) = (host(), open());
     let request = middle(1, 101, 200, 50);
-    table.passed(&request, cookie, &server, ms(1_000));
+    table.observe(&request, cookie, &server, ms(1_000));
 
     assert_eq!(
-        table.passed(&request, cookie, &server, ms(1_001)),
-        Sign::None
+        table.observe(&request, cookie, &server, ms(1_001)),
+        Observation::None
     );
 }
 
 #[test]
 fn a_bare_acknowledgement_tells_the_time_of_an_answer() {
     let ((cookie, server), mut table) = (host(), open());
-    table.passed(&middle(1, 101, 200, 50), cookie, &server, ms(10));
+    table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
 
-    let sign = table.passed(&middle(1, 301, 0, 1_250), cookie, &server, ms(40));
+    let observation = table.observe(&middle(1, 301, 0, 1_250), cookie, &server, ms(40));
 
-    assert_eq!(sign, Sign::Timed(ms(30)));
+    assert_eq!(observation, Observation::AnsweredAfter(ms(30)));
 }
 
 /// A caller pauses for seconds and acknowledges the last answer with its next request. Taken as the
@@ -68,18 +71,18 @@
 #[test]
 fn an_acknowledgement_that_comes_with_the_next_request_tells_no_time() {
     let ((cookie, server), mut table) = (host(), open());
-    table.passed(&middle(1, 101, 200, 50), cookie, &server, ms(10));
+    table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
 
-    let sign = table.passed(&middle(1, 301, 200, 90), cookie, &server, ms(5_000));
+    let observation = table.observe(&middle(1, 301, 200, 90), cookie, &server, ms(5_000));
 
-    assert_eq!(sign, Sign::Answered);
+    assert_eq!(observation, Observation::Answered);
 }
 
 #[test]
 fn sequence_numbers_may_run_over() {
     let (cookie, server) = host();
     let mut table = Table::default();
-    table.passed(
+    table.observe(
         &middle(1, u32::MAX - 10, 0, u32::MAX - 5),
         cookie,
         &server,
@@ -87,26 +90,26 @@
     );
 
     assert_eq!(
-        table.passed(
+        table.observe(
             &middle(1, u32::MAX - 10, 100, u32::MAX - 5),
             cookie,
             &server,
             ms(1)
         ),
-        Sign::Asked
+        Observation::RequestSent
     );
     assert_eq!(
-        table.passed(&middle(1, 90, 0, 20), cookie, &server, ms(9)),
-        Sign::Timed(ms(8))
+        table.observe(&middle(1, 90, 0, 20), cookie, &server, ms(9)),
+        Observation::AnsweredAfter(ms(8))
     );
 }
 
 #[test]
 fn flows_are_counted_while_they_live() {
     let ((cookie, server), mut table) = (host(), open());
-    assert_eq!(table.held("i-1").flows, 1);
+    assert_eq!(table.counts("i-1").flows, 1);
 
-    table.passed(
+    table.observe(
         &Packet {
             kind: Kind::Closing,
             ..middle(1, 101, 0, 50)
@@ -116,8 +119,8 @@
         ms(9),
     );
 
-    assert_eq!(table.held("i-1").flows, 0);
-    table.sweep(ms(20_000), ms(3_010));
+    assert_eq!(table.counts("i-1").flows, 0);
+    table.expire(ms(20_000), ms(3_010));
     assert_eq!(table.len(), 0);
 }
 
@@ -127,17 +130,17 @@
 #[test]
 fn the_last_acknowledgement_of_a_closed_flow_opens_no_other() {
     let ((cookie, server), mut table) = (host(), open());
-    table.passed(&middle(1, 101, 200, 50), cookie, &server, ms(10));
+    table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
     let closing = Packet {
         kind: Kind::Closing,
         ..middle(1, 301, 0, 1_250)
     };
-    table.passed(&closing, cookie, &server, ms(40));
+    table.observe(&closing, cookie, &server, ms(40));
 
-    let sign = table.passed(&middle(1, 302, 0, 1_251), cookie, &server, ms(45));
+    let observation = table.observe(&middle(1, 302, 0, 1_251), cookie, &server, ms(45));
 
-    assert_eq!(sign, Sign::None);
-    assert_eq!(table.held("i-1"), Held::default());
+    assert_eq!(observation, Observation::None);
+    assert_eq!(table.counts("i-1"), FlowCounts::default());
 }
 
 /// A caller gives up on a request and closes its flow, or resets it. Nothing was answered.
@@ -146,17 +149,17 @@
 #[case::reset(Kind::Reset)]
 fn a_flow_that_ends_before_the_answer_is_abandoned(#[case] kind: Kind) {
     let ((cookie, server), mut table) = (host(), open());
-    table.passed(&middle(1, 101, 200, 50), cookie, &server, ms(10));
-    assert_eq!(table.held("i-1").pending, 1);
+    table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
+    assert_eq!(table.counts("i-1").pending, 1);
 
     let end = Packet {
         kind,
         ..middle(1, 301, 0, 50)
     };
-    let sign = table.passed(&end, cookie, &server, ms(2_000));
+    let observation = table.observe(&end, cookie, &server, ms(2_000));
 
-    assert_eq!(sign, Sign::Abandoned);
-    assert_eq!(table.held("i-1"), Held::default());
+    assert_eq!(observation, Observation::Abandoned);
+    assert_eq!(table.counts("i-1"), FlowCounts::default());
 }
 
 /// A server resets a flow, or its caller vanishes: no packet of it passes a balancer again. Were its
@@ -164,23 +167,23 @@
 #[test]
 fn a_request_without_any_packet_for_seconds_is_given_up() {
     let ((cookie, server), mut table) = (host(), open());
-    table.passed(&middle(1, 101, 200, 50), cookie, &server, ms(10));
+    table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
 
-    let given_up = table.sweep(ms(20_000), ms(2_011));
+    let given_up = table.expire(ms(20_000), ms(2_011));
 
     assert_eq!(given_up, [server]);
-    let held = table.held("i-1");
-    assert_eq!((held.flows, held.pending), (1, 0));
-    assert!(table.sweep(ms(20_000), ms(2_100)).is_empty());
+    let counts = table.counts("i-1");
+    assert_eq!((counts.flows, counts.pending), (1, 0));
+    assert!(table.expire(ms(20_000), ms(2_100)).is_empty());
 }
 
 #[test]
 fn flows_without_a_packet_are_forgotten() {
     let mut table = open();
 
-    table.sweep(ms(20_000), ms(20_005));
+    table.expire(ms(20_000), ms(20_005));
 
-    assert_eq!((table.held("i-1").flows, table.len()), (0, 0));
+    assert_eq!((table.counts("i-1").flows, table.len()), (0, 0));
 }
 
 /// A flood of openings from forged addresses fills the table. The balancer goes on, as nothing is
@@ -192,11 +195,11 @@
     for number in 0..100_000u32 {
         let mut packet = opening(1);
         packet.key.client = (0x0a00_0000 + number).into();
-        table.opened(&packet, cookie, &server, ms(0));
+        table.record_opening(&packet, cookie, &server, ms(0));
     }
 
     assert_eq!(table.len(), 32_768);
-    assert_eq!(table.held("i-1").flows, 32_768);
+    assert_eq!(table.counts("i-1").flows, 32_768);
 }
 
 #[derive(Debug, Clone)]
@@ -238,26 +241,26 @@
             let cookie = Cookie::of(server, 0);
             for table in [&mut whole, &mut single[usize::from(port)]] {
                 match event.clone() {
-                    Event::Opened => table.opened(&opening(port), cookie, server, now),
+                    Event::Opened => table.record_opening(&opening(port), cookie, server, now),
                     Event::Passed(kind, payload, seq, ack) => {
                         let packet = Packet { kind, ..middle(port, 101 + seq, payload, ack) };
-                        table.passed(&packet, cookie, server, now);
+                        table.observe(&packet, cookie, server, now);
                     }
                     Event::Lost | Event::Swept(_) => {}
                 }
             }
             for table in single.iter_mut().chain([&mut whole]) {
                 match event {
-                    Event::Lost => drop(table.take_lost(|lost| lost == server)),
-                    Event::Swept(idle) => drop(table.sweep(ms(idle), now)),
+                    Event::Lost => drop(table.remove_flows_of(|lost| lost == server)),
+                    Event::Swept(idle) => drop(table.expire(ms(idle), now)),
                     _ => {}
                 }
             }
             for server in &servers {
-                let held = |table: &Table| table.held(server);
-                let flows: u32 = single.iter().map(|table| held(table).flows).sum();
-                let pending: u32 = single.iter().map(|table| held(table).pending).sum();
-                prop_assert_eq!(whole.held(server), Held { flows, pending });
+                let counts = |table: &Table| table.counts(server);
+                let flows: u32 = single.iter().map(|table| counts(table).flows).sum();
+                let pending: u32 = single.iter().map(|table| counts(table).pending).sum();
+                prop_assert_eq!(whole.counts(server), FlowCounts { flows, pending });
             }
         }
     }
