--- a/crates/cookie/src/cookie.rs
+++ b/crates/cookie/src/cookie.rs
@@ -1,20 +1,22 @@
-//! The 32 bits that travel with each packet of a flow.
+//! The 32-bit value that each packet of a flow carries.
 
 use acacia_wire::flow::mix;
 
-/// The cookie that names a backend server. 30 bits are a hash of the server's name, 2 the variant.
+/// A cookie that names a backend server: 30 bits of a hash of the server's name and the variant, and
+/// 2 bits for the variant.
 ///
-/// It is derived and never allotted, so balancers agree on it without a word. Among 21,000 servers
-/// two share 30 bits in about one of five fleets; an opening then takes the first variant that its
-/// server shares with nobody, and every later packet shows which one that was.
+/// It is derived from the name rather than allocated, so balancers agree on it without coordination.
+/// In about one of five fleets of 21,000 servers, two servers have the same 30 bits. New flows use
+/// the first variant whose cookie no other server has, and every later packet of the flow carries
+/// that variant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Cookie(u32);
 
-/// How many cookies each server has.
+/// Number of cookies of each server.
 pub const VARIANTS: u32 = 4;
 
 impl Cookie {
-    /// The cookie of the server `id` in one of its [`VARIANTS`].
+    /// Derives the cookie of the server `id` for one of its [`VARIANTS`].
     ///
     /// ```
     /// use acacia_cookie::cookie::Cookie;
@@ -27,20 +29,20 @@
         Cookie(((hash as u32) << 2) | (variant % VARIANTS))
     }
 
-    /// The cookie in a packet; none in one that carries none.
+    /// Reads the cookie field of a packet, which is 0 in a packet without a cookie.
     #[must_use]
     pub const fn from_bits(bits: u32) -> Option<Self> {
         if bits == 0 { None } else { Some(Cookie(bits)) }
     }
 
-    /// As it travels.
+    /// The value to write into a packet.
     #[must_use]
     pub const fn bits(self) -> u32 {
         self.0
     }
 }
 
-/// A hash of a name that is the same on every balancer, in every version of the program.
+/// Hashes a name, with the same result on every balancer and in every version of the program.
 #[must_use]
 pub fn hash(name: &str) -> u64 {
     name.bytes()
--- a/crates/cookie/src/lib.rs
+++ b/crates/cookie/src/lib.rs
@@ -1,10 +1,11 @@
-//! Flow resolution where the transport carries 32 bits of the balancer's with every packet.
+//! Flow resolution by cookies: 32 bits set by the balancer that clients send in every packet.
 //!
 //! The cookie names the flow's server, so any balancer resolves any packet from the packet and the
-//! list of servers alone: no pins, owners or handovers. What a [`Resolver`] remembers of flows
-//! makes it faster to notice a silent server; losing it breaks nothing.
+//! list of servers alone, without flow tables shared, owned or handed over between balancers. A
+//! [`Resolver`] keeps state of recent flows to detect unresponsive servers sooner; losing that state
+//! breaks no flow.
 //!
-//! Nothing here opens a socket or reads a clock.
+//! This crate does no I/O and reads no clock: the current time is an argument.
 
 pub mod cold;
 pub mod cookie;
