--- a/crates/cookie/src/place.rs
+++ b/crates/cookie/src/place.rs
@@ -1,38 +1,40 @@
-//! Which server takes a new flow.
+//! Selection of a server for a new flow.
 
 use acacia_wire::flow::mix;
 
-/// A server that may take the flow.
+/// A server that is eligible for the flow.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Its position in the snapshot.
+    /// Its index in the snapshot.
     pub position: u32,
-    /// A number that names it on every balancer.
+    /// Hash of its name, the same on every balancer.
     pub hash: u64,
-    /// Its part of new flows, in proportion to the others.
+    /// Its share of new flows, relative to the other candidates.
     pub weight: f64,
     /// Whether it is in the balancer's own data centre.
     pub local: bool,
 }
 
-/// How many candidates of the flow's own order are compared. Two choices take the worst of the
-/// imbalance of random placement, three nearly all of it, and two balancers that get the same
-/// opening still agree in most cases.
+/// Number of candidates, the first in the flow's rendezvous order, whose loads are compared. Two
+/// remove the worst of the imbalance of random placement, three nearly all of it, and two balancers
+/// that receive the same SYN still agree in most cases.
 const CHOICES: usize = 3;
 
-/// How much fuller than a server of another data centre one of the own may be and still get the flow. A
-/// flow within a data centre survives a cut between them; a queue while others idle is worse.
-const DISTANCE: f64 = 1.5;
-/// Part of a server's weight in the flow's order where it is in another data centre, so that most of
-/// the first [`CHOICES`] are near.
-const FAR: f64 = 0.05;
+/// Factor on the load of a server in another data centre: a local server may be fuller by up to this
+/// factor and still get the flow. A flow within a data centre survives a partition between data
+/// centres, but queueing at local servers while remote ones idle is worse.
+const REMOTE_LOAD_FACTOR: f64 = 1.5;
+/// Factor on the weight of a server in another data centre in the flow's rendezvous order, so that
+/// most of the first [`CHOICES`] candidates are local.
+const REMOTE_WEIGHT_FACTOR: f64 = 0.05;
 
-/// Picks the server for the flow with that hash. `load` tells what a server has to do at present, by
-/// its position; it is asked of the first [`CHOICES`] alone.
+/// Selects the server for the flow with the hash `flow`, and returns its index. `load` gives the
+/// current load of the server at an index; it is called for at most [`CHOICES`] candidates.
 ///
-/// Takes the least loaded of the first [`CHOICES`] in the flow's own order (weighted rendezvous hashing),
-/// which is the same on every balancer of a data centre: at random alone, some servers get twice the flows
-/// of others. One of another data centre is taken only if it is much less loaded, see [`DISTANCE`].
+/// Selects the least loaded of the first [`CHOICES`] candidates in the flow's order by weighted
+/// rendezvous hashing, which is the same on every balancer of a data centre. By rendezvous hashing
+/// alone, some servers would get twice as many flows as others. A server in another data centre is
+/// selected only if it is much less loaded, see [`REMOTE_LOAD_FACTOR`].
 ///
 /// ```
 /// use acacia_cookie::place::{Candidate, choose};
@@ -51,21 +53,26 @@
 ) -> Option<u32> {
     let mut first: [Option<(f64, Candidate)>; CHOICES] = [None; CHOICES];
     for candidate in candidates {
-        let mut entry = Some((cost(flow, &candidate), candidate));
-        for place in &mut first {
-            if precedes(&entry, place) {
-                std::mem::swap(place, &mut entry);
+        let mut entry = Some((rendezvous_key(flow, &candidate), candidate));
+        for slot in &mut first {
+            if precedes(&entry, slot) {
+                std::mem::swap(slot, &mut entry);
             }
         }
     }
-    let weighed = first.into_iter().flatten().map(|(_, candidate)| {
-        let distance = if candidate.local { 1.0 } else { DISTANCE };
-        (load(candidate.position) * distance, candidate.position)
+    let loads = first.into_iter().flatten().map(|(_, candidate)| {
+        let factor = if candidate.local {
+            1.0
+        } else {
+            REMOTE_LOAD_FACTOR
+        };
+        (load(candidate.position) * factor, candidate.position)
     });
-    let least = weighed.min_by(|(one, _), (other, _)| one.total_cmp(other));
+    let least = loads.min_by(|(one, _), (other, _)| one.total_cmp(other));
     least.map(|(_, position)| position)
 }
 
+/// Whether an entry comes before another by its rendezvous key; an empty slot comes last.
 fn precedes(one: &Option<(f64, Candidate)>, other: &Option<(f64, Candidate)>) -> bool {
     match (one, other) {
         (Some(one), Some(other)) => one.0 < other.0,
@@ -73,11 +80,16 @@
     }
 }
 
-/// The candidate's number in the flow's order, exponentially distributed with its weight as rate:
-/// the smallest is each one's with the probability of its part.
-fn cost(flow: u64, candidate: &Candidate) -> f64 {
+/// The key by which rendezvous hashing sorts candidates, exponentially distributed with the
+/// candidate's weight as its rate: each candidate has the smallest key with a probability
+/// proportional to its weight.
+fn rendezvous_key(flow: u64, candidate: &Candidate) -> f64 {
     let hash = mix(flow ^ mix(candidate.hash));
     let uniform = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    let part = if candidate.local { 1.0 } else { FAR };
-    -uniform.ln() / (candidate.weight * part).max(f64::MIN_POSITIVE)
+    let factor = if candidate.local {
+        1.0
+    } else {
+        REMOTE_WEIGHT_FACTOR
+    };
+    -uniform.ln() / (candidate.weight * factor).max(f64::MIN_POSITIVE)
 }
