--- a/crates/cookie/src/flow.rs
+++ b/crates/cookie/src/flow.rs
@@ -1,8 +1,11 @@
-//! The flows that pass through this balancer, as far as callers' packets show them.
+//! State of the flows that pass through this balancer, as observed from the clients' packets alone.
 //!
-//! Nothing is resolved by this table: a balancer without it, or with a full one, sends each packet
-//! to the same server. It shows which packets went unanswered, how many flows each server has, and
-//! which callers to tell when a server is lost.
+//! The balancer doesn't see the servers' packets, which go to the clients directly. It infers answers
+//! from the clients' acknowledgements.
+//!
+//! Packets are not routed by this table: with an empty or a full one, a balancer sends each packet to
+//! the same server. The table shows which packets went unanswered, how many flows each server has,
+//! and which clients to notify when a server is gone.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,74 +17,75 @@
 
 use crate::cookie::Cookie;
 
-/// Most flows remembered; about 100 bytes each. A balancer of the largest deployment has 10,000
-/// open at a time.
-const MOST: usize = 32_768;
-/// A copy that follows its original within less has waited somewhere before this balancer, which
-/// was frozen or overrun; the server had no time to answer. Callers send again after 200 ms.
-const PATIENCE: Duration = Duration::from_millis(120);
-/// How long a closed flow is remembered. Its last acknowledgements come within some round trips; if
-/// they were taken for those of a flow that passed through another balancer so far, every short flow
-/// would count among its server's for as long as idle ones are remembered.
-const CLOSED: Duration = Duration::from_secs(3);
-/// After this long without a packet, a request counts as given up: the caller has left, or the server
-/// has ended the flow, which no balancer sees. Callers pause for 1.6 s at most between two copies of a
-/// packet.
-const GIVEN_UP: Duration = Duration::from_secs(2);
+/// Maximum number of flows in the table, of about 100 bytes each. A balancer of the largest deployment
+/// has 10,000 open at a time.
+const MAX_FLOWS: usize = 32_768;
+/// Least time between a packet and its retransmission for the packet to count as unanswered. Clients
+/// retransmit after 200 ms; if both arrive within less than this, they were queued before a balancer
+/// that was frozen or overloaded, and the server had no time to answer.
+const MIN_RETRANSMISSION_GAP: Duration = Duration::from_millis(120);
+/// How long a closed flow stays in the table. Its last acknowledgements arrive within a few round
+/// trips; without an entry, they would be taken for packets of a flow from another balancer, and
+/// every short flow would count as open at its server until the idle timeout.
+const CLOSED_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long after the flow's last packet an unanswered request counts as given up: the client has
+/// vanished, or the server has reset the flow, which no balancer sees. Clients pause for at most 1.6 s
+/// between two retransmissions.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One flow.
+/// State of one flow.
 #[derive(Debug, Clone)]
 pub struct Flow {
     /// The cookie of its server.
     pub cookie: Cookie,
-    /// The server's name, as the flow counts among the server's.
+    /// The name of its server, under which the flow is counted.
     pub server: Arc<str>,
-    /// What the caller has acknowledged last.
+    /// The client's highest acknowledgement number.
     pub acknowledged: u32,
-    /// The sequence number behind the last data that the caller sent.
-    end: u32,
-    /// When the opening or the data that is not known to be answered first passed.
-    sent: Option<Duration>,
-    /// Whether that is the opening.
-    opening: bool,
-    /// Whether the caller has closed it.
+    /// The sequence number after the last byte that the client has sent.
+    next_sequence: u32,
+    /// When the SYN or the data that still awaits an answer first arrived.
+    unanswered_since: Option<Duration>,
+    /// Whether only the SYN has arrived.
+    half_open: bool,
+    /// Whether the client has sent its FIN.
     closed: bool,
-    /// When the last packet passed.
+    /// When the last packet arrived.
     pub seen: Duration,
 }
 
-/// What a packet shows of its flow's server.
+/// What a client's packet tells about the flow's server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
     /// Nothing.
     None,
-    /// The server has answered something on this flow since the last packet.
+    /// The server has answered on this flow; the packet does not tell after what time.
     Answered,
-    /// It has answered the opening, after so long.
+    /// The server has answered the SYN after this time.
     Opened(Duration),
-    /// It has answered data, after so long.
+    /// The server has answered a request after this time.
     AnsweredAfter(Duration),
-    /// Data went to it, and nothing was unanswered before.
+    /// The packet carries a request, and none was unanswered before.
     RequestSent,
-    /// The packet was sent before, and the server had time to answer.
+    /// The packet is a retransmission, and the server had time to answer the original.
     Unanswered,
-    /// The caller ends the flow although its request has not been answered.
+    /// The client ends the flow before its request has been answered.
     Abandoned,
 }
 
-/// The flows of one traffic thread.
+/// Flow table of one traffic thread.
 #[derive(Debug, Default)]
 pub struct Table {
     flows: Map<Key, Flow>,
     counts: Map<Arc<str>, FlowCounts>,
 }
 
-/// What this balancer sees of a server's work in hand.
+/// Flows of one server that pass through this balancer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FlowCounts {
-    /// Flows that their callers have not closed.
+    /// Flows that their clients have not closed.
     pub flows: u32,
-    /// Those of them on which a request waits for its answer.
+    /// Flows among them with an unanswered request.
     pub pending: u32,
 }
 
@@ -98,7 +102,7 @@
 }
 
 impl Table {
-    /// What a server has in hand through here.
+    /// Open flows and pending requests of a server.
     ///
     /// ```
     /// assert_eq!(acacia_cookie::flow::Table::default().counts("host-1").flows, 0);
@@ -108,19 +112,20 @@
         self.counts.get(server).copied().unwrap_or_default()
     }
 
-    /// How many flows are known.
+    /// Number of flows in the table, including closed ones that have not expired.
     #[must_use]
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Whether none is known.
+    /// Whether the table has no flows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// Takes in an opening that goes to a server; a copy that goes elsewhere takes the place.
+    /// Records a SYN that is forwarded to `server`, replacing any earlier state of the flow. A full table
+    /// takes no further flows.
     pub fn record_opening(
         &mut self,
         packet: &Packet,
@@ -132,24 +137,24 @@
             cookie,
             server: Arc::clone(server),
             acknowledged: 0,
-            end: packet.sequence.wrapping_add(1),
-            sent: Some(now),
-            opening: true,
+            next_sequence: packet.sequence.wrapping_add(1),
+            unanswered_since: Some(now),
+            half_open: true,
             closed: false,
             seen: now,
         };
         self.insert(packet.key, flow);
     }
 
-    /// The server of a flow of which nothing has passed since its opening at `sent`.
+    /// The server of a flow on which no packet has followed the SYN that arrived at `sent`.
     #[must_use]
     pub fn server_of_half_open(&self, key: &Key, sent: Duration) -> Option<&Arc<str>> {
         let flow = self.flows.get(key)?;
-        let waits = flow.opening && flow.sent == Some(sent);
-        waits.then_some(&flow.server)
+        let half_open = flow.half_open && flow.unanswered_since == Some(sent);
+        half_open.then_some(&flow.server)
     }
 
-    /// Takes in a packet of an open flow and tells what it shows.
+    /// Updates the flow by a packet other than a SYN, and returns what the packet tells about the server.
     pub fn observe(
         &mut self,
         packet: &Packet,
@@ -171,7 +176,7 @@
             .get_mut(&packet.key)
             .filter(|flow| flow.cookie == cookie);
         let Some(flow) = known else {
-            self.insert(packet.key, first_seen(packet, cookie, server, now));
+            self.insert(packet.key, flow_from_elsewhere(packet, cookie, server, now));
             return Observation::Answered;
         };
         flow.seen = now;
@@ -179,14 +184,15 @@
             return Observation::None;
         }
         let pending = flow.is_pending();
-        let observation = flow.take(packet, now);
+        let observation = flow.observe(packet, now);
         let closes = packet.kind == Kind::Closing;
         let abandons = closes && flow.is_pending();
         flow.closed = closes;
-        // Most packets change nothing of this, and looking the server up costs as much as the rest.
+        // Most packets don't change the counts, and the look-up of the server would double the cost of
+        // this function.
         if closes || flow.is_pending() != pending {
             let still = flow.is_pending() && !closes;
-            self.recount(server, pending, still, closes);
+            self.update_counts(server, pending, still, closes);
         }
         if abandons {
             Observation::Abandoned
@@ -195,12 +201,19 @@
         }
     }
 
-    /// A flow of the server `was` waiting for an answer and `is` now, and perhaps has been closed.
-    fn recount(&mut self, server: &Arc<str>, was: bool, is: bool, closes: bool) {
+    /// Updates the server's counts for a flow that `was_pending` before a packet and `is_pending`
+    /// after it, and that the packet `closes` or not.
+    fn update_counts(
+        &mut self,
+        server: &Arc<str>,
+        was_pending: bool,
+        is_pending: bool,
+        closes: bool,
+    ) {
         let Some(counts) = self.counts.get_mut(server) else {
             return;
         };
-        counts.pending = counts.pending - u32::from(was) + u32::from(is);
+        counts.pending = counts.pending - u32::from(was_pending) + u32::from(is_pending);
         counts.flows -= u32::from(closes);
         if counts.flows == 0 {
             self.counts.remove(server);
@@ -208,7 +221,7 @@
     }
 
     fn insert(&mut self, key: Key, flow: Flow) {
-        let full = self.flows.len() >= MOST && !self.flows.contains_key(&key);
+        let full = self.flows.len() >= MAX_FLOWS && !self.flows.contains_key(&key);
         if full {
             return;
         }
@@ -216,18 +229,19 @@
             let counts = self.counts.entry(Arc::clone(&flow.server)).or_default();
             counts.add(&flow);
         }
-        if let Some(before) = self.flows.insert(key, flow) {
-            self.release(&before);
+        if let Some(replaced) = self.flows.insert(key, flow) {
+            self.uncount(&replaced);
         }
     }
 
     fn remove(&mut self, key: &Key) -> Option<Flow> {
         let flow = self.flows.remove(key)?;
-        self.release(&flow);
+        self.uncount(&flow);
         Some(flow)
     }
 
-    fn release(&mut self, flow: &Flow) {
+    /// Removes a flow from its server's counts.
+    fn uncount(&mut self, flow: &Flow) {
         if flow.closed {
             return;
         }
@@ -239,36 +253,37 @@
         }
     }
 
-    /// Takes out the flows of the servers that `is_affected` names, so that their callers are told.
+    /// Removes the flows of the servers for which `is_affected` holds, and returns those that are not
+    /// closed, whose clients are to be notified.
     pub fn remove_flows_of(&mut self, is_affected: impl Fn(&Arc<str>) -> bool) -> Vec<(Key, Flow)> {
-        let mut lost: Vec<(Key, Flow)> = self
+        let mut removed: Vec<(Key, Flow)> = self
             .flows
             .extract_if(|_, flow| is_affected(&flow.server))
             .collect();
-        for (_, flow) in &lost {
-            self.release(flow);
+        for (_, flow) in &removed {
+            self.uncount(flow);
         }
-        lost.retain(|(_, flow)| !flow.closed);
-        lost
+        removed.retain(|(_, flow)| !flow.closed);
+        removed
     }
 
-    /// Forgets what is too old to matter: flows without a packet for `idle`, closed ones and
-    /// requests without an answer sooner. Gives the servers of those requests.
+    /// Removes flows without a packet for `idle`, closed flows sooner. On the flows that remain, gives
+    /// up requests that are past `REQUEST_TIMEOUT`. Returns the server of each of these requests.
     pub fn expire(&mut self, idle: Duration, now: Duration) -> Vec<Arc<str>> {
-        let is_old = |flow: &Flow| {
-            let kept = if flow.closed { CLOSED } else { idle };
-            flow.seen + kept < now
+        let is_expired = |flow: &Flow| {
+            let timeout = if flow.closed { CLOSED_TIMEOUT } else { idle };
+            flow.seen + timeout < now
         };
-        let old: Vec<(Key, Flow)> = self.flows.extract_if(|_, flow| is_old(flow)).collect();
-        for (_, flow) in &old {
-            self.release(flow);
+        let expired: Vec<(Key, Flow)> = self.flows.extract_if(|_, flow| is_expired(flow)).collect();
+        for (_, flow) in &expired {
+            self.uncount(flow);
         }
         let mut given_up = Vec::new();
         for flow in self.flows.values_mut() {
-            if flow.closed || !flow.is_pending() || flow.seen + GIVEN_UP >= now {
+            if flow.closed || !flow.is_pending() || flow.seen + REQUEST_TIMEOUT >= now {
                 continue;
             }
-            flow.sent = None;
+            flow.unanswered_since = None;
             if let Some(counts) = self.counts.get_mut(&flow.server) {
                 counts.pending -= 1;
             }
@@ -278,59 +293,62 @@
     }
 }
 
-/// A flow that passed through another balancer so far.
-fn first_seen(packet: &Packet, cookie: Cookie, server: &Arc<str>, now: Duration) -> Flow {
+/// The state of a flow whose earlier packets went through another balancer.
+fn flow_from_elsewhere(packet: &Packet, cookie: Cookie, server: &Arc<str>, now: Duration) -> Flow {
     Flow {
         cookie,
         server: Arc::clone(server),
         acknowledged: packet.acknowledgement,
-        end: end(packet),
-        sent: (packet.payload > 0).then_some(now),
-        opening: false,
+        next_sequence: end_sequence(packet),
+        unanswered_since: (packet.payload > 0).then_some(now),
+        half_open: false,
         closed: packet.kind == Kind::Closing,
         seen: now,
     }
 }
 
 impl Flow {
-    /// Whether a request waits for its answer.
+    /// Whether a request is unanswered.
     fn is_pending(&self) -> bool {
-        self.sent.is_some() && !self.opening
+        self.unanswered_since.is_some() && !self.half_open
     }
 
-    fn take(&mut self, packet: &Packet, now: Duration) -> Observation {
-        let end = end(packet);
-        let advanced = self.opening || is_before(self.acknowledged, packet.acknowledgement);
-        let fresh = packet.payload > 0 && is_before(self.end, end);
+    fn observe(&mut self, packet: &Packet, now: Duration) -> Observation {
+        let end = end_sequence(packet);
+        let advanced = self.half_open || is_before(self.acknowledged, packet.acknowledgement);
+        let has_new_data = packet.payload > 0 && is_before(self.next_sequence, end);
         if advanced {
             return self.advance(packet, end, now);
         }
-        if fresh {
-            self.end = end;
-            let idle = self.sent.is_none();
-            self.sent = self.sent.or(Some(now));
+        if has_new_data {
+            self.next_sequence = end;
+            let idle = self.unanswered_since.is_none();
+            self.unanswered_since = self.unanswered_since.or(Some(now));
             return if idle {
                 Observation::RequestSent
             } else {
                 Observation::None
             };
         }
-        match self.sent {
-            Some(sent) if packet.payload > 0 && now >= sent + PATIENCE => Observation::Unanswered,
+        match self.unanswered_since {
+            Some(since) if packet.payload > 0 && now >= since + MIN_RETRANSMISSION_GAP => {
+                Observation::Unanswered
+            }
             _ => Observation::None,
         }
     }
 
-    /// The caller has acknowledged more than before. An acknowledgement that comes with data may
-    /// have waited for it, so only a bare one tells the time that the server took.
+    /// Updates the flow by a packet that acknowledges more than before. Only an acknowledgement
+    /// without data gives the server's response time: one with data may have been delayed until the
+    /// client had data to send.
     fn advance(&mut self, packet: &Packet, end: u32, now: Duration) -> Observation {
-        let took = self.sent.map(|sent| now.saturating_sub(sent));
-        let opened = std::mem::take(&mut self.opening);
+        let took = self.unanswered_since.map(|since| now.saturating_sub(since));
+        let opened = std::mem::take(&mut self.half_open);
         self.acknowledged = packet.acknowledgement;
-        self.sent = None;
-        if packet.payload > 0 && is_before(self.end, end) {
-            self.end = end;
-            self.sent = Some(now);
+        self.unanswered_since = None;
+        if packet.payload > 0 && is_before(self.next_sequence, end) {
+            self.next_sequence = end;
+            self.unanswered_since = Some(now);
         }
         match took {
             Some(took) if opened => Observation::Opened(took),
@@ -340,11 +358,12 @@
     }
 }
 
-fn end(packet: &Packet) -> u32 {
+/// The sequence number after the last byte of the packet's payload.
+fn end_sequence(packet: &Packet) -> u32 {
     packet.sequence.wrapping_add(packet.payload.into())
 }
 
-/// Whether sequence number `one` comes before `other`, around the end of the numbers.
-fn is_before(one: u32, other: u32) -> bool {
-    one != other && other.wrapping_sub(one) < 1 << 31
+/// Whether the sequence number `first` precedes `second`, modulo 2^32 (RFC 9293).
+fn is_before(first: u32, second: u32) -> bool {
+    first != second && second.wrapping_sub(first) < 1 << 31
 }
