--- a/crates/cookie/src/snapshot.rs
+++ b/crates/cookie/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The routes and servers as traffic threads see them: immutable, replaced as a whole.
+//! Immutable view of the routes and servers for the traffic threads, replaced as a whole on each change.
 
 use std::{net::SocketAddrV4, sync::Arc};
 
@@ -8,24 +8,25 @@
 
 use crate::{cold::Ration, cookie::Cookie};
 
-/// What a balancer does with a server.
+/// Which flows a balancer sends to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It takes new flows.
+    /// The server takes new flows.
     Ready,
-    /// Its entry went missing a moment ago without an announced departure. Entries lapse while the
-    /// store is away and come back after it, so such a server takes new flows where no other is
-    /// ready.
+    /// Its entry disappeared from the store recently, and it had not announced that it leaves. Entries
+    /// expire during an outage of the store and are restored afterwards, so such a server takes new
+    /// flows if no other is ready.
     Missing,
-    /// It announced that it leaves: it keeps its flows.
+    /// It has announced that it leaves. It keeps its flows and gets no new ones.
     Draining,
-    /// Its data centre is under evacuation: it keeps its flows, and gets no new ones even where no
-    /// other server is left.
+    /// Its data centre is being evacuated. It keeps its flows and gets no new ones, even if no other
+    /// server is left.
     Evacuated,
-    /// Its entry is missing for good, or its address has passed to another server, but nothing
-    /// shows yet that it no longer answers. It keeps its flows.
+    /// Its entry has been missing for too long to be expected back, but it has not been found
+    /// unresponsive. It keeps its flows and gets no new ones.
     Lost,
-    /// It has left, or does not answer: its flows are ended.
+    /// It has left, does not answer, or its entry is missing and its address belongs to another server.
+    /// Its flows are reset.
     Gone,
 }
 
@@ -34,27 +35,28 @@
 pub struct Server {
     /// Its name.
     pub id: Arc<str>,
-    /// A number that names it on every balancer, see [`crate::cookie::hash`].
+    /// Hash of its name, the same on every balancer, see [`crate::cookie::hash`].
     pub hash: u64,
-    /// The cookie of its new flows.
+    /// The cookie for its new flows.
     pub cookie: Cookie,
-    /// The number by which it knows that a datagram is meant for it.
+    /// Number in forwarded datagrams by which the server checks that it is the intended receiver.
     pub tag: u64,
-    /// Where it takes datagrams.
+    /// Address to which datagrams for it are forwarded.
     pub address: SocketAddrV4,
     /// The service that it belongs to.
     pub service: Arc<str>,
     /// Its data centre.
     pub data_centre: Arc<str>,
-    /// What it is good for.
+    /// Which flows it gets.
     pub standing: Standing,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u16,
-    /// How long its answers take when nothing waits; nothing before it is measured.
+    /// Its response time without queueing; `None` until it has been measured.
     pub idle: Option<Idle>,
-    /// Whether it is known to fail its requests.
+    /// Whether it has been found to fail its requests.
     pub failing: bool,
-    /// Its part of new flows at the mean speed, in proportion to the others of its service.
+    /// Its share of new flows, relative to the other servers of its service: its slots, scaled by its
+    /// measured speed, and reduced while it is cold or failing.
     pub weight: f64,
 }
 
@@ -63,18 +65,19 @@
 pub struct Pool {
     /// The service's name.
     pub service: Arc<str>,
-    /// Positions of those that take new flows.
+    /// Indexes of the servers that take new flows without a limit.
     pub open: Vec<u32>,
-    /// Positions of those that would, but have just started and are limited by `ration`.
+    /// Indexes of the servers that are warming up after a start, whose new flows `ration` limits.
     pub cold: Vec<u32>,
-    /// Requests that all that take new flows work on at once.
+    /// Number of requests that all servers that take new flows process concurrently.
     pub slots: u32,
-    /// What the fleet may send to each cold server; none where nothing may be sent to them.
+    /// Limit on the new flows that all balancers together send to each cold server; `None` if they get
+    /// no flows.
     pub ration: Option<Ration>,
 }
 
 impl Pool {
-    /// Whether no server takes new flows, not even a limited number.
+    /// Whether no server takes new flows, not even a cold one.
     ///
     /// ```
     /// assert!(acacia_cookie::snapshot::Pool::default().is_empty());
@@ -85,40 +88,40 @@
     }
 }
 
-/// A route's targets.
+/// Targets of a route.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Route {
     /// Its name, for logs.
     pub name: Arc<str>,
-    /// Positions of the services' pools, each with its weight.
+    /// Indexes of the services' pools, each with its weight.
     pub pools: Vec<(u32, u32)>,
-    /// What its callers expect; nothing if the operators don't say, and then none is refused.
+    /// Latency objective and priority of its flows. Without one, no flow is refused under load.
     pub demand: Option<Demand>,
 }
 
-/// Routes and servers at one moment.
+/// Routes and servers at one point in time.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Snapshot {
-    /// The operators' number of the configuration.
+    /// Version of the configuration, as set by the operators.
     pub version: u64,
-    /// The store's revision that it is made from.
+    /// Revision of the store from which the snapshot was made.
     pub revision: u64,
-    /// The data centre that this is seen from.
+    /// Data centre of this balancer.
     pub data_centre: Arc<str>,
-    /// Balancers that share the callers' packets, this one included.
+    /// Number of balancers among which the clients' packets are spread, including this one.
     pub balancers: u32,
-    /// The routes by what callers use.
+    /// Routes by the address and port to which clients connect.
     pub routes: Map<Front, Route>,
-    /// The pools of all services that routes name.
+    /// Pools of all services that are targets of routes.
     pub pools: Vec<Pool>,
-    /// All servers, those that have left a while ago included.
+    /// All servers, including those that left recently.
     pub servers: Vec<Server>,
-    /// Positions of servers by cookie, all variants.
+    /// Indexes of servers by cookie, for all variants.
     pub cookies: Map<Cookie, u32>,
 }
 
 impl Snapshot {
-    /// The server that a cookie names.
+    /// Looks up the server that a cookie names.
     ///
     /// ```
     /// use acacia_cookie::{cookie::Cookie, Snapshot};
