--- a/crates/cookie/src/resolver.rs
+++ b/crates/cookie/src/resolver.rs
@@ -1,7 +1,8 @@
-//! From a packet to what is done with it.
+//! Decides where each packet goes.
 
+mod half_open;
 mod open;
-mod unopened;
+
 mod urgency;
 
 use std::{sync::Arc, time::Duration};
@@ -16,7 +17,7 @@
     packet::{Kind, Packet},
 };
 
-use unopened::Unopened;
+use half_open::HalfOpen;
 
 use crate::{
     cold,
@@ -26,135 +27,141 @@
     speed::{Counts, Seen},
 };
 
-/// What to do with a packet.
+/// What to do with a client's packet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send it to the server at this position; an opening with this cookie written into it.
+    /// Forward it to a server. In a SYN, write the cookie into it.
     Forward {
-        /// The server's position in the snapshot.
+        /// The server's index in the snapshot.
         server: u32,
         /// The flow's cookie.
         cookie: Cookie,
     },
-    /// Tell the caller that the flow has ended, or will not open.
+    /// Reset the flow: it has ended, or cannot be opened.
     Reset {
-        /// Why.
+        /// The reason.
         code: Code,
     },
-    /// Tell the caller that the flow will not open, as no server would answer it in time.
+    /// Refuse the new flow, because its servers are overloaded.
     Refuse {
-        /// What was known of the server that would answer first.
+        /// The decision and the estimates that led to it.
         refusal: FlowRefusal,
     },
-    /// Nothing; the caller's transport sends it again.
+    /// Drop the packet; the client's transport retransmits it.
     Drop {
-        /// Why.
+        /// The reason.
         code: Code,
     },
 }
 
-/// What an opening was refused by.
+/// Why a new flow was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowRefusal {
-    /// Why.
+    /// The reason.
     pub code: Code,
-    /// The position in the snapshot of the server that would answer first.
+    /// Index in the snapshot of the server that would answer first, or with [`Code::LessUrgent`] of the
+    /// one at which the flow was placed.
     pub server: u32,
-    /// How long its answer would take.
+    /// Expected response time of that server, or with [`Code::LessUrgent`] the mean of its service.
     pub expected: Duration,
-    /// How long it may take for a new flow of the route to be let in.
+    /// Longest expected response time with which a new flow of the route is admitted, or with
+    /// [`Code::LessUrgent`] the one above which less urgent flows may be refused.
     pub limit: Duration,
 }
 
-/// How long an opening is remembered: its copies come 200 and 600 ms after it and the caller waits
-/// 1.4 s for an answer.
-const OPENING: Duration = Duration::from_secs(3);
-/// Between two notices of one server. A probe takes that long, and more notices say nothing more.
-const NOTICE: Duration = Duration::from_millis(100);
+/// How long a SYN is remembered. Clients retransmit it 200 and 600 ms after the original and give up
+/// after 1.4 s.
+const OPENING_TIMEOUT: Duration = Duration::from_secs(3);
+/// Minimum interval between two notices about one server. A probe of the server takes this long, and
+/// notices during a probe are redundant.
+const NOTICE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a flow without a packet is remembered: callers that are silent for longer are told by
-/// the server when they come back.
-const IDLE: Duration = Duration::from_secs(20);
+/// How long a flow without a packet is remembered. Clients that are idle for longer than this learn
+/// from the server, when they send again, that their flow has ended.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Between two sweeps of what is too old to matter. Each goes through all flows.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Minimum interval between two removals of expired state, each of which visits all flows.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An opening that was passed on here.
+/// A SYN that this traffic thread has forwarded.
 #[derive(Debug, Clone)]
 struct Opening {
     isn: u32,
+    /// When the original SYN was forwarded.
     at: Duration,
+    /// The name of the server that was last chosen for it.
     server: Arc<str>,
 }
 
-/// What a traffic thread tells the control thread.
+/// Message from a traffic thread to the control thread.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Notice {
-    /// A packet to the server went unanswered.
+    /// The server did not answer a packet.
     Unanswered(Arc<str>),
-    /// What the servers were seen to do.
+    /// Counts of requests and answers by server.
     Seen(Vec<Seen>),
 }
 
-/// A time that packets have shown, for the metrics.
+/// A response time measured on a flow, for the metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Timing {
-    /// From an opening to the caller's next packet.
+    /// From a SYN to the client's next packet.
     Opening {
-        /// The server.
+        /// The server's name.
         server: Arc<str>,
-        /// How long.
+        /// The response time.
         took: Duration,
     },
-    /// From a caller's data to the first acknowledgement of the answer.
+    /// From a client's request to the client's first acknowledgement of the answer.
     Answer {
-        /// The server.
+        /// The server's name.
         server: Arc<str>,
-        /// How long.
+        /// The response time.
         took: Duration,
     },
 }
 
-/// A flow that was ended as its server is lost.
+/// A flow that was ended because its server is gone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedFlow {
     /// The flow.
     pub key: Key,
-    /// Its server.
+    /// The name of its server.
     pub server: Arc<str>,
-    /// What its caller acknowledged last.
+    /// The client's highest acknowledgement number.
     pub acknowledged: u32,
 }
 
-/// Resolves packets, one for each traffic thread.
+/// Decides where packets go. Each traffic thread has its own.
 #[derive(Debug, Default)]
 pub struct Resolver {
     openings: Map<Key, Opening>,
-    unopened: Unopened,
+    half_open: HalfOpen,
     flows: Table,
     counts: Counts,
     delays: Delays,
-    /// How much is expected of each service's servers before they are given a new flow.
+    /// By service, the limit on expected response times for new flows, as a share of the latency objective.
     limits: Map<Arc<str>, Limit>,
-    /// Requests of each service that pass here.
+    /// By service, the rate of requests through this thread.
     requests: Map<Arc<str>, Rate>,
-    /// How urgent each service's callers are of late.
+    /// By service, the priorities of recent new flows.
     priorities: Map<Arc<str>, Priorities>,
-    /// How many of each service's less urgent callers are refused.
+    /// By service, the share of less urgent new flows that is refused.
     throttles: Map<Arc<str>, Throttle>,
-    /// What cold servers were sent lately.
+    /// Flows recently sent to cold servers.
     warming: cold::Sent,
-    swept: Duration,
-    /// When each server last answered something here.
+    /// When expired state was last removed.
+    last_expiry: Duration,
+    /// When each server was last seen to answer.
     answered: Map<Arc<str>, Duration>,
-    /// When each server was last noticed for not answering.
+    /// When the last [`Notice::Unanswered`] was issued for each server.
     noticed: Map<Arc<str>, Duration>,
     notices: Vec<Notice>,
     timings: Vec<Timing>,
 }
 
 impl Resolver {
-    /// Decides on a caller's packet that carries `cookie`.
+    /// Decides what to do with a client's packet that carries `cookie`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -184,9 +191,9 @@
         }
     }
 
-    /// What the control thread is to be told since the last time.
+    /// Takes the notices for the control thread since the last call.
     pub fn take_notices(&mut self, now: Duration) -> Vec<Notice> {
-        self.notice_unopened(now);
+        self.notice_half_open(now);
         let seen = self.counts.take(now);
         if !seen.is_empty() {
             self.notices.push(Notice::Seen(seen));
@@ -194,29 +201,29 @@
         std::mem::take(&mut self.notices)
     }
 
-    /// The times that were seen since the last time.
+    /// Takes the response times measured since the last call.
     pub fn take_timings(&mut self) -> Vec<Timing> {
         std::mem::take(&mut self.timings)
     }
 
-    /// The flows of servers that are gone: their callers are told at once.
+    /// Removes and returns the flows of servers that are gone, so that their clients can be notified.
     ///
-    /// A caller whose flow has ended opens another at once, where it would else wait out its deadline.
+    /// A client that is notified opens another flow at once; otherwise it would wait until its deadline.
     pub fn end_flows_of_gone_servers(&mut self, snapshot: &Snapshot) -> Vec<EndedFlow> {
         let is_gone = |server: &Arc<str>| {
             let server = snapshot.server(Cookie::of(server, 0));
             server.is_some_and(|server| server.standing == Standing::Gone)
         };
-        let lost = self.flows.remove_flows_of(is_gone);
+        let removed = self.flows.remove_flows_of(is_gone);
         let ended = |(key, flow): (Key, Flow)| EndedFlow {
             key,
             server: flow.server,
             acknowledged: flow.acknowledged,
         };
-        lost.into_iter().map(ended).collect()
+        removed.into_iter().map(ended).collect()
     }
 
-    /// Forgets what was learned of servers and services that a new snapshot doesn't hold.
+    /// Removes estimates and rates of servers and services that are not in the snapshot.
     pub fn retain_known(&mut self, snapshot: &Snapshot) {
         let is_server = |id: &Arc<str>| snapshot.server(Cookie::of(id, 0)).is_some();
         let is_service = |name: &Arc<str>| snapshot.pools.iter().any(|pool| pool.service == *name);
@@ -228,7 +235,7 @@
         self.warming.retain(is_service);
     }
 
-    /// A packet of a flow that is open.
+    /// Decides on a packet other than a SYN.
     fn follow(
         &mut self,
         snapshot: &Snapshot,
@@ -269,7 +276,8 @@
         }
     }
 
-    /// Takes in what a packet has shown of its server.
+    /// Updates what is known of a server by an observation. An answer that came too soon for the request
+    /// to have been processed counts as a failure.
     fn learn(&mut self, observation: Observation, server: &Server, now: Duration) {
         match observation {
             Observation::None => {}
@@ -279,22 +287,22 @@
             }
             Observation::Unanswered => self.notice(&server.id, now),
             Observation::Abandoned => self.failed(&server.id, now),
-            Observation::Answered => self.lives(&server.id, now),
+            Observation::Answered => self.record_answer(&server.id, now),
             Observation::Opened(took) => {
-                self.lives(&server.id, now);
+                self.record_answer(&server.id, now);
                 self.counts.opened(&server.id, took);
-                self.unopened.opened(took);
+                self.half_open.opened(took);
                 let server = Arc::clone(&server.id);
                 self.timings.push(Timing::Opening { server, took });
             }
             Observation::AnsweredAfter(took)
                 if server.idle.is_some_and(|idle| idle.is_hasty(took)) =>
             {
-                self.lives(&server.id, now);
+                self.record_answer(&server.id, now);
                 self.failed(&server.id, now);
             }
             Observation::AnsweredAfter(took) => {
-                self.lives(&server.id, now);
+                self.record_answer(&server.id, now);
                 self.counts.answered(&server.id, took);
                 self.delays.answered(&server.id, &server.service, took, now);
                 let server = Arc::clone(&server.id);
@@ -303,31 +311,35 @@
         }
     }
 
+    /// Records a request that the server has failed, or that was given up.
     fn failed(&mut self, server: &Arc<str>, now: Duration) {
         self.delays.unanswered(server, now);
         self.counts.failed(server);
     }
 
-    fn lives(&mut self, server: &Arc<str>, now: Duration) {
+    /// Records that the server has answered.
+    fn record_answer(&mut self, server: &Arc<str>, now: Duration) {
         self.delays.lives(server);
         self.answered.insert(Arc::clone(server), now);
     }
 
+    /// Issues a notice about an unanswered packet, unless there was one within [`NOTICE_INTERVAL`].
     fn notice(&mut self, server: &Arc<str>, now: Duration) {
         let recent = self
             .noticed
             .get(server)
-            .is_some_and(|at| now < *at + NOTICE);
+            .is_some_and(|at| now < *at + NOTICE_INTERVAL);
         if !recent {
             self.noticed.insert(Arc::clone(server), now);
             self.notices.push(Notice::Unanswered(Arc::clone(server)));
         }
     }
 
-    /// Takes note of the servers whose openings nothing has followed. A server that refuses connections
-    /// answers callers directly, and they open anew: no packet is ever sent again here.
-    fn notice_unopened(&mut self, now: Duration) {
-        for (sent, key) in self.unopened.due(now) {
+    /// Issues notices about the servers of flows that have remained half open. They are needed for a
+    /// server that refuses connections: it resets the flow at the client directly, and the client opens
+    /// another flow instead of retransmitting.
+    fn notice_half_open(&mut self, now: Duration) {
+        for (sent, key) in self.half_open.due(now) {
             let server = self.flows.server_of_half_open(&key, sent).map(Arc::clone);
             if let Some(server) = server {
                 self.notice(&server, now);
@@ -335,19 +347,19 @@
         }
     }
 
-    /// Forgets what is too old to matter, now and then.
-    fn sweep(&mut self, now: Duration) {
-        if now < self.swept + SWEEP {
+    /// Removes expired state, at most once per [`EXPIRY_INTERVAL`].
+    fn expire(&mut self, now: Duration) {
+        if now < self.last_expiry + EXPIRY_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.last_expiry = now;
         self.openings
-            .retain(|_, opening| opening.at + OPENING > now);
-        for server in self.flows.expire(IDLE, now) {
+            .retain(|_, opening| opening.at + OPENING_TIMEOUT > now);
+        for server in self.flows.expire(IDLE_TIMEOUT, now) {
             self.failed(&server, now);
         }
-        self.answered.retain(|_, at| *at + IDLE > now);
-        self.noticed.retain(|_, at| *at + IDLE > now);
+        self.answered.retain(|_, at| *at + IDLE_TIMEOUT > now);
+        self.noticed.retain(|_, at| *at + IDLE_TIMEOUT > now);
         self.warming.sweep(now);
     }
 }
--- a/crates/cookie/src/resolver/open.rs
+++ b/crates/cookie/src/resolver/open.rs
@@ -1,4 +1,4 @@
-//! Which server an opening goes to.
+//! Selection of a server for a SYN, and admission of new flows under load.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,11 +14,12 @@
     snapshot::{Pool, Route, Server, Snapshot, Standing},
 };
 
-/// A copy of an opening that follows it within less has waited somewhere before this balancer.
-const PATIENCE: Duration = Duration::from_millis(120);
+/// Least time after a SYN at which its retransmission counts as a sign that the server did not answer.
+/// If less has passed, both were queued before this balancer.
+const MIN_RETRANSMISSION_GAP: Duration = Duration::from_millis(120);
 
 impl Resolver {
-    /// Decides on an opening.
+    /// Decides on a SYN with the initial sequence number `isn`.
     pub(super) fn open(
         &mut self,
         snapshot: &Snapshot,
@@ -26,7 +27,7 @@
         isn: u32,
         now: Duration,
     ) -> Action {
-        self.sweep(now);
+        self.expire(now);
         let front = Front {
             address: packet.key.service,
             port: packet.key.service_port,
@@ -42,7 +43,7 @@
             .filter(|opening| opening.isn == isn)
             .cloned();
         let position = match &before {
-            Some(opening) => self.open_again(snapshot, route, packet, opening, now),
+            Some(opening) => self.place_retransmission(snapshot, route, packet, opening, now),
             None => self.place(snapshot, route, packet.key.hash(), None, now),
         };
         let mut position = match position {
@@ -63,7 +64,7 @@
             at,
             server: Arc::clone(&server.id),
         };
-        self.unopened.sent(packet.key, now);
+        self.half_open.sent(packet.key, now);
         self.openings.insert(packet.key, opening);
         self.flows
             .record_opening(packet, server.cookie, &server.id, now);
@@ -73,10 +74,15 @@
         }
     }
 
-    /// Where a copy of an opening goes: to the same server, so that no two answer it, unless that
-    /// one has shown no life since the opening was sent there, takes flows no more, or belongs to a
-    /// service that the route has left meanwhile.
-    fn open_again(
+    /// Selects the server for a retransmitted SYN. It is the same one as for the original, so that no
+    /// two servers answer, unless that server has not been seen to answer anything since the original
+    /// was forwarded, no longer takes new flows, or belongs to a service that the route no longer
+    /// targets. If there is no other server, one that still belongs to a target and is not evacuated
+    /// gets the retransmission all the same.
+    ///
+    /// # Errors
+    /// If there is no server for the flow.
+    fn place_retransmission(
         &mut self,
         snapshot: &Snapshot,
         route: &Route,
@@ -86,12 +92,12 @@
     ) -> Result<u32, Code> {
         let same = position(snapshot, &opening.server)
             .filter(|position| serves(snapshot, route, &snapshot.servers[*position as usize]));
-        let waited = now >= opening.at + PATIENCE;
-        let lives = self
+        let had_time = now >= opening.at + MIN_RETRANSMISSION_GAP;
+        let has_answered = self
             .answered
             .get(&opening.server)
             .is_some_and(|at| *at > opening.at);
-        if waited && !lives {
+        if had_time && !has_answered {
             self.notice(&opening.server, now);
         }
         let usable = same.filter(|position| {
@@ -100,7 +106,7 @@
                 Standing::Ready | Standing::Missing
             )
         });
-        if let Some(usable) = usable.filter(|_| lives || !waited) {
+        if let Some(usable) = usable.filter(|_| has_answered || !had_time) {
             return Ok(usable);
         }
         let other = self.place(
@@ -116,10 +122,10 @@
         other.or_else(|code| same.ok_or(code))
     }
 
-    /// The server for a new flow, another than `except` where there is one.
+    /// Selects the server for a new flow, other than `except`.
     ///
     /// # Errors
-    /// Why there is none.
+    /// If there is no such server.
     fn place(
         &mut self,
         snapshot: &Snapshot,
@@ -128,7 +134,7 @@
         except: Option<&Arc<str>>,
         now: Duration,
     ) -> Result<u32, Code> {
-        let pool = split(snapshot, route, flow).ok_or(Code::ServerNone)?;
+        let pool = choose_pool(snapshot, route, flow).ok_or(Code::ServerNone)?;
         let cold = self.place_cold(snapshot, pool, flow, except, now);
         let placed = cold.or_else(|| self.least_loaded(snapshot, &pool.open, flow, except, now));
         placed.ok_or(match pool.cold.is_empty() {
@@ -137,10 +143,10 @@
         })
     }
 
-    /// The cold server that is to take a new flow, if one is.
+    /// Selects a cold server for a new flow, or none if a warm one is to take it.
     ///
-    /// While half of a service's servers are warm, they take all: its cold ones warm up by time, not by
-    /// requests.
+    /// While at least half of a service's servers are warm, these take all new flows, as cold servers warm
+    /// up with time and not with requests.
     fn place_cold(
         &mut self,
         snapshot: &Snapshot,
@@ -166,6 +172,7 @@
         Some(placed)
     }
 
+    /// Selects one of the servers at `positions` for a new flow by [`choose`].
     fn least_loaded(
         &self,
         snapshot: &Snapshot,
@@ -183,10 +190,11 @@
         })
     }
 
-    /// The server for a new flow of a route that was placed at one, see [`overload::admit`].
+    /// Checks that a new flow can be answered within the route's latency objective by the server at which
+    /// it was placed, and returns that server or a less loaded one, see [`overload::admit`].
     ///
     /// # Errors
-    /// By what the flow is to be refused.
+    /// If the flow is to be refused.
     fn admit(
         &mut self,
         snapshot: &Snapshot,
@@ -207,7 +215,7 @@
             .find(|pool| pool.service == *service);
         let rank = self.rank(service, &demand, now);
         if rank.yields {
-            self.make_room(snapshot, service, flow, placed, now)?;
+            self.throttle_less_urgent(snapshot, service, flow, placed, now)?;
         }
         let quiet = self.delays.quiet(service, now);
         let limit = self.limits.entry(Arc::clone(service)).or_default();
@@ -237,11 +245,12 @@
         })
     }
 
-    /// What a server has to do, in proportion to its weight.
+    /// The load of a server relative to its weight.
     ///
-    /// Requests in hand count, by how long an answer takes at present and by how many were given up on
-    /// lately. By flows in hand alone, an idle flow would count like a request at work, a full queue like
-    /// an empty one, and a server that answers nothing like one that does.
+    /// It is the number of pending requests, multiplied by the expected response time and by the number of
+    /// requests recently given up. With the number of open flows instead, an idle flow would count as much
+    /// as a request in progress, a full queue as much as an empty one, and a server that answers nothing
+    /// as much as one that does.
     fn load(&self, server: &Server, now: Duration) -> f64 {
         let pending = self.flows.counts(&server.id).pending;
         let expected = self.delays.expected(&server.id, &server.service, now);
@@ -250,7 +259,7 @@
     }
 }
 
-/// As a duration; nothing of what is estimated is negative or endless.
+/// Converts seconds to a duration. Estimates are neither negative nor infinite; those would give 0.
 pub(super) fn seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
@@ -265,13 +274,14 @@
     }
 }
 
+/// The index of a server by its name.
 fn position(snapshot: &Snapshot, id: &Arc<str>) -> Option<u32> {
     let position = *snapshot.cookies.get(&Cookie::of(id, 0))?;
     let server = snapshot.servers.get(position as usize)?;
     (server.id == *id).then_some(position)
 }
 
-/// Whether a route sends flows to the service of a server.
+/// Whether the service of `server` is a target of `route` with a weight above 0.
 fn serves(snapshot: &Snapshot, route: &Route, server: &Server) -> bool {
     let mut pools = route.pools.iter();
     pools.any(|(position, weight)| {
@@ -279,8 +289,8 @@
     })
 }
 
-/// The pool that takes the flow by the route's weights, among those that have a server open.
-fn split<'a>(snapshot: &'a Snapshot, route: &Route, flow: u64) -> Option<&'a Pool> {
+/// Selects the pool for a flow by the route's weights, among the pools that take new flows.
+fn choose_pool<'a>(snapshot: &'a Snapshot, route: &Route, flow: u64) -> Option<&'a Pool> {
     let pool = |position: u32| &snapshot.pools[position as usize];
     let open = || {
         let pools = route.pools.iter();
--- a/crates/cookie/src/resolver/urgency.rs
+++ b/crates/cookie/src/resolver/urgency.rs
@@ -1,4 +1,4 @@
-//! Which new flows make room for more urgent ones.
+//! Refusal of new flows in favour of more urgent ones.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,11 +13,11 @@
 use super::{FlowRefusal, Resolver, open::seconds};
 use crate::snapshot::Snapshot;
 
-/// Tells the draw among less urgent flows from the flow's other uses of its hash.
+/// Makes the random choice among less urgent flows independent of other uses of the flow's hash.
 const SALT: u64 = 0x0079_6965_6c64;
 
 impl Resolver {
-    /// How urgent a new flow is beside others of its service.
+    /// Records a new flow's priority, and returns how urgent it is among recent flows of its service.
     pub(super) fn rank(&mut self, service: &Arc<str>, demand: &Demand, now: Duration) -> Rank {
         let Some(priority) = demand.priority else {
             return Rank::default();
@@ -26,12 +26,12 @@
         known.add(priority, now)
     }
 
-    /// Refuses some of the flows that share their servers with more urgent ones, see
+    /// Refuses a share of the flows whose servers also serve more urgent ones, see
     /// [`Throttle`](acacia_load::throttle::Throttle).
     ///
     /// # Errors
-    /// By what the flow is to be refused.
-    pub(super) fn make_room(
+    /// If the flow is to be refused.
+    pub(super) fn throttle_less_urgent(
         &mut self,
         snapshot: &Snapshot,
         service: &Arc<str>,
@@ -50,14 +50,14 @@
             .map(|pool| pool.slots)
             .sum();
         let requests = self.requests.get(service);
-        let here = requests.map_or(0.0, |rate| rate.a_second(now));
+        let rate = requests.map_or(0.0, |requests| requests.a_second(now));
         let pressure = Pressure {
-            demand: here * f64::from(snapshot.balancers) * baseline / f64::from(slots.max(1)),
+            demand: rate * f64::from(snapshot.balancers) * baseline / f64::from(slots.max(1)),
             wait: mean / baseline,
         };
         let throttle = self.throttles.entry(Arc::clone(service)).or_default();
-        let part = throttle.follow(&pressure, now);
-        if uniform(mix(flow ^ SALT)) >= part {
+        let refused = throttle.follow(&pressure, now);
+        if uniform(mix(flow ^ SALT)) >= refused {
             return Ok(());
         }
         Err(FlowRefusal {
