--- a/crates/cookie/tests/it/flow.rs
+++ b/crates/cookie/tests/it/flow.rs
@@ -14,7 +14,7 @@
     (Cookie::of("i-1", 0), "i-1".into())
 }
 
-/// A table with one flow that was opened and answered.
+/// A table with one flow, of which the SYN has been answered.
 fn open() -> Table {
     let (cookie, server) = host();
     let mut table = Table::default();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn data_sent_again_after_a_while_shows_that_nobody_answered() {
+fn data_retransmitted_after_a_gap_shows_that_the_server_did_not_answer() {
     let ((cookie, server), mut table) = (host(), open());
     let request = middle(1, 101, 200, 50);
 
@@ -41,11 +41,11 @@
     );
 }
 
-/// This balancer was frozen, or its queue was full: the packet and its copy reach it together, and
-/// the server had no time to answer the first. Taken as a sign, each pause of a balancer would
-/// throw suspicion on servers that live.
+/// Guards against suspecting live servers after each pause of a balancer: while it is frozen, or its
+/// queue is full, a packet and its retransmission reach it together, and the server had no time to
+/// answer the original.
 #[test]
-fn a_copy_that_comes_with_its_original_shows_nothing() {
+fn a_retransmission_that_arrives_with_the_original_shows_nothing() {
     let ((cookie, server), mut table) = (host(), open());
     let request = middle(1, 101, 200, 50);
     table.observe(&request, cookie, &server, ms(1_000));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_bare_acknowledgement_tells_the_time_of_an_answer() {
+fn an_acknowledgement_without_data_gives_the_response_time() {
     let ((cookie, server), mut table) = (host(), open());
     table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
 
@@ -66,10 +66,10 @@
     assert_eq!(observation, Observation::AnsweredAfter(ms(30)));
 }
 
-/// A caller pauses for seconds and acknowledges the last answer with its next request. Taken as the
-/// server's time, the pause would make it the slowest of all.
+/// A client may pause for seconds and acknowledge the last answer with its next request. Guards against
+/// counting the pause as the server's response time, which would make it look the slowest of all.
 #[test]
-fn an_acknowledgement_that_comes_with_the_next_request_tells_no_time() {
+fn an_acknowledgement_with_the_next_request_gives_no_response_time() {
     let ((cookie, server), mut table) = (host(), open());
     table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn sequence_numbers_may_run_over() {
+fn sequence_numbers_may_wrap_around() {
     let (cookie, server) = host();
     let mut table = Table::default();
     table.observe(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn flows_are_counted_while_they_live() {
+fn flows_are_counted_until_they_are_closed() {
     let ((cookie, server), mut table) = (host(), open());
     assert_eq!(table.counts("i-1").flows, 1);
 
@@ -124,11 +124,12 @@
     assert_eq!(table.len(), 0);
 }
 
-/// A caller closes its flow and then acknowledges the server's end of it. Counted as a flow from
-/// elsewhere, each short flow stayed in its server's count for 20 s more, a request in it seemed to
-/// wait for its answer, and servers with many short flows got too few new ones.
+/// A client closes its flow and then acknowledges the server's FIN. Guards against taking that
+/// acknowledgement for a packet of a flow from another balancer: each short flow then counted at its
+/// server for 20 s more, a request on it seemed pending, and servers with many short flows got too few
+/// new ones.
 #[test]
-fn the_last_acknowledgement_of_a_closed_flow_opens_no_other() {
+fn the_last_acknowledgement_of_a_closed_flow_adds_no_flow() {
     let ((cookie, server), mut table) = (host(), open());
     table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
     let closing = Packet {
@@ -143,7 +144,7 @@
     assert_eq!(table.counts("i-1"), FlowCounts::default());
 }
 
-/// A caller gives up on a request and closes its flow, or resets it. Nothing was answered.
+/// A client gives up a request that has not been answered, and closes or resets its flow.
 #[rstest]
 #[case::closed(Kind::Closing)]
 #[case::reset(Kind::Reset)]
@@ -162,10 +163,11 @@
     assert_eq!(table.counts("i-1"), FlowCounts::default());
 }
 
-/// A server resets a flow, or its caller vanishes: no packet of it passes a balancer again. Were its
-/// request to count as waiting for as long as the flow is remembered, the server would look loaded.
+/// After a server resets a flow, or its client vanishes, no packet of it passes a balancer again. Guards
+/// against counting its request as pending until the flow expires, which would make the server look
+/// loaded.
 #[test]
-fn a_request_without_any_packet_for_seconds_is_given_up() {
+fn a_pending_request_is_given_up_after_seconds_without_a_packet() {
     let ((cookie, server), mut table) = (host(), open());
     table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
 
@@ -178,7 +180,7 @@
 }
 
 #[test]
-fn flows_without_a_packet_are_forgotten() {
+fn idle_flows_are_removed() {
     let mut table = open();
 
     table.expire(ms(20_000), ms(20_005));
@@ -186,10 +188,10 @@
     assert_eq!((table.counts("i-1").flows, table.len()), (0, 0));
 }
 
-/// A flood of openings from forged addresses fills the table. The balancer goes on, as nothing is
-/// resolved by it, and its memory stays bounded.
+/// A flood of SYNs from forged addresses fills the table. The balancer still works, as packets are not
+/// routed by the table, and its memory must stay bounded.
 #[test]
-fn a_flood_of_flows_stays_within_bounds() {
+fn the_table_stays_bounded_in_a_flood_of_flows() {
     let (cookie, server) = host();
     let mut table = Table::default();
     for number in 0..100_000u32 {
@@ -205,9 +207,9 @@
 #[derive(Debug, Clone)]
 enum Event {
     Opened,
-    Passed(Kind, u16, u32, u32),
-    Lost,
-    Swept(u64),
+    Observed(Kind, u16, u32, u32),
+    ServerGone,
+    Expired(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -219,17 +221,17 @@
     prop_oneof![
         2 => Just(Event::Opened),
         8 => (kind, 0..3u16, 0..4u32, 0..4u32)
-            .prop_map(|(kind, payload, seq, ack)| Event::Passed(kind, payload * 100, seq * 100, ack)),
-        1 => Just(Event::Lost),
-        1 => (0..5_000u64).prop_map(Event::Swept),
+            .prop_map(|(kind, payload, seq, ack)| Event::Observed(kind, payload * 100, seq * 100, ack)),
+        1 => Just(Event::ServerGone),
+        1 => (0..5_000u64).prop_map(Event::Expired),
     ]
 }
 
 proptest! {
-    /// Packets come in any order, are lost or come twice, and flows are opened again on the same ports
-    /// at other servers. What is counted of each server is what a table of one flow at a time shows.
+    /// Packets are reordered, lost or duplicated, and flows are opened again on the same ports at other
+    /// servers. The counts of each server must equal the sums over tables that hold one flow each.
     #[test]
-    fn counts_of_many_flows_are_the_sum_of_each(
+    fn counts_of_many_flows_are_the_sums_over_single_flows(
         events in prop::collection::vec((0..4u16, 0..2u8, event()), 0..120),
     ) {
         let servers: [Arc<str>; 2] = ["i-1".into(), "i-2".into()];
@@ -242,17 +244,17 @@
             for table in [&mut whole, &mut single[usize::from(port)]] {
                 match event.clone() {
                     Event::Opened => table.record_opening(&opening(port), cookie, server, now),
-                    Event::Passed(kind, payload, seq, ack) => {
+                    Event::Observed(kind, payload, seq, ack) => {
                         let packet = Packet { kind, ..middle(port, 101 + seq, payload, ack) };
                         table.observe(&packet, cookie, server, now);
                     }
-                    Event::Lost | Event::Swept(_) => {}
+                    Event::ServerGone | Event::Expired(_) => {}
                 }
             }
             for table in single.iter_mut().chain([&mut whole]) {
                 match event {
-                    Event::Lost => drop(table.remove_flows_of(|lost| lost == server)),
-                    Event::Swept(idle) => drop(table.expire(ms(idle), now)),
+                    Event::ServerGone => drop(table.remove_flows_of(|gone| gone == server)),
+                    Event::Expired(idle) => drop(table.expire(ms(idle), now)),
                     _ => {}
                 }
             }
