--- a/crates/cookie/tests/it/place.rs
+++ b/crates/cookie/tests/it/place.rs
@@ -1,6 +1,6 @@
 use acacia_cookie::place::{Candidate, choose};
 
-/// Flows opened one after the other, none closed; how many each of the servers has then.
+/// Opens flows one after the other and closes none; returns how many each server has then.
 fn spread(weights: &[f64], flows: u64) -> Vec<f64> {
     let mut counts = vec![0.0; weights.len()];
     for flow in 0..flows {
@@ -21,8 +21,8 @@
     counts
 }
 
-/// Two hundred long flows at fourteen servers: by chance alone one of them would have some 40 % more
-/// than the mean, for as long as the flows last.
+/// With 210 long flows at 14 servers, random placement would give the busiest server about 40 % more
+/// flows than the mean, for as long as they last.
 #[test]
 fn long_flows_are_spread_evenly() {
     let counts = spread(&[1.0; 14], 210);
@@ -43,9 +43,9 @@
     }
 }
 
-/// One server is full of flows. It gets no more while others have room, unless it is the only one.
+/// A server with many flows gets no more while another has few, unless it is the only one.
 #[test]
-fn the_busiest_of_several_gets_nothing() {
+fn the_busiest_server_gets_no_flow_unless_it_is_the_only_one() {
     let server = |position: u32| Candidate {
         position,
         hash: position.into(),
@@ -59,9 +59,9 @@
     }
 }
 
-/// Flows opened in one data centre of three, whose servers have `near` flows each where the others'
-/// have ten; how many of a thousand go elsewhere.
-fn elsewhere(near: f64) -> usize {
+/// Opens a thousand flows in one of three data centres, whose servers have the load `local` each and
+/// those of the others 10; returns how many flows go to other data centres.
+fn remote_flows(local: f64) -> usize {
     let candidates: Vec<Candidate> = (0..15)
         .map(|position| Candidate {
             position,
@@ -70,7 +70,7 @@
             local: position < 5,
         })
         .collect();
-    let load = |position: u32| if position < 5 { near } else { 10.0 };
+    let load = |position: u32| if position < 5 { local } else { 10.0 };
     let chosen = (0..1_000).filter_map(|flow| {
         choose(
             acacia_wire::flow::mix(flow),
@@ -81,11 +81,11 @@
     chosen.filter(|position| *position >= 5).count()
 }
 
-/// A data centre is cut off, and every flow to a server beyond the cut breaks with the request on it.
-/// Most flows should stay near, but not where that fills the own servers while others idle.
+/// When a data centre is partitioned off, flows to servers of other data centres break with their
+/// requests. Most flows should therefore stay local, but not if local servers fill up while others idle.
 #[test]
 fn flows_stay_in_their_data_centre_until_it_is_half_fuller() {
-    assert!(elsewhere(10.0) < 20, "{}", elsewhere(10.0));
-    assert!(elsewhere(14.0) < 20, "{}", elsewhere(14.0));
-    assert!(elsewhere(20.0) > 200, "{}", elsewhere(20.0));
+    assert!(remote_flows(10.0) < 20, "{}", remote_flows(10.0));
+    assert!(remote_flows(14.0) < 20, "{}", remote_flows(14.0));
+    assert!(remote_flows(20.0) > 200, "{}", remote_flows(20.0));
 }
