--- a/crates/cookie/tests/it/unopened.rs
+++ b/crates/cookie/tests/it/half_open.rs
@@ -9,7 +9,8 @@
     snapshot(servers.chain([routed(&["live"], 20)]))
 }
 
-/// Opens flows one after the other from `at` on, each followed by a packet after `took`.
+/// Opens one flow per element of `took`, 500 ms apart and starting after `at`. The client's next packet
+/// follows each SYN after that many milliseconds.
 fn open(resolver: &mut Resolver, snapshot: &Snapshot, at: Duration, took: &[u64]) {
     for (port, took) in (1_000..).zip(took) {
         let at = at + ms(u64::from(port - 999) * 500);
@@ -20,7 +21,7 @@
     }
 }
 
-/// The servers that the control thread is told of at `at`.
+/// The servers that the notices taken at `at`, in milliseconds, report as unanswering.
 fn suspects(resolver: &mut Resolver, at: u64) -> Vec<Arc<str>> {
     let notices = resolver.take_notices(ms(at)).into_iter();
     let suspect = |notice| match notice {
@@ -30,10 +31,10 @@
     notices.filter_map(suspect).collect()
 }
 
-/// A server refuses connections: callers are reset at once and open anew through any balancer, and no
-/// packet is ever sent again here.
+/// A server refuses connections: its clients are reset at once and open other flows through any
+/// balancer, so that no retransmission shows the failure.
 #[test]
-fn a_server_whose_openings_nothing_follows_is_suspected_within_moments() {
+fn a_server_whose_flows_stay_half_open_is_suspected_within_45_ms() {
     let snapshot = fleet();
     let mut resolver = Resolver::default();
     open(&mut resolver, &snapshot, ms(0), &[5; 20]);
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_server_whose_opening_is_followed_is_not_suspected() {
+fn a_server_whose_syns_are_followed_by_packets_is_not_suspected() {
     let snapshot = fleet();
     let mut resolver = Resolver::default();
 
@@ -56,10 +57,10 @@
     assert!(suspects(&mut resolver, 60_000).is_empty());
 }
 
-/// Callers on slow radio links answer after a fifth of a second, and each of them makes a living server
-/// suspected.
+/// Clients on slow radio links send their next packet up to a fifth of a second after the SYN. Guards
+/// against suspecting live servers because of them.
 #[test]
-fn callers_on_slow_links_make_no_server_suspected() {
+fn clients_on_slow_links_make_no_server_suspected() {
     let snapshot = fleet();
     let mut resolver = Resolver::default();
     let took: Vec<u64> = (0..40).map(|number| 100 + number % 5 * 20).collect();
@@ -71,9 +72,9 @@
     assert!(suspects(&mut resolver, 40_180).is_empty());
 }
 
-/// A flood of openings must not fill the balancer's memory.
+/// A flood of SYNs must neither fill the balancer's memory nor cause a notice for each SYN.
 #[test]
-fn a_flood_of_openings_that_nothing_follows_suspects_each_server_once_in_a_while() {
+fn a_flood_of_half_open_flows_gives_at_most_one_notice_per_server() {
     let snapshot = fleet();
     let mut resolver = Resolver::default();
     for port in 1..=20_000 {
--- a/crates/cookie/tests/it/main.rs
+++ b/crates/cookie/tests/it/main.rs
@@ -1,10 +1,12 @@
-//! Tests of flow resolution by cookies: several resolvers whose views differ, without sockets.
+//! Tests of flow resolution by cookies, without sockets, some of them with several resolvers that have
+//! different views of the servers.
 
 mod cold;
 mod evacuation;
 mod failing;
 mod fixture;
 mod flow;
+mod half_open;
 mod load;
 mod overload;
 mod place;
@@ -13,4 +15,3 @@
 mod silence;
 mod speed;
 mod trial;
-mod unopened;
