--- a/crates/cookie/tests/it/fixture.rs
+++ b/crates/cookie/tests/it/fixture.rs
@@ -24,7 +24,7 @@
     Duration::from_millis(ms)
 }
 
-/// A ready server; its address follows from its name.
+/// A ready server with an address derived from its name.
 pub fn server(id: &str, service: &str) -> Server {
     let bits = acacia_cookie::cookie::hash(id) as u32;
     Server {
@@ -56,7 +56,7 @@
     }
 }
 
-/// The operators' mark on a data centre, set or taken back.
+/// A change that starts the evacuation of a data centre, or ends it if `stands` is false.
 pub fn evacuation(data_centre: &str, revision: u64, stands: bool) -> Change {
     Change::Evacuation {
         data_centre: data_centre.into(),
@@ -65,7 +65,7 @@
     }
 }
 
-/// One route to `services` in equal parts.
+/// A configuration with one route, to `services` with equal weights.
 pub fn routed(services: &[&str], revision: u64) -> Change {
     let targets = services.iter().map(|service| Target {
         service: (*service).into(),
@@ -100,7 +100,7 @@
     }
 }
 
-/// The catalog after some changes.
+/// A catalog to which the changes have been applied.
 pub fn catalog(changes: impl IntoIterator<Item = Change>) -> Catalog {
     let mut catalog = Catalog::default();
     for change in changes {
@@ -111,7 +111,7 @@
     catalog
 }
 
-/// What a balancer that has just started makes of some changes.
+/// The snapshot of a balancer that has just started, after the changes.
 pub fn snapshot(changes: impl IntoIterator<Item = Change>) -> Snapshot {
     let mut roster = Roster::default();
     roster.update(&catalog(changes), Duration::ZERO);
@@ -138,7 +138,7 @@
     }
 }
 
-/// A packet in mid-flow with `payload` bytes from `sequence` on.
+/// A packet of an open flow, with `payload` bytes starting at `sequence`.
 pub fn middle(port: u16, sequence: u32, payload: u16, acknowledgement: u32) -> Packet {
     Packet {
         key: key(port),
@@ -149,7 +149,7 @@
     }
 }
 
-/// The server's name and the cookie that a packet is sent on with.
+/// The name of the server to which a packet is forwarded, and its cookie; `None` if it isn't forwarded.
 pub fn sent(action: &Action, snapshot: &Snapshot) -> Option<(Arc<str>, Cookie)> {
     match action {
         Action::Forward { server, cookie } => {
