--- a/crates/cookie/tests/it/load.rs
+++ b/crates/cookie/tests/it/load.rs
@@ -1,4 +1,4 @@
-//! Placement under load: which servers get new flows when some are busy or answer nothing.
+//! Distribution of new flows over servers of which some are slow, fail or do not answer.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
     snapshot(servers.chain([routed(&["live"], SERVERS + 1)]))
 }
 
-/// Opens a flow with one request; gives its server.
+/// Opens a flow and sends one request on it; returns the flow's server and cookie.
 fn ask(
     resolver: &mut Resolver,
     fleet: &Snapshot,
@@ -30,7 +30,7 @@
     (server, Some(cookie))
 }
 
-/// The caller acknowledges the answer with its FIN.
+/// Acknowledges the answer with the client's FIN.
 fn answer(resolver: &mut Resolver, fleet: &Snapshot, port: u16, cookie: Option<Cookie>, at: u64) {
     let closing = Packet {
         kind: Kind::Closing,
@@ -39,15 +39,15 @@
     resolver.resolve(fleet, &closing, cookie, ms(at));
 }
 
-/// Opens a flow with one request every 10 ms for twenty seconds; `takes` tells how many milliseconds
-/// a server needs for its answer, or nothing if it gives none and the caller leaves after 2 s. How
-/// many flows each server got in the last ten seconds.
-fn play(takes: impl Fn(&str, u16) -> Option<u64>) -> BTreeMap<Arc<str>, u32> {
-    play_with(None, takes)
+/// Opens a flow with one request every 10 ms for 20 s; `takes` gives the response time of a server in
+/// milliseconds, or `None` if it doesn't answer and the client resets the flow after 2 s. Returns the
+/// number of flows that each server got in the last 10 s.
+fn simulate(takes: impl Fn(&str, u16) -> Option<u64>) -> BTreeMap<Arc<str>, u32> {
+    simulate_with(None, takes)
 }
 
-/// The same with what is known of all servers' answers when nothing waits.
-fn play_with(
+/// Like [`simulate`], with `idle` as the known response time of all servers without queueing.
+fn simulate_with(
     idle: Option<Idle>,
     takes: impl Fn(&str, u16) -> Option<u64>,
 ) -> BTreeMap<Arc<str>, u32> {
@@ -87,73 +87,75 @@
     counts
 }
 
-fn part(counts: &BTreeMap<Arc<str>, u32>, is_one: impl Fn(&str) -> bool) -> f64 {
+/// Share of the flows that went to the servers for which `is_one` holds.
+fn share(counts: &BTreeMap<Arc<str>, u32>, is_one: impl Fn(&str) -> bool) -> f64 {
     let of = counts.iter().filter(|(server, _)| is_one(server));
     let all: u32 = counts.values().sum();
     f64::from(of.map(|(_, count)| count).sum::<u32>()) / f64::from(all)
 }
 
-fn is_quarter(server: &str) -> bool {
+/// Whether a server is one of the four of the fleet that a test makes misbehave.
+fn is_impaired(server: &str) -> bool {
     ["i-0", "i-1", "i-2", "i-3"].contains(&server)
 }
 
-/// Four of fourteen servers accept flows and take in requests, and answer one of ten. They hold
-/// connections like any other, and no probe finds fault with them. Their callers wait out their
-/// deadlines; by flows in hand alone these servers got a quarter of all new ones.
+/// Four of 14 servers accept flows and requests but answer only one request in ten. They keep their
+/// connections open and pass every probe, while their clients wait until their deadlines. When
+/// placement went by the number of open flows alone, these servers got a quarter of all new flows.
 #[test]
 fn servers_that_leave_requests_unanswered_get_few_new_flows() {
-    let counts = play(|server, port| {
-        let mute = is_quarter(server) && !port.is_multiple_of(10);
+    let counts = simulate(|server, port| {
+        let mute = is_impaired(server) && !port.is_multiple_of(10);
         (!mute).then_some(40)
     });
 
-    assert!(part(&counts, is_quarter) < 0.02, "{counts:?}");
+    assert!(share(&counts, is_impaired) < 0.02, "{counts:?}");
 }
 
-/// Four of fourteen servers turn five times slower than the others. A new flow that goes there waits
-/// where others would answer at once.
+/// Four of 14 servers are five times slower than the others. A new flow that is placed there waits,
+/// although others would answer at once.
 #[test]
-fn servers_whose_answers_take_long_get_few_new_flows() {
-    let counts = play(|server, _| Some(if is_quarter(server) { 200 } else { 40 }));
+fn slow_servers_get_few_new_flows() {
+    let counts = simulate(|server, _| Some(if is_impaired(server) { 200 } else { 40 }));
 
-    assert!(part(&counts, is_quarter) < 0.05, "{counts:?}");
+    assert!(share(&counts, is_impaired) < 0.05, "{counts:?}");
 }
 
-/// A server answered nothing for a while and is well again. It must get its part again without
-/// anybody's help.
+/// Four of 14 servers answer only one request in ten for 5 s, and then all. They must get their share of
+/// new flows again without intervention.
 #[test]
-fn a_server_that_answers_again_gets_flows_again() {
-    let counts = play(|server, port| {
-        let mute = is_quarter(server) && port < 500;
+fn servers_that_answer_again_get_flows_again() {
+    let counts = simulate(|server, port| {
+        let mute = is_impaired(server) && port < 500;
         (!mute).then_some(40)
     });
 
-    assert!(part(&counts, is_quarter) > 0.15, "{counts:?}");
+    assert!(share(&counts, is_impaired) > 0.15, "{counts:?}");
 }
 
-/// Flows at equal servers: none may starve and none may be crowded.
+/// Among servers that answer alike, none may get far fewer or far more flows than the others.
 #[test]
-fn equal_servers_get_equal_parts() {
-    let counts = play(|_, port| Some(u64::from(port % 7) * 10 + 10));
+fn equal_servers_get_similar_numbers_of_flows() {
+    let counts = simulate(|_, port| Some(u64::from(port % 7) * 10 + 10));
 
     let (least, most) = (counts.values().min(), counts.values().max());
     assert_eq!(counts.len() as u64, SERVERS);
     assert!(least > Some(&40) && most < Some(&110), "{counts:?}");
 }
 
-/// Four of fourteen servers fail nearly all requests at once, without working on them. By its answer
-/// times such a server is the fastest of all; it got more and more flows, and their callers' errors.
+/// Four of 14 servers fail nearly all requests immediately, without processing them. By its response
+/// times, such a server is the fastest of all: it got more and more flows, whose clients saw errors.
 #[test]
-fn servers_that_answer_too_soon_get_few_new_flows() {
+fn servers_that_fail_requests_immediately_get_few_new_flows() {
     let takes = |server: &str, port: u16| {
-        let fails = is_quarter(server) && !port.is_multiple_of(10);
+        let fails = is_impaired(server) && !port.is_multiple_of(10);
         Some(if fails { 7 } else { 40 })
     };
     let idle = Idle {
         network: 0.006,
         work: 0.04,
     };
-    let counts = play_with(Some(idle), takes);
+    let counts = simulate_with(Some(idle), takes);
 
-    assert!(part(&counts, is_quarter) < 0.03, "{counts:?}");
+    assert!(share(&counts, is_impaired) < 0.03, "{counts:?}");
 }
