--- a/crates/cookie/tests/it/overload.rs
+++ b/crates/cookie/tests/it/overload.rs
@@ -1,4 +1,5 @@
-//! Several balancers before servers with short queues, and callers who ask for more than these can do.
+//! Simulation of several balancers, servers with short queues, and clients whose demand exceeds the
+//! servers' capacity.
 
 use std::{
     cmp::Reverse,
@@ -19,34 +20,35 @@
 const BALANCERS: usize = 9;
 const SERVERS: usize = 14;
 const SLOTS: usize = 3;
-/// Requests that a server holds back; it sheds what comes beyond.
+/// Length of a server's queue; a server rejects requests while its queue is full.
 const QUEUE: usize = 12;
-/// Mean work of a request, in microseconds at speed 1.
+/// Mean processing time of a request on a server of speed 1, in microseconds.
 const WORK: u64 = 43_000;
-/// One way between caller and server, in microseconds.
-const WAY: u64 = 3_000;
-/// Tries of a caller after the first, each at once.
+/// One-way latency between client and server, in microseconds.
+const ONE_WAY: u64 = 3_000;
+/// Retries of a client after its first attempt, each without a delay.
 const RETRIES: u32 = 2;
-/// Requests a second that all servers together can do: speeds 0.55 and 1.2.
+/// Requests per second that all servers together can process, at speeds of 0.55 and 1.2.
 const CAPACITY: f64 = 998.0;
-/// How long callers ask, in microseconds.
-const LENGTH: u64 = 6_000_000;
-/// Within which time an answer is of use.
+/// How long clients send new requests, in microseconds.
+const REQUEST_PERIOD: u64 = 6_000_000;
+/// Latency objective: answers that take longer are useless to the client.
 const LATENCY: Duration = Duration::from_millis(200);
-/// The port of the urgent route.
-const URGENT: u16 = 8_080;
+/// Port of the urgent route.
+const URGENT_PORT: u16 = 8_080;
 
 fn speed(server: usize) -> f64 {
     if server.is_multiple_of(4) { 0.55 } else { 1.2 }
 }
 
-/// Both routes, to servers whose speeds are known. With `refuses`, callers' objectives are known too.
+/// A snapshot with an ordinary and an urgent route to servers whose speeds are known. With `refuses`, the
+/// routes have a latency objective and a priority, so that new flows can be refused.
 fn fleet(refuses: bool) -> Snapshot {
     let servers = (0..SERVERS as u64)
         .map(|number| present(server(&format!("i-{number:x}"), "live"), number + 1));
     let mut snapshot = snapshot(servers.chain([routed(&["live"], 99)]));
     let route = snapshot.routes[&FRONT].clone();
-    for (port, urgent) in [(FRONT.port, false), (URGENT, true)] {
+    for (port, urgent) in [(FRONT.port, false), (URGENT_PORT, true)] {
         let mut route = route.clone();
         route.demand = refuses.then_some(Demand {
             latency: LATENCY,
@@ -59,14 +61,14 @@
     for (at, server) in snapshot.servers.iter_mut().enumerate() {
         server.weight = speed(at);
         server.idle = Some(Idle {
-            network: 2.0 * WAY as f64 / 1e6,
+            network: 2.0 * ONE_WAY as f64 / 1e6,
             work: WORK as f64 / speed(at) / 1e6,
         });
     }
     snapshot
 }
 
-/// A request of a caller.
+/// A client's request.
 #[derive(Clone)]
 struct Request {
     asked: u64,
@@ -79,13 +81,13 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The caller opens a flow for the request.
+    /// The client opens a flow for the request.
     Open(usize),
-    /// The request passes the balancer on its way to the server.
-    Reach(usize),
-    /// The server has done it.
+    /// The request arrives at the balancer and then the server.
+    Arrive(usize),
+    /// The server has processed the request.
     Done(usize),
-    /// The caller has the answer and closes.
+    /// The client has received the answer and closes the flow.
     Close(usize),
 }
 
@@ -95,27 +97,27 @@
     queue: VecDeque<usize>,
 }
 
-/// What callers saw.
+/// Outcomes of the clients' requests.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-struct Seen {
+struct Outcomes {
     asked: u32,
     in_time: u32,
     refused: u32,
 }
 
-struct World {
+struct Simulation {
     snapshot: Snapshot,
     balancers: Vec<Resolver>,
     hosts: Vec<Host>,
     requests: Vec<Request>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    /// Of ordinary and urgent callers.
-    seen: [Seen; 2],
+    /// Of ordinary and of urgent clients.
+    outcomes: [Outcomes; 2],
     draws: u64,
 }
 
-impl World {
-    /// A number from 0 to 1, the same in each run.
+impl Simulation {
+    /// The next pseudo-random number from 0 to 1; the sequence is the same in each run.
     fn draw(&mut self) -> f64 {
         self.draws += 1;
         (mix(self.draws) >> 11) as f64 / (1u64 << 53) as f64
@@ -131,7 +133,7 @@
         packet.key.client = (0x0a00_0000 + request as u32).into();
         packet.key.client_port = 1_000 + tries as u16;
         if self.requests[request].urgent {
-            packet.key.service_port = URGENT;
+            packet.key.service_port = URGENT_PORT;
         }
         packet
     }
@@ -145,8 +147,8 @@
         self.balancers[balancer].resolve(&self.snapshot, &packet, cookie, now)
     }
 
-    fn seen(&mut self, request: usize) -> &mut Seen {
-        &mut self.seen[usize::from(self.requests[request].urgent)]
+    fn outcomes(&mut self, request: usize) -> &mut Outcomes {
+        &mut self.outcomes[usize::from(self.requests[request].urgent)]
     }
 
     fn open(&mut self, request: usize, now: u64) {
@@ -157,23 +159,23 @@
             (Action::Forward { server, .. }, Some((_, cookie))) => {
                 self.requests[request].server = *server as usize;
                 self.requests[request].cookie = Some(cookie);
-                self.at(now + 2 * WAY, Event::Reach(request));
+                self.at(now + 2 * ONE_WAY, Event::Arrive(request));
             }
             _ => {
-                self.seen(request).refused += 1;
-                self.again(request, now + 2 * WAY);
+                self.outcomes(request).refused += 1;
+                self.retry(request, now + 2 * ONE_WAY);
             }
         }
     }
 
-    fn again(&mut self, request: usize, now: u64) {
+    fn retry(&mut self, request: usize, now: u64) {
         if self.requests[request].tries < RETRIES {
             self.requests[request].tries += 1;
             self.at(now, Event::Open(request));
         }
     }
 
-    fn reach(&mut self, request: usize, now: u64) {
+    fn arrive(&mut self, request: usize, now: u64) {
         self.resolve(request, middle(1, 101, 200, 50), now);
         let server = self.requests[request].server;
         let host = &mut self.hosts[server];
@@ -183,8 +185,8 @@
         } else if host.queue.len() < QUEUE {
             host.queue.push_back(request);
         } else {
-            self.close(request, now + 2 * WAY);
-            self.again(request, now + 2 * WAY);
+            self.close(request, now + 2 * ONE_WAY);
+            self.retry(request, now + 2 * ONE_WAY);
         }
     }
 
@@ -195,10 +197,10 @@
     }
 
     fn done(&mut self, request: usize, now: u64) {
-        self.at(now + 2 * WAY, Event::Close(request));
-        let took = Duration::from_micros(now + WAY - self.requests[request].asked);
+        self.at(now + 2 * ONE_WAY, Event::Close(request));
+        let took = Duration::from_micros(now + ONE_WAY - self.requests[request].asked);
         if took <= LATENCY {
-            self.seen(request).in_time += 1;
+            self.outcomes(request).in_time += 1;
         }
         let host = &mut self.hosts[self.requests[request].server];
         match host.queue.pop_front() {
@@ -216,24 +218,25 @@
     }
 }
 
-/// Callers ask for so many times what the servers can do; every fourth is urgent.
-fn play(times: f64, refuses: bool) -> [Seen; 2] {
-    let mut world = World {
+/// Runs a simulation in which clients ask for `times` the capacity of the servers, a quarter of them
+/// on the urgent route.
+fn simulate(times: f64, refuses: bool) -> [Outcomes; 2] {
+    let mut simulation = Simulation {
         snapshot: fleet(refuses),
         balancers: (0..BALANCERS).map(|_| Resolver::default()).collect(),
         hosts: (0..SERVERS).map(|_| Host::default()).collect(),
         requests: Vec::new(),
         events: BinaryHeap::new(),
-        seen: [Seen::default(); 2],
+        outcomes: [Outcomes::default(); 2],
         draws: 0,
     };
     let mut now = 0;
-    while now < LENGTH {
-        let pause = -(1.0 - world.draw()).ln() * 1e6 / (CAPACITY * times);
+    while now < REQUEST_PERIOD {
+        let pause = -(1.0 - simulation.draw()).ln() * 1e6 / (CAPACITY * times);
         now += pause as u64;
-        let urgent = world.draw() < 0.25;
-        let request = world.requests.len();
-        world.requests.push(Request {
+        let urgent = simulation.draw() < 0.25;
+        let request = simulation.requests.len();
+        simulation.requests.push(Request {
             asked: now,
             urgent,
             tries: 0,
@@ -241,35 +244,36 @@
             server: 0,
             cookie: None,
         });
-        world.seen(request).asked += 1;
-        world.at(now, Event::Open(request));
+        simulation.outcomes(request).asked += 1;
+        simulation.at(now, Event::Open(request));
     }
-    while let Some(Reverse((now, event))) = world.events.pop() {
+    while let Some(Reverse((now, event))) = simulation.events.pop() {
         match event {
-            Event::Open(request) => world.open(request, now),
-            Event::Reach(request) => world.reach(request, now),
-            Event::Done(request) => world.done(request, now),
-            Event::Close(request) => world.close(request, now),
+            Event::Open(request) => simulation.open(request, now),
+            Event::Arrive(request) => simulation.arrive(request, now),
+            Event::Done(request) => simulation.done(request, now),
+            Event::Close(request) => simulation.close(request, now),
         }
     }
-    world.seen
+    simulation.outcomes
 }
 
-fn part(seen: Seen) -> f64 {
-    f64::from(seen.in_time) / f64::from(seen.asked)
+/// Share of the requests that were answered within the latency objective.
+fn share_in_time(outcomes: Outcomes) -> f64 {
+    f64::from(outcomes.in_time) / f64::from(outcomes.asked)
 }
 
-/// Answers in time a second, over what the servers can do.
-fn goodput(seen: [Seen; 2]) -> f64 {
-    let in_time = f64::from(seen[0].in_time + seen[1].in_time);
-    in_time / (CAPACITY * LENGTH as f64 / 1e6)
+/// Rate of answers within the latency objective, as a fraction of the servers' capacity.
+fn goodput(outcomes: [Outcomes; 2]) -> f64 {
+    let in_time = f64::from(outcomes[0].in_time + outcomes[1].in_time);
+    in_time / (CAPACITY * REQUEST_PERIOD as f64 / 1e6)
 }
 
-/// Callers ask for twice what the servers can do, for seconds. All queues fill, and without a limit
-/// nearly everybody's answer is late, also that of those who could have been served in time.
+/// Demand is twice the capacity for seconds. All queues fill, and without a limit on the expected
+/// response time nearly all answers are late, even to requests that could have been answered in time.
 #[test]
-fn under_a_flood_more_callers_are_served_in_time_with_a_limit_than_without() {
-    let (with, without) = (play(2.0, true), play(2.0, false));
+fn at_twice_the_capacity_a_limit_raises_the_number_of_answers_in_time() {
+    let (with, without) = (simulate(2.0, true), simulate(2.0, false));
 
     assert!(
         goodput(with) > goodput(without) * 1.2,
@@ -277,40 +281,43 @@
     );
 }
 
-/// Demand rises to eight times what the servers can do. What is answered in time must not fall.
+/// Demand rises to eight times the capacity. The rate of answers in time must not fall.
 #[test]
 fn answers_in_time_do_not_fall_as_demand_rises() {
-    let goodputs = [1.2, 2.0, 4.0, 8.0].map(|times| goodput(play(times, true)));
+    let goodputs = [1.2, 2.0, 4.0, 8.0].map(|times| goodput(simulate(times, true)));
 
     for rising in &goodputs[1..] {
         assert!(*rising > goodputs[0] * 0.95, "{goodputs:?}");
     }
-    assert!(goodput(play(8.0, false)) < goodputs[3] * 0.75);
+    assert!(goodput(simulate(8.0, false)) < goodputs[3] * 0.75);
 }
 
-/// Reservations come beside a feed that asks for more than all servers can do. They are served, the
-/// feed gives way.
+/// Urgent requests arrive beside ordinary ones, and both together exceed the capacity by a fifth. The
+/// urgent ones are answered, and ordinary ones are refused.
 #[test]
-fn urgent_callers_are_served_before_others() {
-    let [ordinary, urgent] = play(1.2, true);
+fn urgent_clients_are_served_before_others() {
+    let [ordinary, urgent] = simulate(1.2, true);
 
-    assert!(part(urgent) > 0.95, "{urgent:?}");
-    assert!(part(urgent) > part(ordinary), "{urgent:?} {ordinary:?}");
+    assert!(share_in_time(urgent) > 0.95, "{urgent:?}");
+    assert!(
+        share_in_time(urgent) > share_in_time(ordinary),
+        "{urgent:?} {ordinary:?}"
+    );
 }
 
-/// Servers with room for everybody: nobody is refused, whatever the chances of the moment.
+/// At half of the capacity no request is refused, however arrivals and processing times vary.
 #[test]
-fn nobody_is_refused_at_half_of_the_capacity() {
-    let seen = play(0.5, true);
+fn no_flow_is_refused_at_half_of_the_capacity() {
+    let outcomes = simulate(0.5, true);
 
-    assert_eq!((seen[0].refused, seen[1].refused), (0, 0));
-    assert!(part(seen[0]) > 0.99, "{seen:?}");
+    assert_eq!((outcomes[0].refused, outcomes[1].refused), (0, 0));
+    assert!(share_in_time(outcomes[0]) > 0.99, "{outcomes:?}");
 }
 
-/// Nine tenths of the capacity: queues are short, and refusing must cost next to nobody an answer.
+/// At nine tenths of the capacity queues are short, and refusals must cost next to no answers in time.
 #[test]
-fn close_to_the_capacity_a_limit_costs_next_to_nothing() {
-    let (with, without) = (play(0.9, true), play(0.9, false));
+fn close_to_the_capacity_a_limit_costs_next_to_no_answers() {
+    let (with, without) = (simulate(0.9, true), simulate(0.9, false));
 
     assert!(
         goodput(with) > goodput(without) * 0.97,
@@ -318,14 +325,15 @@
     );
 }
 
-/// A feed floods the servers with twice what they can do, and these turn reservations away like the rest.
+/// Demand is twice the capacity, and servers with full queues reject urgent requests like ordinary ones.
+/// Ordinary ones must be refused before that, at the balancers.
 #[test]
-fn under_a_flood_the_urgent_are_served_before_the_less_urgent() {
-    let [ordinary, urgent] = play(2.0, true);
+fn at_twice_the_capacity_urgent_clients_are_served_before_others() {
+    let [ordinary, urgent] = simulate(2.0, true);
 
-    assert!(part(urgent) > 0.9, "{urgent:?}");
+    assert!(share_in_time(urgent) > 0.9, "{urgent:?}");
     assert!(
-        part(urgent) > 3.0 * part(ordinary),
+        share_in_time(urgent) > 3.0 * share_in_time(ordinary),
         "{urgent:?} {ordinary:?}"
     );
 }
