--- a/crates/cookie/tests/it/evacuation.rs
+++ b/crates/cookie/tests/it/evacuation.rs
@@ -11,7 +11,7 @@
     absent, catalog, evacuation, middle, ms, opening, present, routed, sent, server, snapshot,
 };
 
-/// Four servers, two in each of two data centres, and the changes that follow.
+/// Changes that add four servers, two in each of two data centres, and a route, followed by `changes`.
 fn servers(changes: impl IntoIterator<Item = Change>) -> Vec<Change> {
     let server = |number: u64, data_centre: &str| {
         let mut server = server(&format!("h-{number}"), "live");
@@ -29,14 +29,14 @@
     all
 }
 
-/// A balancer's snapshot in data centre `a`.
-fn seen(changes: impl IntoIterator<Item = Change>) -> Snapshot {
+/// The snapshot of a balancer in data centre `a`, with the servers and the changes.
+fn snapshot_in_a(changes: impl IntoIterator<Item = Change>) -> Snapshot {
     let mut snapshot = snapshot(servers(changes));
     snapshot.data_centre = "a".into();
     snapshot
 }
 
-/// The servers that some openings go to; none for those that are reset.
+/// The servers to which 199 SYNs are forwarded; `None` for each SYN that is reset.
 fn placed(resolver: &mut Resolver, snapshot: &Snapshot) -> Vec<Option<Arc<str>>> {
     let place = |port| {
         let action = resolver.resolve(snapshot, &opening(port), None, ms(1));
@@ -45,15 +45,15 @@
     (1..200).map(place).collect()
 }
 
-/// New flows go on to the servers of a data centre that the operators are about to take down.
+/// Guards against placing new flows at servers of a data centre that operators are about to take down.
 #[rstest]
-#[case::near(&["a"], &["h-3", "h-4"])]
-#[case::far(&["b"], &["h-1", "h-2"])]
+#[case::local(&["a"], &["h-3", "h-4"])]
+#[case::remote(&["b"], &["h-1", "h-2"])]
 #[case::both(&["a", "b"], &[])]
 fn an_evacuated_data_centre_gets_no_new_flow(#[case] centres: &[&str], #[case] left: &[&str]) {
     let marks = centres.iter().zip(6..);
     let marks = marks.map(|(centre, revision)| evacuation(centre, revision, true));
-    let snapshot = seen(marks);
+    let snapshot = snapshot_in_a(marks);
 
     let placed = placed(&mut Resolver::default(), &snapshot);
 
@@ -64,10 +64,10 @@
     assert_eq!(used, left);
 }
 
-/// Where no data centre is left, callers wait for an answer that nobody will give.
+/// Guards against leaving clients without an answer if no data centre takes new flows.
 #[test]
-fn where_all_servers_are_evacuated_callers_are_refused_at_once() {
-    let snapshot = seen([evacuation("a", 6, true), evacuation("b", 7, true)]);
+fn new_flows_are_reset_at_once_if_all_servers_are_evacuated() {
+    let snapshot = snapshot_in_a([evacuation("a", 6, true), evacuation("b", 7, true)]);
 
     let action = Resolver::default().resolve(&snapshot, &opening(1), None, ms(1));
 
@@ -79,10 +79,10 @@
     );
 }
 
-/// Entries lapse together while the store is away, and the servers of an evacuated data centre are taken
-/// for the only ones left.
+/// All entries expire during an outage of the store. Guards against using the servers of an evacuated
+/// data centre as if no others were left.
 #[test]
-fn an_evacuated_server_whose_entry_lapses_gets_no_new_flow() {
+fn an_evacuated_server_whose_entry_expires_gets_no_new_flow() {
     let lapsed = (1..=4).map(|number: u64| absent(&format!("h-{number}"), 6 + number));
     let before = servers([evacuation("a", 6, true)]);
     let mut roster = Roster::default();
@@ -106,14 +106,14 @@
     assert!(placed.iter().all(Option::is_some));
 }
 
-/// Open feeds end when their data centre is evacuated.
+/// Guards against ending open flows, such as long-lived feeds, when their data centre is evacuated.
 #[test]
 fn open_flows_of_an_evacuated_data_centre_go_on() {
     let mut resolver = Resolver::default();
-    let before = seen([]);
+    let before = snapshot_in_a([]);
     let opened = resolver.resolve(&before, &opening(1), None, ms(1));
     let (server, cookie) = sent(&opened, &before).expect("forwarded");
-    let after = seen([evacuation("a", 6, true), evacuation("b", 7, true)]);
+    let after = snapshot_in_a([evacuation("a", 6, true), evacuation("b", 7, true)]);
 
     let ended = resolver.end_flows_of_gone_servers(&after);
     let action = resolver.resolve(&after, &middle(1, 101, 50, 1), Some(cookie), ms(900));
@@ -122,13 +122,14 @@
     assert_eq!(sent(&action, &after), Some((server, cookie)));
 }
 
-/// The copy of an opening that was placed before the mark follows it there.
+/// Guards against forwarding a retransmitted SYN to the server of the original, if that server has been
+/// evacuated in between.
 #[test]
-fn a_copy_of_an_opening_goes_to_no_server_that_has_been_evacuated_since() {
+fn a_retransmitted_syn_does_not_go_to_an_evacuated_server() {
     let mut resolver = Resolver::default();
-    let before = seen([]);
+    let before = snapshot_in_a([]);
     resolver.resolve(&before, &opening(1), None, ms(1));
-    let after = seen([evacuation("a", 6, true)]);
+    let after = snapshot_in_a([evacuation("a", 6, true)]);
 
     let action = resolver.resolve(&after, &opening(1), None, ms(201));
 
@@ -136,13 +137,14 @@
     assert!(["h-3", "h-4"].contains(&&*server), "{server}");
 }
 
-/// The copy of an opening goes to the server that it was placed at, as no other is left.
+/// Guards against forwarding a retransmitted SYN to the evacuated server of the original because no other
+/// server is left.
 #[test]
-fn a_copy_of_an_opening_is_refused_where_all_servers_have_been_evacuated_since() {
+fn a_retransmitted_syn_is_reset_if_all_servers_have_been_evacuated() {
     let mut resolver = Resolver::default();
-    let before = seen([]);
+    let before = snapshot_in_a([]);
     resolver.resolve(&before, &opening(1), None, ms(1));
-    let after = seen([evacuation("a", 6, true), evacuation("b", 7, true)]);
+    let after = snapshot_in_a([evacuation("a", 6, true), evacuation("b", 7, true)]);
 
     let action = resolver.resolve(&after, &opening(1), None, ms(201));
 
@@ -155,11 +157,11 @@
 }
 
 #[test]
-fn a_data_centre_is_in_use_again_once_the_mark_is_gone() {
-    let snapshot = seen([evacuation("a", 6, true), evacuation("a", 9, false)]);
+fn a_data_centre_gets_new_flows_again_after_its_evacuation_ends() {
+    let snapshot = snapshot_in_a([evacuation("a", 6, true), evacuation("a", 9, false)]);
 
     let placed = placed(&mut Resolver::default(), &snapshot);
 
-    let near = placed.iter().flatten();
-    assert!(near.filter(|id| ["h-1", "h-2"].contains(&&***id)).count() > 100);
+    let local = placed.iter().flatten();
+    assert!(local.filter(|id| ["h-1", "h-2"].contains(&&***id)).count() > 100);
 }
