--- a/crates/cookie/tests/it/resolver.rs
+++ b/crates/cookie/tests/it/resolver.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_flow_goes_on_at_a_balancer_that_has_never_seen_it() {
+fn a_flow_continues_through_a_balancer_that_has_no_state_of_it() {
     let snapshot = snapshot(fleet(14));
     let action = Resolver::default().resolve(&snapshot, &opening(1), None, ms(0));
     let (server, cookie) = sent(&action, &snapshot).expect("a server");
@@ -30,10 +30,10 @@
     assert_eq!(sent(&action, &snapshot), Some((server, cookie)));
 }
 
-/// An operator removes a route while flows are open, and adds it again later. Callers in mid-answer
-/// must get the rest of it; new ones are told at once that nobody serves the address.
+/// An operator removes a route while flows are open, and adds it again later. Open flows must go on;
+/// new ones must be reset at once while there is no route for the address.
 #[test]
-fn a_removed_route_takes_no_new_flows_and_leaves_open_ones() {
+fn a_removed_route_takes_no_new_flows_and_keeps_open_ones() {
     let (routed, unrouted) = (
         snapshot(fleet(3)),
         snapshot(fleet(3).into_iter().chain([unrouted(9)])),
@@ -56,10 +56,10 @@
     assert!(sent(&again, &routed).is_some());
 }
 
-/// A route moves to another service. An opening that was answered under the old configuration must
-/// stay where it is, and new ones must not reach the old service.
+/// A route is changed to target another service. A flow that was opened under the old configuration must
+/// stay at its server, and new ones must not reach the old service.
 #[test]
-fn a_moved_route_sends_new_flows_to_the_new_service_alone() {
+fn a_changed_route_sends_new_flows_to_the_new_service_only() {
     let servers = || {
         [
             present(server("i-1", "live"), 1),
@@ -82,43 +82,43 @@
     assert_eq!(sent(&open, &after).map(|(server, _)| server), Some(server));
 }
 
-/// The answer to an opening is lost, and the caller sends it again. Two servers that both answer it
-/// would leave the flow half open at one of them.
+/// The answer to a SYN is lost, and the client retransmits the SYN. If two servers answered it, the flow
+/// would stay half open at one of them.
 #[test]
-fn a_copy_of_an_opening_goes_to_the_same_server_while_that_one_lives() {
+fn a_retransmitted_syn_goes_to_the_same_server_if_that_one_answers_other_flows() {
     let snapshot = snapshot(fleet(14));
     let mut resolver = Resolver::default();
     let first = resolver.resolve(&snapshot, &opening(1), None, ms(0));
     let (server, cookie) = sent(&first, &snapshot).expect("a server");
-    // Another flow shows meanwhile that the server answers.
+    // Meanwhile, a packet of another flow shows that the server answers.
     resolver.resolve(&snapshot, &middle(2, 10, 50, 1), Some(cookie), ms(100));
 
-    let copy = resolver.resolve(&snapshot, &opening(1), None, ms(200));
+    let retransmitted = resolver.resolve(&snapshot, &opening(1), None, ms(200));
 
-    assert_eq!(sent(&copy, &snapshot), Some((server, cookie)));
+    assert_eq!(sent(&retransmitted, &snapshot), Some((server, cookie)));
 }
 
-/// A server has just died and its entry still stands. Were the copies of an opening all sent there,
-/// the caller would wait 1.4 s to learn that nothing ran.
+/// A server has just failed, and its entry is still in the store. If all retransmissions of a SYN went
+/// there, the client would give up after 1.4 s.
 #[test]
-fn a_copy_of_an_opening_goes_elsewhere_when_the_server_shows_no_life() {
+fn a_retransmitted_syn_goes_to_another_server_if_the_first_one_answers_nothing() {
     let snapshot = snapshot(fleet(14));
     let mut resolver = Resolver::default();
     let first = resolver.resolve(&snapshot, &opening(1), None, ms(0));
     let (silent, _) = sent(&first, &snapshot).expect("a server");
 
-    let copy = resolver.resolve(&snapshot, &opening(1), None, ms(200));
+    let retransmitted = resolver.resolve(&snapshot, &opening(1), None, ms(200));
 
-    let (other, _) = sent(&copy, &snapshot).expect("a server");
+    let (other, _) = sent(&retransmitted, &snapshot).expect("a server");
     assert_ne!(other, silent);
     assert_eq!(resolver.take_notices(ms(210)), [Notice::Unanswered(silent)]);
     assert_eq!(resolver.take_notices(ms(400)), [Notice::Unanswered(other)]);
 }
 
-/// A route moves to another service between an opening and its copy, and the copy still reaches the old
-/// one: the change seems to be taken back.
+/// A route is changed to target another service between a SYN and its retransmission. Guards against
+/// opening a flow at the old service, as if the change had been reverted.
 #[test]
-fn a_copy_of_an_opening_follows_a_route_that_has_moved() {
+fn a_retransmitted_syn_follows_a_changed_route() {
     let servers = || {
         [
             present(server("i-1", "live"), 1),
@@ -130,16 +130,16 @@
     let mut resolver = Resolver::default();
     resolver.resolve(&before, &opening(1), None, ms(0));
 
-    let copy = resolver.resolve(&after, &opening(1), None, ms(100));
+    let retransmitted = resolver.resolve(&after, &opening(1), None, ms(100));
 
-    let (server, _) = sent(&copy, &after).expect("a server");
+    let (server, _) = sent(&retransmitted, &after).expect("a server");
     assert_eq!(&*server, "i-2");
 }
 
-/// A server drains. Copies of an opening that had reached it before must not reach it any more:
-/// within seconds no new work may.
+/// A server starts to drain between a SYN and its retransmission. The retransmission must go to another
+/// server, as no new work may reach a draining server after a few seconds.
 #[test]
-fn a_copy_of_an_opening_goes_to_no_server_that_drains() {
+fn a_retransmitted_syn_does_not_go_to_a_draining_server() {
     let before = snapshot(fleet(14));
     let mut resolver = Resolver::default();
     let first = resolver.resolve(&before, &opening(1), None, ms(0));
@@ -150,15 +150,18 @@
     };
     let after = snapshot(fleet(14).into_iter().chain([present(draining, 99)]));
 
-    let copy = resolver.resolve(&after, &opening(1), None, ms(100));
+    let retransmitted = resolver.resolve(&after, &opening(1), None, ms(100));
 
-    assert_ne!(sent(&copy, &after).map(|(server, _)| server), Some(id));
+    assert_ne!(
+        sent(&retransmitted, &after).map(|(server, _)| server),
+        Some(id)
+    );
 }
 
-/// A server falls silent with flows open. Their callers would wait out their deadlines one by one;
-/// told at once, they open another flow. Nobody else's flow may end.
+/// A server with open flows stops answering. Its clients would wait until their deadlines; when their
+/// flows are ended, they open others at once. No flow of another server may be ended.
 #[test]
-fn the_flows_of_a_silent_server_and_no_others_are_ended() {
+fn only_the_flows_of_a_silent_server_are_ended() {
     let mut roster = Roster::default();
     roster.update(&catalog(fleet(4)), ms(0));
     let before = roster.snapshot(&Detector::default(), ms(0));
@@ -196,8 +199,8 @@
     assert!(!expected.is_empty());
 }
 
-/// A balancer is behind the store and gets a packet of a flow at a server that it has not heard of.
-/// A reset would end a flow that is well; the caller sends the packet again in a moment.
+/// A balancer lags behind the store and receives a packet of a flow at a server that it doesn't know yet.
+/// A reset would end a working flow; after a drop, the client retransmits the packet.
 #[test]
 fn a_packet_for_a_server_that_is_not_known_yet_is_dropped_and_not_reset() {
     let ahead = snapshot(fleet(14));
@@ -217,7 +220,7 @@
 }
 
 #[test]
-fn a_packet_in_mid_flow_without_a_cookie_reaches_nobody() {
+fn a_packet_of_an_open_flow_without_a_cookie_is_dropped() {
     let snapshot = snapshot(fleet(3));
 
     let action = Resolver::default().resolve(&snapshot, &middle(1, 101, 50, 7), None, ms(0));
@@ -230,16 +233,16 @@
     );
 }
 
-/// Each server's entry is known to a balancer or not, and it drains or not.
+/// Views of several balancers: for each server, whether the balancer knows its entry.
 fn views(servers: u64) -> impl Strategy<Value = Vec<Vec<bool>>> {
     let view = prop::collection::vec(any::<bool>(), servers as usize);
     prop::collection::vec(view, 2..6)
 }
 
 proptest! {
-    /// Updates reach balancers at different times, and each packet of a flow may reach any of them.
-    /// Whatever they know, every packet goes to the server that the flow was opened at, or, where
-    /// that one isn't known, to nobody: never to another server.
+    /// Updates reach balancers at different times, and each packet of a flow may reach any balancer.
+    /// Each packet must go to the server at which the flow was opened, or be dropped by a balancer that
+    /// doesn't know that server, and never go to another server.
     #[test]
     fn balancers_whose_views_differ_never_send_a_flow_to_another_server(
         views in views(12),
@@ -269,10 +272,10 @@
         }
     }
 
-    /// Packets of every kind in any order, with any cookie: nothing panics, and nothing but an
-    /// opening or a cookie of a server that is known reaches a server.
+    /// Packets of every kind in any order, with any cookie, must not cause a panic, and a packet must
+    /// only be forwarded to the server that its cookie names.
     #[test]
-    fn any_packets_in_any_order_are_borne(
+    fn any_packets_in_any_order_are_handled(
         packets in prop::collection::vec((0..6u8, 1..5u16, any::<u32>(), any::<u32>(), 0..1_200u16, any::<u32>()), 0..80),
     ) {
         use acacia_cookie::cookie::Cookie;
