--- a/crates/cookie/tests/it/flow.rs
+++ b/crates/cookie/tests/it/flow.rs
@@ -2,7 +2,7 @@
 
 use acacia_cookie::{
     cookie::Cookie,
-    flow::{Held, Sign, Table},
+    flow::{FlowCounts, Observation, Table},
 };
 use acacia_wire::packet::{Kind, Packet};
 use proptest::prelude::*;
@@ -14,72 +14,75 @@
     (Cookie::of("i-1", 0), "i-1".into())
 }
 
-/// A table with one flow that was opened and answered.
+/// A table with one flow, of which the SYN has been answered.
 fn open() -> Table {
     let (cookie, server) = host();
     let mut table = Table::default();
-    table.opened(&opening(1), cookie, &server, ms(0));
+    table.record_opening(&opening(1), cookie, &server, ms(0));
     assert_eq!(
-        table.passed(&middle(1, 101, 0, 50), cookie, &server, ms(4)),
-        Sign::Opened(ms(4))
+        table.observe(&middle(1, 101, 0, 50), cookie, &server, ms(4)),
+        Observation::Opened(ms(4))
     );
     table
 }
 
 #[test]
-fn data_sent_again_after_a_while_shows_that_nobody_answered() {
+fn data_retransmitted_after_a_gap_shows_that_the_server_did_not_answer() {
     let ((cookie, server), mut table) = (host(), open());
     let request = middle(1, 101, 200, 50);
 
-    assert_eq!(table.passed(&request, cookie, &server, ms(10)), Sign::Asked);
     assert_eq!(
-        table.passed(&request, cookie, &server, ms(210)),
-        Sign::Unanswered
+        table.observe(&request, cookie, &server, ms(10)),
+        Observation::RequestSent
+    );
+    assert_eq!(
+        table.observe(&request, cookie, &server, ms(210)),
+        Observation::Unanswered
     );
 }
 
-/// This balancer was frozen, or its queue was full: the packet and its copy reach it together, and
-/// the server had no time to answer the first. Taken as a sign, each pause of a balancer would
-/// throw suspicion on servers that live.
+/// Guards against suspecting live servers after each pause of a balancer: while it is frozen, or its
+/// queue is full, a packet and its retransmission reach it together, and the server had no time to
+/// answer the original.
 #[test]
-fn a_copy_that_comes_with_its_original_shows_nothing() {
+fn a_retransmission_that_arrives_with_the_original_shows_nothing() {
     let ((cookie, server), mut table) = (host(), open());
     let request = middle(1, 101, 200, 50);
-    table.passed(&request, cookie, &server, ms(1_000));
+    table.observe(&request, cookie, &server, ms(1_000));
 
     assert_eq!(
-        table.passed(&request, cookie, &server, ms(1_001)),
-        Sign::None
+        table.observe(&request, cookie, &server, ms(1_001)),
+        Observation::None
     );
 }
 
 #[test]
-fn a_bare_acknowledgement_tells_the_time_of_an_answer() {
+fn an_acknowledgement_without_data_gives_the_response_time() {
     let ((cookie, server), mut table) = (host(), open());
-    table.passed(&middle(1, 101, 200, 50), cookie, &server, ms(10));
+    table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
 
-    let sign = table.passed(&middle(1, 301, 0, 1_250), cookie, &server, ms(40));
+    let observation = table.observe(&middle(1, 301, 0, 1_250), cookie, &server, ms(40));
 
-    assert_eq!(sign, Sign::Timed(ms(30)));
+    assert_eq!(observation, Observation::AnsweredAfter(ms(30)));
 }
 
-/// A caller pauses for seconds and acknowledges the last answer with its next request. Taken as the
-/// server's time, the pause would make it the slowest of all.
+/// A client may pause for seconds and acknowledge the last answer with its next request. Guards against
+/// counting the pause as the server's response time, which would make it look the slowest of all.
 #[test]
-fn an_acknowledgement_that_comes_with_the_next_request_tells_no_time() {
+fn an_acknowledgement_with_the_next_request_gives_no_response_time() {
     let ((cookie, server), mut table) = (host(), open());
-    table.passed(&middle(1, 101, 200, 50), cookie, &server, ms(10));
+    table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
 
-    let sign = table.passed(&middle(1, 301, 200, 90), cookie, &server, ms(5_000));
+    let observation = table.observe(&middle(1, 301, 200, 90), cookie, &server, ms(5_000));
 
-    assert_eq!(sign, Sign::Answered);
+    assert_eq!(observation, Observation::Answered);
 }
 
 #[test]
-fn sequence_numbers_may_run_over() {
+fn sequence_numbers_may_wrap_around() {
     let (cookie, server) = host();
     let mut table = Table::default();
-    table.passed(
+    table.observe(
         &middle(1, u32::MAX - 10, 0, u32::MAX - 5),
         cookie,
         &server,
@@ -87,26 +90,26 @@
     );
 
     assert_eq!(
-        table.passed(
+        table.observe(
             &middle(1, u32::MAX - 10, 100, u32::MAX - 5),
             cookie,
             &server,
             ms(1)
         ),
-        Sign::Asked
+        Observation::RequestSent
     );
     assert_eq!(
-        table.passed(&middle(1, 90, 0, 20), cookie, &server, ms(9)),
-        Sign::Timed(ms(8))
+        table.observe(&middle(1, 90, 0, 20), cookie, &server, ms(9)),
+        Observation::AnsweredAfter(ms(8))
     );
 }
 
 #[test]
-fn flows_are_counted_while_they_live() {
+fn flows_are_counted_until_they_are_closed() {
     let ((cookie, server), mut table) = (host(), open());
-    assert_eq!(table.held("i-1").flows, 1);
+    assert_eq!(table.counts("i-1").flows, 1);
 
-    table.passed(
+    table.observe(
         &Packet {
             kind: Kind::Closing,
             ..middle(1, 101, 0, 50)
@@ -116,95 +119,97 @@
         ms(9),
     );
 
-    assert_eq!(table.held("i-1").flows, 0);
-    table.sweep(ms(20_000), ms(3_010));
+    assert_eq!(table.counts("i-1").flows, 0);
+    table.expire(ms(20_000), ms(3_010));
     assert_eq!(table.len(), 0);
 }
 
-/// A caller closes its flow and then acknowledges the server's end of it. Counted as a flow from
-/// elsewhere, each short flow stayed in its server's count for 20 s more, a request in it seemed to
-/// wait for its answer, and servers with many short flows got too few new ones.
+/// A client closes its flow and then acknowledges the server's FIN. Guards against taking that
+/// acknowledgement for a packet of a flow from another balancer: each short flow then counted at its
+/// server for 20 s more, a request on it seemed pending, and servers with many short flows got too few
+/// new ones.
 #[test]
-fn the_last_acknowledgement_of_a_closed_flow_opens_no_other() {
+fn the_last_acknowledgement_of_a_closed_flow_adds_no_flow() {
     let ((cookie, server), mut table) = (host(), open());
-    table.passed(&middle(1, 101, 200, 50), cookie, &server, ms(10));
+    table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
     let closing = Packet {
         kind: Kind::Closing,
         ..middle(1, 301, 0, 1_250)
     };
-    table.passed(&closing, cookie, &server, ms(40));
+    table.observe(&closing, cookie, &server, ms(40));
 
-    let sign = table.passed(&middle(1, 302, 0, 1_251), cookie, &server, ms(45));
+    let observation = table.observe(&middle(1, 302, 0, 1_251), cookie, &server, ms(45));
 
-    assert_eq!(sign, Sign::None);
-    assert_eq!(table.held("i-1"), Held::default());
+    assert_eq!(observation, Observation::None);
+    assert_eq!(table.counts("i-1"), FlowCounts::default());
 }
 
-/// A caller gives up on a request and closes its flow, or resets it. Nothing was answered.
+/// A client gives up a request that has not been answered, and closes or resets its flow.
 #[rstest]
 #[case::closed(Kind::Closing)]
 #[case::reset(Kind::Reset)]
 fn a_flow_that_ends_before_the_answer_is_abandoned(#[case] kind: Kind) {
     let ((cookie, server), mut table) = (host(), open());
-    table.passed(&middle(1, 101, 200, 50), cookie, &server, ms(10));
-    assert_eq!(table.held("i-1").pending, 1);
+    table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
+    assert_eq!(table.counts("i-1").pending, 1);
 
     let end = Packet {
         kind,
         ..middle(1, 301, 0, 50)
     };
-    let sign = table.passed(&end, cookie, &server, ms(2_000));
+    let observation = table.observe(&end, cookie, &server, ms(2_000));
 
-    assert_eq!(sign, Sign::Abandoned);
-    assert_eq!(table.held("i-1"), Held::default());
+    assert_eq!(observation, Observation::Abandoned);
+    assert_eq!(table.counts("i-1"), FlowCounts::default());
 }
 
-/// A server resets a flow, or its caller vanishes: no packet of it passes a balancer again. Were its
-/// request to count as waiting for as long as the flow is remembered, the server would look loaded.
+/// After a server resets a flow, or its client vanishes, no packet of it passes a balancer again. Guards
+/// against counting its request as pending until the flow expires, which would make the server look
+/// loaded.
 #[test]
-fn a_request_without_any_packet_for_seconds_is_given_up() {
+fn a_pending_request_is_given_up_after_seconds_without_a_packet() {
     let ((cookie, server), mut table) = (host(), open());
-    table.passed(&middle(1, 101, 200, 50), cookie, &server, ms(10));
+    table.observe(&middle(1, 101, 200, 50), cookie, &server, ms(10));
 
-    let given_up = table.sweep(ms(20_000), ms(2_011));
+    let given_up = table.expire(ms(20_000), ms(2_011));
 
     assert_eq!(given_up, [server]);
-    let held = table.held("i-1");
-    assert_eq!((held.flows, held.pending), (1, 0));
-    assert!(table.sweep(ms(20_000), ms(2_100)).is_empty());
+    let counts = table.counts("i-1");
+    assert_eq!((counts.flows, counts.pending), (1, 0));
+    assert!(table.expire(ms(20_000), ms(2_100)).is_empty());
 }
 
 #[test]
-fn flows_without_a_packet_are_forgotten() {
+fn idle_flows_are_removed() {
     let mut table = open();
 
-    table.sweep(ms(20_000), ms(20_005));
+    table.expire(ms(20_000), ms(20_005));
 
-    assert_eq!((table.held("i-1").flows, table.len()), (0, 0));
+    assert_eq!((table.counts("i-1").flows, table.len()), (0, 0));
 }
 
-/// A flood of openings from forged addresses fills the table. The balancer goes on, as nothing is
-/// resolved by it, and its memory stays bounded.
+/// A flood of SYNs from forged addresses fills the table. The balancer still works, as packets are not
+/// routed by the table, and its memory must stay bounded.
 #[test]
-fn a_flood_of_flows_stays_within_bounds() {
+fn the_table_stays_bounded_in_a_flood_of_flows() {
     let (cookie, server) = host();
     let mut table = Table::default();
     for number in 0..100_000u32 {
         let mut packet = opening(1);
         packet.key.client = (0x0a00_0000 + number).into();
-        table.opened(&packet, cookie, &server, ms(0));
+        table.record_opening(&packet, cookie, &server, ms(0));
     }
 
     assert_eq!(table.len(), 32_768);
-    assert_eq!(table.held("i-1").flows, 32_768);
+    assert_eq!(table.counts("i-1").flows, 32_768);
 }
 
 #[derive(Debug, Clone)]
 enum Event {
     Opened,
-    Passed(Kind, u16, u32, u32),
-    Lost,
-    Swept(u64),
+    Observed(Kind, u16, u32, u32),
+    ServerGone,
+    Expired(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -216,17 +221,17 @@
     prop_oneof![
         2 => Just(Event::Opened),
         8 => (kind, 0..3u16, 0..4u32, 0..4u32)
-            .prop_map(|(kind, payload, seq, ack)| Event::Passed(kind, payload * 100, seq * 100, ack)),
-        1 => Just(Event::Lost),
-        1 => (0..5_000u64).prop_map(Event::Swept),
+            .prop_map(|(kind, payload, seq, ack)| Event::Observed(kind, payload * 100, seq * 100, ack)),
+        1 => Just(Event::ServerGone),
+        1 => (0..5_000u64).prop_map(Event::Expired),
     ]
 }
 
 proptest! {
-    /// Packets come in any order, are lost or come twice, and flows are opened again on the same ports
-    /// at other servers. What is counted of each server is what a table of one flow at a time shows.
+    /// Packets are reordered, lost or duplicated, and flows are opened again on the same ports at other
+    /// servers. The counts of each server must equal the sums over tables that hold one flow each.
     #[test]
-    fn counts_of_many_flows_are_the_sum_of_each(
+    fn counts_of_many_flows_are_the_sums_over_single_flows(
         events in prop::collection::vec((0..4u16, 0..2u8, event()), 0..120),
     ) {
         let servers: [Arc<str>; 2] = ["i-1".into(), "i-2".into()];
@@ -238,26 +243,26 @@
             let cookie = Cookie::of(server, 0);
             for table in [&mut whole, &mut single[usize::from(port)]] {
                 match event.clone() {
-                    Event::Opened => table.opened(&opening(port), cookie, server, now),
-                    Event::Passed(kind, payload, seq, ack) => {
+                    Event::Opened => table.record_opening(&opening(port), cookie, server, now),
+                    Event::Observed(kind, payload, seq, ack) => {
                         let packet = Packet { kind, ..middle(port, 101 + seq, payload, ack) };
-                        table.passed(&packet, cookie, server, now);
+                        table.observe(&packet, cookie, server, now);
                     }
-                    Event::Lost | Event::Swept(_) => {}
+                    Event::ServerGone | Event::Expired(_) => {}
                 }
             }
             for table in single.iter_mut().chain([&mut whole]) {
                 match event {
-                    Event::Lost => drop(table.take_lost(|lost| lost == server)),
-                    Event::Swept(idle) => drop(table.sweep(ms(idle), now)),
+                    Event::ServerGone => drop(table.remove_flows_of(|gone| gone == server)),
+                    Event::Expired(idle) => drop(table.expire(ms(idle), now)),
                     _ => {}
                 }
             }
             for server in &servers {
-                let held = |table: &Table| table.held(server);
-                let flows: u32 = single.iter().map(|table| held(table).flows).sum();
-                let pending: u32 = single.iter().map(|table| held(table).pending).sum();
-                prop_assert_eq!(whole.held(server), Held { flows, pending });
+                let counts = |table: &Table| table.counts(server);
+                let flows: u32 = single.iter().map(|table| counts(table).flows).sum();
+                let pending: u32 = single.iter().map(|table| counts(table).pending).sum();
+                prop_assert_eq!(whole.counts(server), FlowCounts { flows, pending });
             }
         }
     }
