--- a/crates/cookie/src/cold.rs
+++ b/crates/cookie/src/cold.rs
@@ -64,27 +64,27 @@
 
 /// What one balancer has sent to cold servers.
 #[derive(Debug, Default)]
-pub struct Sent {
+pub struct Limiter {
     rates: Map<Arc<str>, Rate>,
     /// When each cold server got its latest new flows.
     servers: Map<Arc<str>, VecDeque<Duration>>,
 }
 
-impl Sent {
+impl Limiter {
     /// Takes in a new flow of a service; whether it is to go to one of its cold servers, of which there are
     /// `servers`.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_cookie::cold::{Ration, Sent};
+    /// use acacia_cookie::cold::{Limiter, Ration};
     /// let ration = Ration { bound: 14.0, balancers: 60 };
-    /// let mut sent = Sent::default();
+    /// let mut sent = Limiter::default();
     /// let flows = (0..1_000u64).filter(|flow| {
-    ///     sent.draws(&"live".into(), &ration, 2, *flow, Duration::from_millis(*flow))
+    ///     sent.samples(&"live".into(), &ration, 2, *flow, Duration::from_millis(*flow))
     /// });
     /// assert!(flows.count() < 10);
     /// ```
-    pub fn draws(
+    pub fn samples(
         &mut self,
         service: &Arc<str>,
         ration: &Ration,
--- a/crates/cookie/src/resolver.rs
+++ b/crates/cookie/src/resolver.rs
@@ -143,7 +143,7 @@
     /// How many of each service's less urgent callers are refused.
     throttles: Map<Arc<str>, Throttle>,
     /// What cold servers were sent lately.
-    warming: cold::Sent,
+    warming: cold::Limiter,
     swept: Duration,
     /// When each server last answered something here.
     answered: Map<Arc<str>, Duration>,
--- a/crates/cookie/src/resolver/open.rs
+++ b/crates/cookie/src/resolver/open.rs
@@ -150,7 +150,9 @@
     ) -> Option<u32> {
         let ration = pool.ration?;
         let cold = pool.cold.len();
-        let draws = self.warming.draws(&pool.service, &ration, cold, flow, now);
+        let draws = self
+            .warming
+            .samples(&pool.service, &ration, cold, flow, now);
         if !draws || pool.open.len() >= cold {
             return None;
         }
--- a/crates/cookie/tests/it/cold.rs
+++ b/crates/cookie/tests/it/cold.rs
@@ -13,7 +13,7 @@
 use acacia_code::Code;
 use acacia_cookie::{
     Action, Resolver, Roster, Snapshot,
-    cold::{Ration, Sent},
+    cold::{Limiter, Ration},
     roster::Warming,
     silence::Detector,
 };
@@ -76,7 +76,7 @@
 fn most_by_part(scene: &Scene) -> usize {
     let service: Arc<str> = "live".into();
     let names: Vec<Arc<str>> = (0..scene.servers).map(name).collect();
-    let mut sent: Vec<Sent> = (0..scene.balancers).map(|_| Sent::default()).collect();
+    let mut sent: Vec<Limiter> = (0..scene.balancers).map(|_| Limiter::default()).collect();
     most(scene, &mut |balancer, flow, now| {
         if scene.newborn[balancer] {
             return None;
@@ -86,7 +86,7 @@
             balancers: scene.known[balancer],
         };
         let sent = &mut sent[balancer];
-        if !sent.draws(&service, &ration, scene.servers, flow, now) {
+        if !sent.samples(&service, &ration, scene.servers, flow, now) {
             return None;
         }
         let first = mix(flow) as usize % scene.servers;
@@ -197,11 +197,11 @@
         bound: scene.bound,
         balancers: scene.balancers,
     };
-    let mut sent: Vec<Sent> = (0..scene.balancers).map(|_| Sent::default()).collect();
+    let mut sent: Vec<Limiter> = (0..scene.balancers).map(|_| Limiter::default()).collect();
 
     let flows = (0..8_000u64).filter(|flow| {
         let balancer = *flow as usize % sent.len();
-        sent[balancer].draws(&service, &ration, scene.servers, mix(*flow), ms(flow / 2))
+        sent[balancer].samples(&service, &ration, scene.servers, mix(*flow), ms(flow / 2))
     });
 
     let mean = flows.count() as f64 / 4.0 / scene.servers as f64;
