--- a/crates/cookie/src/failing.rs
+++ b/crates/cookie/src/failing.rs
@@ -2,7 +2,7 @@
 //!
 //! A balancer of a large fleet sees a server's requests once in some seconds: too few to tell one that
 //! fails most of them from one whose caller hung up. So those that saw a request fail tell an *observer* of
-//! the server ([`Ledger`]), which sees them all and tells the data centre ([`Marks`]).
+//! the server ([`Observer`]), which sees them all and tells the data centre ([`FailingServers`]).
 
 use std::{sync::Arc, time::Duration};
 
@@ -58,20 +58,20 @@
 
 /// What an observer knows of its servers' requests.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct Observer {
     servers: Map<Arc<str>, Tally>,
 }
 
-impl Ledger {
+impl Observer {
     /// Takes in how some of a server's requests ended; true if the data centre is to be told now that the
     /// server fails them.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_cookie::failing::Ledger;
-    /// let mut ledger = Ledger::default();
-    /// assert!(!ledger.add(&"host-1".into(), 1, 0, Duration::ZERO));
-    /// assert!(ledger.add(&"host-1".into(), 3, 0, Duration::ZERO));
+    /// use acacia_cookie::failing::Observer;
+    /// let mut observer = Observer::default();
+    /// assert!(!observer.add(&"host-1".into(), 1, 0, Duration::ZERO));
+    /// assert!(observer.add(&"host-1".into(), 3, 0, Duration::ZERO));
     /// ```
     pub fn add(&mut self, server: &Arc<str>, failed: u32, answered: u32, now: Duration) -> bool {
         let tally = self.servers.entry(Arc::clone(server)).or_default();
@@ -99,21 +99,21 @@
 
 /// The servers that observers have found failing, and those that this balancer reports on.
 #[derive(Debug, Default)]
-pub struct Marks {
+pub struct FailingServers {
     until: Map<Arc<str>, Duration>,
     reported: Map<Arc<str>, Duration>,
 }
 
-impl Marks {
+impl FailingServers {
     /// Takes in an observer's verdict; true if the server was not marked.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_cookie::failing::Marks;
-    /// let mut marks = Marks::default();
-    /// assert!(marks.mark(&"host-1".into(), Duration::ZERO));
-    /// assert!(marks.is_marked("host-1", Duration::from_secs(3)));
-    /// assert!(!marks.is_marked("host-1", Duration::from_secs(5)));
+    /// use acacia_cookie::failing::FailingServers;
+    /// let mut failing = FailingServers::default();
+    /// assert!(failing.mark(&"host-1".into(), Duration::ZERO));
+    /// assert!(failing.is_failing("host-1", Duration::from_secs(3)));
+    /// assert!(!failing.is_failing("host-1", Duration::from_secs(5)));
     /// ```
     pub fn mark(&mut self, server: &Arc<str>, now: Duration) -> bool {
         let before = self.until.insert(Arc::clone(server), now + HOLDS);
@@ -122,18 +122,18 @@
 
     /// Whether a server is found failing.
     #[must_use]
-    pub fn is_marked(&self, server: &str, now: Duration) -> bool {
+    pub fn is_failing(&self, server: &str, now: Duration) -> bool {
         self.until.get(server).is_some_and(|until| now < *until)
     }
 
     /// When the next verdict ends.
     #[must_use]
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_expiry(&self) -> Option<Duration> {
         self.until.values().min().copied()
     }
 
     /// Whether this balancer reports what it saw of a server, of whose requests `failed` have failed here.
-    pub fn reports(&mut self, server: &Arc<str>, failed: u32, now: Duration) -> bool {
+    pub fn should_report(&mut self, server: &Arc<str>, failed: u32, now: Duration) -> bool {
         if failed > 0 {
             self.reported.insert(Arc::clone(server), now);
         }
@@ -155,7 +155,7 @@
 }
 
 /// Lowers the weights of failing servers, but for services most of whose servers fail.
-pub fn weigh(snapshot: &mut Snapshot) {
+pub fn lower_weights(snapshot: &mut Snapshot) {
     for pool in &snapshot.pools {
         let open = || pool.open.iter().map(|position| *position as usize);
         let failing: Vec<usize> = open()
--- a/crates/cookie/tests/it/failing.rs
+++ b/crates/cookie/tests/it/failing.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use acacia_cookie::failing::{Ledger, Marks, weigh};
+use acacia_cookie::failing::{FailingServers, Observer, lower_weights};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -15,31 +15,31 @@
 /// Callers hang up now and then, and a server that answers nearly all loses its flows for it.
 #[test]
 fn a_server_that_answers_most_is_not_failing() {
-    let mut ledger = Ledger::default();
+    let mut observer = Observer::default();
 
     for at in 0..200 {
-        assert!(!ledger.add(&id(), 1, 2, ms(at * 50)));
+        assert!(!observer.add(&id(), 1, 2, ms(at * 50)));
     }
 }
 
 /// A server failed requests long ago, one at a time.
 #[test]
 fn old_failures_do_not_add_up() {
-    let mut ledger = Ledger::default();
+    let mut observer = Observer::default();
 
     for at in 0..50 {
-        assert!(!ledger.add(&id(), 1, 0, ms(at * 2_000)));
+        assert!(!observer.add(&id(), 1, 0, ms(at * 2_000)));
     }
 }
 
 /// The data centre is told in time again, and not with each report.
 #[test]
 fn a_verdict_is_repeated_once_a_second() {
-    let mut ledger = Ledger::default();
+    let mut observer = Observer::default();
 
     let told: Vec<u64> = (0..40)
         .map(|number| number * 100)
-        .filter(|at| ledger.add(&id(), 3, 0, ms(*at)))
+        .filter(|at| observer.add(&id(), 3, 0, ms(*at)))
         .collect();
 
     assert_eq!(told, [0, 1_000, 2_000, 3_000]);
@@ -48,10 +48,10 @@
 /// A peer reports absurd numbers, and a server that lives is avoided for good.
 #[test]
 fn an_absurd_report_is_forgotten_within_seconds() {
-    let mut ledger = Ledger::default();
-    ledger.add(&id(), u32::MAX, 0, ms(0));
+    let mut observer = Observer::default();
+    observer.add(&id(), u32::MAX, 0, ms(0));
 
-    let late = (0..10).any(|number| ledger.add(&id(), 0, 4, ms(8_000 + number * 100)));
+    let late = (0..10).any(|number| observer.add(&id(), 0, 4, ms(8_000 + number * 100)));
 
     assert!(!late);
 }
@@ -59,15 +59,15 @@
 /// A failing server is started anew, and gets next to no flows for what it did in its former life.
 #[test]
 fn a_server_that_starts_anew_is_not_avoided() {
-    let (mut ledger, mut marks) = (Ledger::default(), Marks::default());
-    ledger.add(&id(), 9, 0, ms(0));
-    marks.mark(&id(), ms(0));
+    let (mut observer, mut failing) = (Observer::default(), FailingServers::default());
+    observer.add(&id(), 9, 0, ms(0));
+    failing.mark(&id(), ms(0));
 
-    ledger.forget("i-1");
-    marks.forget("i-1");
+    observer.forget("i-1");
+    failing.forget("i-1");
 
-    assert!(!marks.is_marked("i-1", ms(10)));
-    assert!(!ledger.add(&id(), 1, 0, ms(10)));
+    assert!(!failing.is_failing("i-1", ms(10)));
+    assert!(!observer.add(&id(), 1, 0, ms(10)));
 }
 
 /// All servers turn requests away under load. Were those that are known to do it avoided, the few others
@@ -87,7 +87,7 @@
         server.failing = failing.contains(&&*server.id);
     }
 
-    weigh(&mut snapshot);
+    lower_weights(&mut snapshot);
 
     let server = snapshot.servers.iter().find(|server| &*server.id == "a");
     let server = server.expect("a server");
@@ -95,10 +95,10 @@
 }
 
 proptest! {
-    /// Marks end by themselves, whatever comes.
+    /// FailingServers end by themselves, whatever comes.
     #[test]
     fn no_mark_outlives_its_time(marks in prop::collection::vec(0..60_000u64, 0..50)) {
-        let mut held = Marks::default();
+        let mut held = FailingServers::default();
         let last = marks.iter().max().copied().unwrap_or_default();
         let mut marks = marks;
         marks.sort_unstable();
@@ -106,6 +106,6 @@
             held.mark(&id(), ms(at));
         }
 
-        prop_assert!(!held.is_marked("i-1", ms(last) + Duration::from_secs(4)));
+        prop_assert!(!held.is_failing("i-1", ms(last) + Duration::from_secs(4)));
     }
 }
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -17,7 +17,7 @@
 };
 use acacia_cookie::{
     Roster, Snapshot,
-    failing::{Ledger, Marks},
+    failing::{FailingServers, Observer},
     roster::{Limits, Warming},
     silence::Detector,
     speed::{Seen, Speeds},
@@ -89,9 +89,9 @@
     detector: Detector,
     speeds: Speeds,
     /// How the requests of the servers that this balancer observes have ended.
-    ledger: Ledger,
+    ledger: Observer,
     /// Servers that fail their requests.
-    marks: Marks,
+    marks: FailingServers,
     /// What was seen of servers here and not told to peers yet.
     untold: Vec<Seen>,
     /// Peers that have told what they saw since the speeds were last evaluated.
@@ -147,8 +147,8 @@
             }),
             detector: Detector::default(),
             speeds: Speeds::default(),
-            ledger: Ledger::default(),
-            marks: Marks::default(),
+            ledger: Observer::default(),
+            marks: FailingServers::default(),
             untold: Vec::new(),
             reports: 0,
             isolated: false,
--- a/crates/node/src/cookie/core/failing.rs
+++ b/crates/node/src/cookie/core/failing.rs
@@ -18,7 +18,7 @@
     pub(super) fn report_failures(&mut self, seen: &[Seen], now: Duration) -> Outcome {
         let mut reports: BTreeMap<SocketAddrV4, Vec<Failure>> = BTreeMap::new();
         for Seen { server, count } in seen {
-            if !self.marks.reports(server, count.failed, now) {
+            if !self.marks.should_report(server, count.failed, now) {
                 continue;
             }
             let Some(known) = self.roster.get(server) else {
@@ -92,9 +92,9 @@
         self.marks.sweep(now);
         self.ledger.sweep(now);
         for server in &mut snapshot.servers {
-            server.failing = self.marks.is_marked(&server.id, now);
+            server.failing = self.marks.is_failing(&server.id, now);
         }
-        failing::weigh(snapshot);
-        self.marks.next()
+        failing::lower_weights(snapshot);
+        self.marks.next_expiry()
     }
 }
