--- a/crates/cookie/src/resolver.rs
+++ b/crates/cookie/src/resolver.rs
@@ -23,7 +23,7 @@
     cookie::Cookie,
     flow::{Flow, Sign, Table},
     snapshot::{Server, Snapshot, Standing},
-    speed::{Counts, Seen},
+    speed::{Counts, ServerCount},
 };
 
 /// What to do with a packet.
@@ -93,7 +93,7 @@
     /// A packet to the server went unanswered.
     Unanswered(Arc<str>),
     /// What the servers were seen to do.
-    Seen(Vec<Seen>),
+    Seen(Vec<ServerCount>),
 }
 
 /// A time that packets have shown, for the metrics.
--- a/crates/cookie/src/speed.rs
+++ b/crates/cookie/src/speed.rs
@@ -27,7 +27,7 @@
 
 /// What some server was seen to do. What several balancers have seen adds up.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
+pub struct ServerCount {
     /// The server.
     pub server: Arc<str>,
     /// Its counts.
@@ -81,21 +81,21 @@
     /// assert_eq!(counts.take(Duration::from_millis(200)), []);
     /// assert_eq!(counts.take(Duration::from_secs(1))[0].count.asked, 1);
     /// ```
-    pub fn take(&mut self, now: Duration) -> Vec<Seen> {
+    pub fn take(&mut self, now: Duration) -> Vec<ServerCount> {
         if now < self.told + TICK {
             return Vec::new();
         }
         self.told = now;
         let counts = self.servers.drain();
         counts
-            .map(|(server, count)| Seen { server, count })
+            .map(|(server, count)| ServerCount { server, count })
             .collect()
     }
 }
 
 /// A server whose speed has changed by enough to be told.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Measure {
+pub struct SpeedChange {
     /// The server.
     pub server: Arc<str>,
     /// Requests a second that it answers with each slot.
@@ -133,7 +133,7 @@
 
 impl Speeds {
     /// Takes in what was seen of a server, here or at a peer.
-    pub fn add(&mut self, seen: &Seen) {
+    pub fn add(&mut self, seen: &ServerCount) {
         let entry = self.servers.entry(Arc::clone(&seen.server)).or_default();
         entry.count.add(&seen.count);
     }
@@ -146,7 +146,7 @@
         now: Duration,
         visible: f64,
         slots: impl Fn(&str) -> Option<u32>,
-    ) -> Option<Vec<Measure>> {
+    ) -> Option<Vec<SpeedChange>> {
         let passed = now.saturating_sub(self.ticked);
         if passed < TICK {
             return None;
@@ -172,7 +172,7 @@
             let speed = entry.speed_a_slot().unwrap_or_default();
             if (speed - entry.told).abs() > STEP * entry.told {
                 entry.told = speed;
-                changed.push(Measure {
+                changed.push(SpeedChange {
                     server: Arc::clone(server),
                     speed,
                 });
--- a/crates/cookie/tests/it/speed.rs
+++ b/crates/cookie/tests/it/speed.rs
@@ -1,11 +1,11 @@
 use std::{sync::Arc, time::Duration};
 
-use acacia_cookie::speed::{Counts, Seen, Speeds};
+use acacia_cookie::speed::{Counts, ServerCount, Speeds};
 
 use crate::fixture::ms;
 
 /// Counts of one second in which a server answered five requests.
-fn five(server: &str, took: Duration) -> Vec<Seen> {
+fn five(server: &str, took: Duration) -> Vec<ServerCount> {
     let server: Arc<str> = server.into();
     let mut counts = Counts::default();
     for _ in 0..5 {
@@ -15,7 +15,7 @@
     counts.take(Duration::from_secs(1))
 }
 
-fn feed(speeds: &mut Speeds, seen: &[Seen]) {
+fn feed(speeds: &mut Speeds, seen: &[ServerCount]) {
     seen.iter().for_each(|seen| speeds.add(seen));
 }
 
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -20,7 +20,7 @@
     failing::{FailingServers, Observer},
     roster::{Limits, Warming},
     silence::Detector,
-    speed::{Seen, Speeds},
+    speed::{ServerCount, Speeds},
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -93,7 +93,7 @@
     /// Servers that fail their requests.
     marks: FailingServers,
     /// What was seen of servers here and not told to peers yet.
-    untold: Vec<Seen>,
+    untold: Vec<ServerCount>,
     /// Peers that have told what they saw since the speeds were last evaluated.
     reports: usize,
     isolated: bool,
--- a/crates/node/src/cookie/message.rs
+++ b/crates/node/src/cookie/message.rs
@@ -72,9 +72,9 @@
     pub opening_us: u64,
 }
 
-impl From<speed::Seen> for Seen {
-    fn from(seen: speed::Seen) -> Self {
-        let speed::Seen { server, count } = seen;
+impl From<speed::ServerCount> for Seen {
+    fn from(seen: speed::ServerCount) -> Self {
+        let speed::ServerCount { server, count } = seen;
         Seen {
             server,
             asked: count.asked,
@@ -86,9 +86,9 @@
     }
 }
 
-impl From<&Seen> for speed::Seen {
+impl From<&Seen> for speed::ServerCount {
     fn from(seen: &Seen) -> Self {
-        speed::Seen {
+        speed::ServerCount {
             server: Arc::clone(&seen.server),
             count: Count {
                 asked: seen.asked,
