--- a/crates/cookie/src/silence.rs
+++ b/crates/cookie/src/silence.rs
@@ -14,7 +14,7 @@
 use acacia_wire::collections::Map;
 
 /// Servers examined together.
-pub const TOGETHER: usize = 64;
+pub const MAX_EXAMINED: usize = 64;
 /// From the verdict to the first probe of a silent server, and the part of the time since the verdict
 /// that passes between later ones. A server that was away for a moment is found at once, one that was
 /// away for long within a quarter of that time.
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Due {
     /// Those of which it is in question whether they live.
-    pub doubted: Vec<Arc<str>>,
+    pub suspected: Vec<Arc<str>>,
     /// Silent ones, which may be back: a single probe without a control tells.
     pub silent: Vec<Arc<str>>,
 }
@@ -113,7 +113,7 @@
     /// let ms = Duration::from_millis;
     /// let mut detector = Detector::default();
     /// assert!(detector.suspect(&"host-1".into(), ms(300), ms(0)));
-    /// assert_eq!(detector.due(ms(0)).doubted, ["host-1".into()]);
+    /// assert_eq!(detector.due(ms(0)).suspected, ["host-1".into()]);
     /// assert_eq!(detector.found(&"host-1".into(), Finding::Silent, ms(85)), Verdict::Silent);
     /// assert_eq!(detector.found(&"host-1".into(), Finding::Answered, ms(700)), Verdict::Back);
     /// ```
@@ -129,20 +129,20 @@
         }
     }
 
-    /// The servers to examine now, [`TOGETHER`] at most; the others wait for the next time.
+    /// The servers to examine now, [`MAX_EXAMINED`] at most; the others wait for the next time.
     ///
     /// A cut puts a thousand servers of a data centre out of reach; probed together, they would take more
     /// descriptors than a small balancer has left.
     pub fn due(&mut self, now: Duration) -> Due {
         let mut due = Due::default();
         for (server, state) in &mut self.states {
-            if due.doubted.len() + due.silent.len() == TOGETHER {
+            if due.suspected.len() + due.silent.len() == MAX_EXAMINED {
                 break;
             }
             match state {
                 State::Doubted(_) => {
                     *state = State::Examined(now);
-                    due.doubted.push(Arc::clone(server));
+                    due.suspected.push(Arc::clone(server));
                 }
                 State::Silent {
                     since,
@@ -155,7 +155,7 @@
                 _ => {}
             }
         }
-        due.doubted.sort_unstable();
+        due.suspected.sort_unstable();
         due.silent.sort_unstable();
         due
     }
@@ -191,11 +191,16 @@
     /// use acacia_cookie::silence::{Detector, Verdict};
     /// let mut detector = Detector::default();
     /// let server = "host-1".into();
-    /// assert_eq!(detector.reported(&server, 1, Duration::ZERO), Verdict::Same);
-    /// assert_eq!(detector.reported(&server, 1, Duration::ZERO), Verdict::Same);
-    /// assert_eq!(detector.reported(&server, 2, Duration::ZERO), Verdict::Silent);
+    /// assert_eq!(detector.peer_found_silent(&server, 1, Duration::ZERO), Verdict::Same);
+    /// assert_eq!(detector.peer_found_silent(&server, 1, Duration::ZERO), Verdict::Same);
+    /// assert_eq!(detector.peer_found_silent(&server, 2, Duration::ZERO), Verdict::Silent);
     /// ```
-    pub fn reported(&mut self, server: &Arc<str>, reporter: u64, now: Duration) -> Verdict {
+    pub fn peer_found_silent(
+        &mut self,
+        server: &Arc<str>,
+        reporter: u64,
+        now: Duration,
+    ) -> Verdict {
         match self.states.get(server) {
             Some(State::Content(at)) if now < *at + PEER_TRUST => return Verdict::Same,
             Some(State::Doubted(at) | State::Examined(at)) if now < *at + EXPIRY => {
@@ -217,7 +222,7 @@
 
     /// Takes in that a silent server has answered a peer's probe. One that was found silent here is probed
     /// at once.
-    pub fn reported_back(&mut self, server: &Arc<str>, now: Duration) -> Verdict {
+    pub fn peer_found_back(&mut self, server: &Arc<str>, now: Duration) -> Verdict {
         self.reports.remove(server);
         match self.states.get_mut(server) {
             Some(state @ State::Silent { adopted: true, .. }) => {
@@ -235,7 +240,7 @@
 
     /// When the next examination is due.
     #[must_use]
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_due(&self) -> Option<Duration> {
         self.states
             .values()
             .filter_map(|state| match state {
--- a/crates/cookie/tests/it/silence.rs
+++ b/crates/cookie/tests/it/silence.rs
@@ -80,13 +80,13 @@
     let mut detector = Detector::default();
     examine(&mut detector, Finding::Silent, ms(0));
 
-    let next = detector.next().expect("a probe to come");
+    let next = detector.next_due().expect("a probe to come");
     assert_eq!(detector.due(next).silent, [id()]);
     assert_eq!(
         detector.found(&id(), Finding::Silent, next + ms(60)),
         Verdict::Same
     );
-    let later = detector.next().expect("another");
+    let later = detector.next_due().expect("another");
     assert_eq!(detector.due(later).silent, [id()]);
 
     assert_eq!(
@@ -105,7 +105,7 @@
     examine(&mut detector, Finding::Silent, ms(0));
 
     let mut probes = Vec::new();
-    while let Some(next) = detector.next().filter(|next| *next < ms(60_000)) {
+    while let Some(next) = detector.next_due().filter(|next| *next < ms(60_000)) {
         assert_eq!(detector.due(next).silent, [id()]);
         probes.push(next);
     }
@@ -126,7 +126,7 @@
     detector.due(ms(0));
 
     assert!(detector.suspect(&id(), ms(300), ms(1_000)));
-    assert_eq!(detector.due(ms(1_000)).doubted, [id()]);
+    assert_eq!(detector.due(ms(1_000)).suspected, [id()]);
 }
 
 /// A cut puts a thousand servers out of reach. Each must be examined, and no more than some dozens
@@ -141,8 +141,8 @@
     let mut examined = 0;
     for round in 0..16 {
         let due = detector.due(ms(round));
-        assert!(due.doubted.len() <= 64);
-        examined += due.doubted.len();
+        assert!(due.suspected.len() <= 64);
+        examined += due.suspected.len();
     }
 
     assert_eq!(examined, 1_000);
@@ -204,7 +204,10 @@
     let mut detector = Detector::default();
 
     for at in 0..100 {
-        assert_eq!(detector.reported(&id(), 7, ms(at * 50)), Verdict::Same);
+        assert_eq!(
+            detector.peer_found_silent(&id(), 7, ms(at * 50)),
+            Verdict::Same
+        );
     }
 }
 
@@ -212,9 +215,12 @@
 #[test]
 fn old_reports_do_not_add_up() {
     let mut detector = Detector::default();
-    detector.reported(&id(), 1, ms(0));
+    detector.peer_found_silent(&id(), 1, ms(0));
 
-    assert_eq!(detector.reported(&id(), 2, ms(2_000)), Verdict::Same);
+    assert_eq!(
+        detector.peer_found_silent(&id(), 2, ms(2_000)),
+        Verdict::Same
+    );
 }
 
 /// Peers are cut off from a server that this balancer reaches, and it ends living flows on their word.
@@ -224,7 +230,10 @@
     examine(&mut detector, Finding::Answered, ms(0));
 
     for reporter in 0..9 {
-        assert_eq!(detector.reported(&id(), reporter, ms(500)), Verdict::Same);
+        assert_eq!(
+            detector.peer_found_silent(&id(), reporter, ms(500)),
+            Verdict::Same
+        );
     }
 }
 
@@ -232,8 +241,8 @@
 #[test]
 fn a_server_that_is_silent_by_word_is_probed_after_seconds() {
     let mut detector = Detector::default();
-    detector.reported(&id(), 1, ms(0));
-    detector.reported(&id(), 2, ms(0));
+    detector.peer_found_silent(&id(), 1, ms(0));
+    detector.peer_found_silent(&id(), 2, ms(0));
 
     assert!(detector.due(ms(2_900)).silent.is_empty());
     assert_eq!(detector.due(ms(3_000)).silent, [id()]);
@@ -247,10 +256,10 @@
 #[test]
 fn the_word_that_a_server_is_back_is_taken() {
     let mut detector = Detector::default();
-    detector.reported(&id(), 1, ms(0));
-    detector.reported(&id(), 2, ms(0));
+    detector.peer_found_silent(&id(), 1, ms(0));
+    detector.peer_found_silent(&id(), 2, ms(0));
 
-    assert_eq!(detector.reported_back(&id(), ms(400)), Verdict::Back);
+    assert_eq!(detector.peer_found_back(&id(), ms(400)), Verdict::Back);
     assert!(!detector.is_silent("i-1"));
 }
 
@@ -260,7 +269,7 @@
     let mut detector = Detector::default();
     examine(&mut detector, Finding::Silent, ms(0));
 
-    assert_eq!(detector.reported_back(&id(), ms(100)), Verdict::Same);
+    assert_eq!(detector.peer_found_back(&id(), ms(100)), Verdict::Same);
     assert!(detector.is_silent("i-1"));
     assert_eq!(detector.due(ms(100)).silent, [id()]);
 }
@@ -269,12 +278,15 @@
 #[test]
 fn old_words_do_not_silence_a_server_that_is_back() {
     let mut detector = Detector::default();
-    detector.reported(&id(), 1, ms(0));
-    detector.reported(&id(), 2, ms(0));
-    detector.reported_back(&id(), ms(400));
+    detector.peer_found_silent(&id(), 1, ms(0));
+    detector.peer_found_silent(&id(), 2, ms(0));
+    detector.peer_found_back(&id(), ms(400));
 
     for reporter in 1..9 {
-        assert_eq!(detector.reported(&id(), reporter, ms(450)), Verdict::Same);
+        assert_eq!(
+            detector.peer_found_silent(&id(), reporter, ms(450)),
+            Verdict::Same
+        );
     }
 }
 
@@ -282,8 +294,8 @@
 #[test]
 fn only_own_findings_are_told() {
     let mut detector = Detector::default();
-    detector.reported(&id(), 1, ms(0));
-    detector.reported(&id(), 2, ms(0));
+    detector.peer_found_silent(&id(), 1, ms(0));
+    detector.peer_found_silent(&id(), 2, ms(0));
     assert!(detector.found_silent().is_empty());
 
     let mut examiner = Detector::default();
--- a/crates/node/src/cookie/core/examine.rs
+++ b/crates/node/src/cookie/core/examine.rs
@@ -81,7 +81,10 @@
                     outcome.examine = true;
                 }
             } else if near
-                && self.detector.reported(server, rank(from.address), now) == Verdict::Silent
+                && self
+                    .detector
+                    .peer_found_silent(server, rank(from.address), now)
+                    == Verdict::Silent
             {
                 log::warn!("event=server-silent server={server} by=peers");
                 silent.push(Arc::clone(server));
@@ -99,7 +102,7 @@
     pub(super) fn returned(&mut self, servers: &[Arc<str>], now: Duration) -> bool {
         let mut changed = false;
         for server in servers {
-            if self.detector.reported_back(server, now) == Verdict::Back {
+            if self.detector.peer_found_back(server, now) == Verdict::Back {
                 log::info!("event=server-back server={server} by=peer");
                 self.roster.returned(server, now);
                 changed = true;
@@ -115,16 +118,16 @@
     /// The servers to examine now, and when to look again.
     pub fn examination(&mut self, now: Duration) -> (Examination, Option<Duration>) {
         let due = self.detector.due(now);
-        let next = self.detector.next();
-        let targets = self.targets(&due.doubted);
+        let next = self.detector.next_due();
+        let targets = self.targets(&due.suspected);
         let silent = self.targets(&due.silent);
-        let near = self.has_near(&due.doubted);
+        let near = self.has_near(&due.suspected);
         let near_control = !near || self.control_is_near;
         let control = match targets.is_empty() {
             true => None,
             false => self
-                .control(near_control, &due.doubted)
-                .or_else(|| self.control(!near_control, &due.doubted)),
+                .control(near_control, &due.suspected)
+                .or_else(|| self.control(!near_control, &due.suspected)),
         };
         let examination = Examination {
             targets,
--- a/crates/node/src/cookie/examine.rs
+++ b/crates/node/src/cookie/examine.rs
@@ -25,9 +25,9 @@
 const IDLE: Duration = Duration::from_millis(500);
 /// Least wait between two looks for servers to examine, against a busy loop.
 const SHORTEST: Duration = Duration::from_millis(1);
-/// Examinations at a time, of up to [`TOGETHER`](acacia_cookie::silence::TOGETHER) servers each: with
-/// at most six probes a server and four of the control under way, 1,552 descriptors, half of what a
-/// small VM has.
+/// Examinations at a time, of up to [`MAX_EXAMINED`](acacia_cookie::silence::MAX_EXAMINED) servers
+/// each: with at most six probes a server and four of the control under way, 1,552 descriptors, half
+/// of what a small VM has.
 const EXAMINATIONS: usize = 4;
 
 /// Examines servers together and gives what was found of each.
