--- a/crates/cookie/src/roster.rs
+++ b/crates/cookie/src/roster.rs
@@ -22,7 +22,7 @@
     snapshot::{Pool, Route, Server, Snapshot, Standing},
 };
 
-pub use warming::Warming;
+pub use warming::WarmupLimits;
 
 /// The times by which a server whose entry is missing is judged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -77,7 +77,7 @@
     config: Option<Arc<Config>>,
     /// The data centres under evacuation.
     evacuated: BTreeSet<Arc<str>>,
-    warming: Warming,
+    warming: WarmupLimits,
     revision: u64,
     restarted: Vec<Arc<str>>,
 }
--- a/crates/cookie/src/roster/warming.rs
+++ b/crates/cookie/src/roster/warming.rs
@@ -12,7 +12,7 @@
 
 /// What is sent to servers that have just started, of services with a limit on them.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Warming {
+pub struct WarmupLimits {
     /// Factor on the requests a second that the operators state.
     pub overshoot: f64,
     /// Requests a second beyond them.
@@ -21,9 +21,9 @@
     pub balancers: Option<u32>,
 }
 
-impl Default for Warming {
+impl Default for WarmupLimits {
     fn default() -> Self {
-        Warming {
+        WarmupLimits {
             overshoot: 1.0,
             slack: 0.0,
             balancers: None,
@@ -33,12 +33,12 @@
 
 impl Roster {
     /// Sets what is sent to servers that have just started.
-    pub fn set_warming(&mut self, warming: Warming) {
+    pub fn set_warmup_limits(&mut self, warming: WarmupLimits) {
         self.warming = warming;
     }
 
     /// A server that was silent answers again: it may have started anew, and its entry may not say so yet.
-    pub fn returned(&mut self, id: &str, now: Duration) {
+    pub fn suspect_restart(&mut self, id: &str, now: Duration) {
         self.suspect_cold(now, |server| &*server.id == id);
     }
 
@@ -80,7 +80,7 @@
     }
 
     fn ration(&self, warmup: &Warmup) -> Option<Ration> {
-        let Warming {
+        let WarmupLimits {
             overshoot,
             slack,
             balancers,
--- a/crates/cookie/tests/it/cold.rs
+++ b/crates/cookie/tests/it/cold.rs
@@ -14,7 +14,7 @@
 use acacia_cookie::{
     Action, Resolver, Roster, Snapshot,
     cold::{Limiter, Ration},
-    roster::Warming,
+    roster::WarmupLimits,
     silence::Detector,
 };
 use acacia_wire::flow::mix;
@@ -244,7 +244,7 @@
 /// A roster that has taken in the changes at time 0, in a fleet of so many balancers.
 fn roster(changes: Vec<Change>, balancers: Option<u32>) -> Roster {
     let mut roster = Roster::default();
-    roster.set_warming(Warming {
+    roster.set_warmup_limits(WarmupLimits {
         overshoot: 1.5,
         slack: 5.0,
         balancers,
@@ -332,7 +332,7 @@
     changes.push(limited(9));
     let mut roster = roster(changes, Some(3));
 
-    roster.returned("h-4", ms(30_000));
+    roster.suspect_restart("h-4", ms(30_000));
     let during = roster.snapshot(&Detector::default(), ms(31_999));
 
     assert_eq!(cold(&during), ["h-4"]);
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -18,7 +18,7 @@
 use acacia_cookie::{
     Roster, Snapshot,
     failing::{FailingServers, Observer},
-    roster::{Limits, Warming},
+    roster::{Limits, WarmupLimits},
     silence::Detector,
     speed::{ServerCount, Speeds},
 };
@@ -82,7 +82,7 @@
     /// The largest size of the fleet of late.
     size: Peak,
     /// What the settings say of servers that have just started.
-    warming: Warming,
+    warming: WarmupLimits,
     catalog: Catalog,
     reading: Reading,
     roster: Roster,
@@ -426,7 +426,7 @@
     /// Routes and servers for the traffic threads, and when they change by time alone.
     pub fn snapshot(&mut self, now: Duration) -> (Snapshot, Option<Duration>) {
         let balancers = self.balancers(now);
-        self.roster.set_warming(Warming {
+        self.roster.set_warmup_limits(WarmupLimits {
             balancers,
             ..self.warming
         });
@@ -467,8 +467,8 @@
     }
 }
 
-fn warming(settings: &Settings) -> Warming {
-    Warming {
+fn warming(settings: &Settings) -> WarmupLimits {
+    WarmupLimits {
         overshoot: settings.cold_overshoot,
         slack: settings.cold_slack,
         balancers: None,
--- a/crates/node/src/cookie/core/examine.rs
+++ b/crates/node/src/cookie/core/examine.rs
@@ -104,7 +104,7 @@
         for server in servers {
             if self.detector.peer_found_back(server, now) == Verdict::Back {
                 log::info!("event=server-back server={server} by=peer");
-                self.roster.returned(server, now);
+                self.roster.suspect_restart(server, now);
                 changed = true;
             }
         }
@@ -181,7 +181,7 @@
                 Verdict::Same => {}
                 Verdict::Back => {
                     log::info!("event=server-back server={server} by=probe");
-                    self.roster.returned(&server, now);
+                    self.roster.suspect_restart(&server, now);
                     back.push(server);
                 }
                 Verdict::Silent => {
