--- a/crates/cookie/src/trial.rs
+++ b/crates/cookie/src/trial.rs
@@ -120,7 +120,7 @@
     /// use acacia_cookie::{silence::Finding, trial::{Answer, Probe, Trial}};
     /// let mut trial = Trial::new(1, true, Duration::ZERO);
     /// assert_eq!(trial.due(Duration::ZERO), [Probe::Server(0)]);
-    /// trial.take(Probe::Server(0), Answer::Accepted);
+    /// trial.record(Probe::Server(0), Answer::Accepted);
     /// assert!(trial.is_over());
     /// assert_eq!(trial.findings(), [Finding::Answered]);
     /// ```
@@ -137,7 +137,7 @@
         }
     }
 
-    /// What to probe now. Call [`Trial::take`] as each probe ends.
+    /// What to probe now. Call [`Trial::record`] as each probe ends.
     pub fn due(&mut self, now: Duration) -> Vec<Probe> {
         let Some((_, step)) = self.next_step().filter(|(at, _)| now >= *at) else {
             return Vec::new();
@@ -173,12 +173,12 @@
 
     /// When [`Trial::due`] is to be asked next; none if nothing more is to be probed.
     #[must_use]
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_due(&self) -> Option<Duration> {
         self.next_step().map(|(at, _)| at)
     }
 
     /// Takes in how a probe ended.
-    pub fn take(&mut self, probe: Probe, answer: Answer) {
+    pub fn record(&mut self, probe: Probe, answer: Answer) {
         self.under_way -= 1;
         match probe {
             Probe::Server(index) => {
--- a/crates/cookie/tests/it/trial.rs
+++ b/crates/cookie/tests/it/trial.rs
@@ -27,10 +27,10 @@
             ends.insert((now + answered.unwrap_or(WAIT), sent), (probe, answer));
         }
         let end = ends.first_key_value().map(|(key, _)| key.0);
-        now = [trial.next(), end].into_iter().flatten().min().unwrap();
+        now = [trial.next_due(), end].into_iter().flatten().min().unwrap();
         while let Some(entry) = ends.first_entry().filter(|entry| entry.key().0 <= now) {
             let (probe, answer) = entry.remove();
-            trial.take(probe, answer);
+            trial.record(probe, answer);
         }
     }
     (trial.findings()[0], now)
@@ -212,7 +212,7 @@
         (30, Answer::Accepted),
     ] {
         for probe in trial.due(ms(at)) {
-            trial.take(probe, answer);
+            trial.record(probe, answer);
         }
     }
 
@@ -230,7 +230,7 @@
     assert_eq!(trial.due(ms(0)).len(), 1);
     assert_eq!(trial.due(ms(100)), [Probe::Server(0)]);
     assert_eq!(trial.due(ms(100)), []);
-    assert_eq!(trial.next(), Some(ms(105)));
+    assert_eq!(trial.next_due(), Some(ms(105)));
 }
 
 /// No other server is above suspicion. Nothing can be concluded, and the trial must end all the same.
@@ -241,9 +241,9 @@
         trial.due(ms(at));
     }
 
-    trial.take(Probe::Server(0), Answer::Missing);
+    trial.record(Probe::Server(0), Answer::Missing);
     assert!(!trial.is_over(), "the second probe may be answered yet");
-    trial.take(Probe::Server(0), Answer::Missing);
+    trial.record(Probe::Server(0), Answer::Missing);
 
     assert!(trial.is_over());
     assert_eq!(trial.findings(), [Finding::Unknown]);
--- a/crates/node/src/cookie/examine.rs
+++ b/crates/node/src/cookie/examine.rs
@@ -68,11 +68,11 @@
             };
             probes.spawn(async move { (probe, ask(address).await) });
         }
-        let next = trial.next().map(|at| at.saturating_sub(clock::now()));
+        let next = trial.next_due().map(|at| at.saturating_sub(clock::now()));
         tokio::select! {
             () = time::sleep(next.unwrap_or(WAIT)) => {}
             Some(joined) = probes.join_next() => match joined {
-                Ok((probe, answer)) => trial.take(probe, answer),
+                Ok((probe, answer)) => trial.record(probe, answer),
                 Err(error) => {
                     // Without this probe's end the trial would wait for ever.
                     log::error!("event=examination-failed error=\"{error}\"");
