--- a/crates/cookie/src/cold.rs
+++ b/crates/cookie/src/cold.rs
@@ -1,11 +1,12 @@
-//! How many new flows go to servers that have just started.
+//! Limits the rate of new flows to servers that have just started (cold servers).
 //!
-//! A cold server bears few requests a second, and the bound on them holds for the sum over all balancers,
-//! whoever is cut off, has just started or holds old news. Within that second they can't agree on
-//! anything. So each sends there only a random part of the new flows that it sees, small enough that
-//! the sum stays below the bound although nobody knows it: it is then nearly Poisson distributed,
-//! whichever balancers the flows arrive at. An equal share for each balancer would not do: of hundreds,
-//! each would have to get less than one flow.
+//! A cold server can handle only a few requests per second. The bound applies to the sum over all
+//! balancers, including those that are partitioned, have just started or hold stale state. They cannot
+//! coordinate within one second, so each balancer independently sends a random sample of its new flows
+//! to cold servers. The total is then close to a Poisson distribution, whichever balancers the flows
+//! arrive at, and the sampling probability keeps it below the bound without anyone knowing the total.
+//! An equal quota per balancer does not work: with hundreds of balancers, each quota would be less than
+//! one flow.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -15,25 +16,25 @@
     flow::{mix, uniform},
 };
 
-/// Standard deviations between the mean number of new flows in a second and the bound.
-const MARGIN: f64 = 7.0;
-/// For how long a new flow counts at its server: the second of the bound, and what packets may be held
-/// up on their way.
-const COUNTED: Duration = Duration::from_millis(1_300);
-/// Tells the draw from the flow's other uses of its hash.
+/// Standard deviations between the mean number of new flows per second and the bound.
+const MARGIN_SIGMAS: f64 = 7.0;
+/// How long a new flow counts towards its server's bound: the one second that the bound refers to, plus
+/// an allowance for packets that are delayed in the network.
+const COUNT_WINDOW: Duration = Duration::from_millis(1_300);
+/// Makes the sampling decision independent of other decisions based on the flow's hash.
 const SALT: u64 = 0x636f_6c64;
 
-/// What the fleet together may send to each cold server of a service.
+/// The rate limit of the whole fleet for each cold server of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ration {
-    /// Most new flows in any second.
+    /// Maximum number of new flows within any second.
     pub bound: f64,
-    /// Balancers, this one included.
+    /// Number of balancers, including this one.
     pub balancers: u32,
 }
 
 impl Ration {
-    /// The mean number of new flows a second at which the bound holds all the same.
+    /// The mean number of new flows per second that keeps random peaks below the bound.
     ///
     /// ```
     /// use acacia_cookie::cold::Ration;
@@ -44,43 +45,44 @@
     #[must_use]
     pub fn mean(&self) -> f64 {
         let bound = self.bound.floor().max(0.0);
-        let root = ((MARGIN * MARGIN + 4.0 * bound).sqrt() - MARGIN) / 2.0;
+        let root = ((MARGIN_SIGMAS * MARGIN_SIGMAS + 4.0 * bound).sqrt() - MARGIN_SIGMAS) / 2.0;
         root * root
     }
 
-    /// Part of a balancer's new flows that goes to `servers` cold servers, where it sees `rate` of them a
-    /// second.
-    fn part(&self, servers: usize, rate: f64) -> f64 {
-        let seen = rate * f64::from(self.balancers.max(1));
-        (self.mean() * servers as f64 / seen).min(1.0)
+    /// Probability with which a balancer that receives `rate` new flows per second sends one to the
+    /// `servers` cold servers.
+    fn probability(&self, servers: usize, rate: f64) -> f64 {
+        let fleet_rate = rate * f64::from(self.balancers.max(1));
+        (self.mean() * servers as f64 / fleet_rate).min(1.0)
     }
 
-    /// Most new flows that one balancer sends to one server in a second.
-    fn most(&self) -> usize {
+    /// Maximum number of new flows that one balancer sends to one server within [`COUNT_WINDOW`].
+    fn max_per_server(&self) -> usize {
         let share = self.bound / f64::from(self.balancers.max(1));
         (share.floor() as usize).max(1).min(self.bound as usize)
     }
 }
 
-/// What one balancer has sent to cold servers.
+/// Samples and limits the new flows that one balancer sends to cold servers.
 #[derive(Debug, Default)]
 pub struct Limiter {
+    /// Rate of new flows of each service.
     rates: Map<Arc<str>, Rate>,
-    /// When each cold server got its latest new flows.
-    servers: Map<Arc<str>, VecDeque<Duration>>,
+    /// Times at which each cold server received its most recent new flows.
+    recent_flows: Map<Arc<str>, VecDeque<Duration>>,
 }
 
 impl Limiter {
-    /// Takes in a new flow of a service; whether it is to go to one of its cold servers, of which there are
-    /// `servers`.
+    /// Counts a new flow of a service and decides at random whether it goes to one of the service's
+    /// `servers` cold servers.
     ///
     /// ```
     /// use std::time::Duration;
     /// use acacia_cookie::cold::{Limiter, Ration};
     /// let ration = Ration { bound: 14.0, balancers: 60 };
-    /// let mut sent = Limiter::default();
+    /// let mut limiter = Limiter::default();
     /// let flows = (0..1_000u64).filter(|flow| {
-    ///     sent.samples(&"live".into(), &ration, 2, *flow, Duration::from_millis(*flow))
+    ///     limiter.samples(&"live".into(), &ration, 2, *flow, Duration::from_millis(*flow))
     /// });
     /// assert!(flows.count() < 10);
     /// ```
@@ -96,34 +98,34 @@
         let rate = rate.or_insert_with(|| Rate::new(now));
         rate.add(now);
         let rate = rate.a_second(now);
-        uniform(mix(flow ^ SALT)) < ration.part(servers, rate)
+        uniform(mix(flow ^ SALT)) < ration.probability(servers, rate)
     }
 
-    /// Whether a cold server may get another new flow from this balancer.
+    /// Whether this balancer may send another new flow to a cold server.
     #[must_use]
     pub fn has_room(&self, server: &str, ration: &Ration, now: Duration) -> bool {
-        let sent = self.servers.get(server);
-        let recent = sent.map_or(0, |sent| {
-            sent.iter().filter(|at| **at + COUNTED > now).count()
+        let times = self.recent_flows.get(server);
+        let recent = times.map_or(0, |times| {
+            times.iter().filter(|at| **at + COUNT_WINDOW > now).count()
         });
-        recent < ration.most()
+        recent < ration.max_per_server()
     }
 
-    /// A cold server gets a new flow.
+    /// Records a new flow to a cold server.
     pub fn add(&mut self, server: &Arc<str>, now: Duration) {
-        let sent = self.servers.entry(Arc::clone(server)).or_default();
-        sent.retain(|at| *at + COUNTED > now);
-        sent.push_back(now);
+        let times = self.recent_flows.entry(Arc::clone(server)).or_default();
+        times.retain(|at| *at + COUNT_WINDOW > now);
+        times.push_back(now);
     }
 
-    /// Forgets services that `is_service` doesn't name.
+    /// Keeps only the services for which `is_service` returns true.
     pub fn retain(&mut self, is_service: impl Fn(&Arc<str>) -> bool) {
         self.rates.retain(|name, _| is_service(name));
     }
 
-    /// Forgets what is too old to count.
+    /// Removes servers whose flows are all older than [`COUNT_WINDOW`].
     pub fn sweep(&mut self, now: Duration) {
-        self.servers
-            .retain(|_, sent| sent.iter().any(|at| *at + COUNTED > now));
+        self.recent_flows
+            .retain(|_, times| times.iter().any(|at| *at + COUNT_WINDOW > now));
     }
 }
