--- a/crates/cookie/src/failing.rs
+++ b/crates/cookie/src/failing.rs
@@ -1,8 +1,10 @@
-//! Which servers fail their requests, as several balancers see it together.
+//! Detects servers that fail their requests, by combining the counts of several balancers.
 //!
-//! A balancer of a large fleet sees a server's requests once in some seconds: too few to tell one that
-//! fails most of them from one whose caller hung up. So those that saw a request fail tell an *observer* of
-//! the server ([`Observer`]), which sees them all and tells the data centre ([`FailingServers`]).
+//! In a large fleet, one balancer sees a request to a given server only every few seconds. That is too
+//! few to distinguish a server that fails most requests from one whose caller closed the connection.
+//! Balancers that see a request fail therefore report to an *observer* of the server ([`Observer`]).
+//! The observer sums up these reports and announces failing servers to its data centre
+//! ([`FailingServers`]).
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,61 +12,64 @@
 
 use crate::snapshot::Snapshot;
 
-/// Time constant with which requests are forgotten.
-const MEMORY: Duration = Duration::from_secs(2);
-/// Failures within [`MEMORY`] below which nothing is concluded: callers hang up now and then.
-const LEAST: f64 = 3.0;
-/// Part of the requests that must have failed.
-const PART: f64 = 0.6;
-/// Between two verdicts on one server.
-const REPEAT: Duration = Duration::from_secs(1);
-/// How long a verdict holds that is not repeated.
-const HOLDS: Duration = Duration::from_secs(4);
-/// How long a balancer that saw a server fail goes on to report what it sees of it.
-const REPORTS: Duration = Duration::from_secs(5);
-/// Most requests taken in from one report: more than a balancer sees of a server in a second, so that an
-/// absurd number has no lasting effect.
-const MOST: u32 = 64;
-
-/// Part of its weight that a server keeps for new flows while it fails its requests. What still goes there
-/// shows when it has recovered.
-const WEIGHT: f64 = 0.05;
-/// Part of a service's servers above which failing ones keep their weight: then it is load that fails
-/// requests, and those that are left would take all of it.
-const MOST_FAILING: f64 = 0.5;
-
-/// How one server's requests have ended lately.
+/// Time constant of the exponential decay of the counts.
+const DECAY: Duration = Duration::from_secs(2);
+/// Minimum decayed number of failures for a verdict: callers close connections now and then.
+const MIN_FAILURES: f64 = 3.0;
+/// Minimum ratio of failed requests to all requests for a verdict.
+const MIN_FAILURE_RATIO: f64 = 0.6;
+/// Minimum interval between two announcements of one server.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a verdict remains in force unless it is repeated.
+const VERDICT_TTL: Duration = Duration::from_secs(4);
+/// How long a balancer keeps reporting its counts of a server after it saw the server fail.
+const REPORT_PERIOD: Duration = Duration::from_secs(5);
+/// Maximum number of requests accepted from one report. It exceeds what a balancer sees of a server in
+/// one second, and prevents an absurd number from having a lasting effect.
+const MAX_REPORTED: u32 = 64;
+
+/// Factor on the weight for new flows of a failing server. The remaining flows show when it has
+/// recovered.
+const FAILING_WEIGHT: f64 = 0.05;
+/// Fraction of a service's servers above which failing ones keep their weight: the cause is then
+/// overload, and the few remaining servers would receive all of it.
+const MAX_FAILING_FRACTION: f64 = 0.5;
+
+/// Decayed counts of how one server's requests ended.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tally {
     failed: f64,
     answered: f64,
-    at: Duration,
-    told: Option<Duration>,
+    /// When the counts last decayed.
+    updated: Duration,
+    /// When the server was last announced as failing.
+    announced: Option<Duration>,
 }
 
 impl Tally {
-    fn fade(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        let keep = (-passed / MEMORY.as_secs_f64()).exp();
-        self.failed *= keep;
-        self.answered *= keep;
-        self.at = self.at.max(now);
+    fn decay(&mut self, now: Duration) {
+        let passed = now.saturating_sub(self.updated).as_secs_f64();
+        let factor = (-passed / DECAY.as_secs_f64()).exp();
+        self.failed *= factor;
+        self.answered *= factor;
+        self.updated = self.updated.max(now);
     }
 
     fn is_failing(&self) -> bool {
-        self.failed >= LEAST && self.failed >= PART * (self.failed + self.answered)
+        self.failed >= MIN_FAILURES
+            && self.failed >= MIN_FAILURE_RATIO * (self.failed + self.answered)
     }
 }
 
-/// What an observer knows of its servers' requests.
+/// Request counts of the servers that this balancer observes, reported by its peers and itself.
 #[derive(Debug, Default)]
 pub struct Observer {
     servers: Map<Arc<str>, Tally>,
 }
 
 impl Observer {
-    /// Takes in how some of a server's requests ended; true if the data centre is to be told now that the
-    /// server fails them.
+    /// Adds reported request counts of a server. Returns true if the server is failing and is to be
+    /// announced to the data centre now.
     ///
     /// ```
     /// use std::time::Duration;
@@ -75,37 +80,42 @@
     /// ```
     pub fn add(&mut self, server: &Arc<str>, failed: u32, answered: u32, now: Duration) -> bool {
         let tally = self.servers.entry(Arc::clone(server)).or_default();
-        tally.fade(now);
-        tally.failed += f64::from(failed.min(MOST));
-        tally.answered += f64::from(answered.min(MOST));
-        let recent = tally.told.is_some_and(|told| now < told + REPEAT);
+        tally.decay(now);
+        tally.failed += f64::from(failed.min(MAX_REPORTED));
+        tally.answered += f64::from(answered.min(MAX_REPORTED));
+        let recent = tally
+            .announced
+            .is_some_and(|announced| now < announced + ANNOUNCE_INTERVAL);
         if recent || !tally.is_failing() {
             return false;
         }
-        tally.told = Some(now);
+        tally.announced = Some(now);
         true
     }
 
-    /// Forgets a server that has started anew.
+    /// Discards the counts of a server that has restarted.
     pub fn forget(&mut self, server: &str) {
         self.servers.remove(server);
     }
 
-    /// Forgets servers of which nothing was heard for long.
+    /// Removes servers that have not been reported for five time constants.
     pub fn sweep(&mut self, now: Duration) {
-        self.servers.retain(|_, tally| now < tally.at + MEMORY * 5);
+        self.servers
+            .retain(|_, tally| now < tally.updated + DECAY * 5);
     }
 }
 
-/// The servers that observers have found failing, and those that this balancer reports on.
+/// The servers that observers have announced as failing, and those whose counts this balancer reports.
 #[derive(Debug, Default)]
 pub struct FailingServers {
-    until: Map<Arc<str>, Duration>,
-    reported: Map<Arc<str>, Duration>,
+    /// When the verdict on each failing server expires.
+    expiries: Map<Arc<str>, Duration>,
+    /// When this balancer last saw each server fail a request.
+    failure_seen: Map<Arc<str>, Duration>,
 }
 
 impl FailingServers {
-    /// Takes in an observer's verdict; true if the server was not marked.
+    /// Records an observer's verdict. Returns true if the server was not marked as failing before.
     ///
     /// ```
     /// use std::time::Duration;
@@ -116,56 +126,60 @@
     /// assert!(!failing.is_failing("host-1", Duration::from_secs(5)));
     /// ```
     pub fn mark(&mut self, server: &Arc<str>, now: Duration) -> bool {
-        let before = self.until.insert(Arc::clone(server), now + HOLDS);
-        before.is_none_or(|until| until <= now)
+        let previous = self.expiries.insert(Arc::clone(server), now + VERDICT_TTL);
+        previous.is_none_or(|expiry| expiry <= now)
     }
 
-    /// Whether a server is found failing.
+    /// Whether a verdict that the server is failing is in force.
     #[must_use]
     pub fn is_failing(&self, server: &str, now: Duration) -> bool {
-        self.until.get(server).is_some_and(|until| now < *until)
+        self.expiries
+            .get(server)
+            .is_some_and(|expiry| now < *expiry)
     }
 
-    /// When the next verdict ends.
+    /// When the next verdict expires.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
-        self.until.values().min().copied()
+        self.expiries.values().min().copied()
     }
 
-    /// Whether this balancer reports what it saw of a server, of whose requests `failed` have failed here.
+    /// Whether this balancer is to report its counts of a server, given that it has just seen `failed`
+    /// failed requests.
     pub fn should_report(&mut self, server: &Arc<str>, failed: u32, now: Duration) -> bool {
         if failed > 0 {
-            self.reported.insert(Arc::clone(server), now);
+            self.failure_seen.insert(Arc::clone(server), now);
         }
-        let since = self.reported.get(server);
-        since.is_some_and(|since| now < *since + REPORTS)
+        let last = self.failure_seen.get(server);
+        last.is_some_and(|last| now < *last + REPORT_PERIOD)
     }
 
-    /// Forgets a server that has started anew.
+    /// Discards the verdict on a server that has restarted.
     pub fn forget(&mut self, server: &str) {
-        self.until.remove(server);
-        self.reported.remove(server);
+        self.expiries.remove(server);
+        self.failure_seen.remove(server);
     }
 
-    /// Forgets what has ended.
+    /// Removes expired verdicts and report periods.
     pub fn sweep(&mut self, now: Duration) {
-        self.until.retain(|_, until| now < *until);
-        self.reported.retain(|_, since| now < *since + REPORTS);
+        self.expiries.retain(|_, expiry| now < *expiry);
+        self.failure_seen
+            .retain(|_, last| now < *last + REPORT_PERIOD);
     }
 }
 
-/// Lowers the weights of failing servers, but for services most of whose servers fail.
+/// Lowers the weights of failing servers, except in services where most servers are failing.
 pub fn lower_weights(snapshot: &mut Snapshot) {
     for pool in &snapshot.pools {
         let open = || pool.open.iter().map(|position| *position as usize);
         let failing: Vec<usize> = open()
             .filter(|position| snapshot.servers[*position].failing)
             .collect();
-        let is_overload = failing.len() as f64 > MOST_FAILING * pool.open.len() as f64;
+        let is_overload = failing.len() as f64 > MAX_FAILING_FRACTION * pool.open.len() as f64;
         for position in failing {
             let server = &mut snapshot.servers[position];
             server.failing = !is_overload;
-            server.weight *= if is_overload { 1.0 } else { WEIGHT };
+            server.weight *= if is_overload { 1.0 } else { FAILING_WEIGHT };
         }
     }
 }
