--- a/crates/cookie/src/silence.rs
+++ b/crates/cookie/src/silence.rs
@@ -1,102 +1,105 @@
-//! Which servers have fallen silent.
+//! Detects servers that no longer answer (silent servers).
 //!
-//! A server may die without a word, or a cut may put all servers of a data centre out of reach, seconds
-//! before the store drops their entries. The sign is a caller's packet that is sent again. As one lost
-//! packet looks the same, it only starts an examination: whether the server's address still accepts a
-//! connection. A server that lives accepts one within a round trip however busy it is.
+//! A server may crash without closing its connections, or a network partition may make all servers of a
+//! data centre unreachable, seconds before their entries expire in the store. The first sign is a
+//! caller's retransmission. One lost packet looks the same, so a retransmission only starts an
+//! examination, which checks whether the server's address still accepts connections. A live server
+//! accepts one within a round trip, however busy it is.
 //!
-//! In a large data centre a few balancers examine a server for all; the others take their word.
+//! In a large data centre, a few balancers examine a server and the others adopt their result.
 //!
-//! How an examination goes, and what is proof, stands in [`trial`](crate::trial).
+//! [`trial`](crate::trial) describes the probes of an examination and what counts as proof.
 
 use std::{sync::Arc, time::Duration};
 
 use acacia_wire::collections::Map;
 
-/// Servers examined together.
+/// Maximum number of servers examined or probed together.
 pub const MAX_EXAMINED: usize = 64;
-/// From the verdict to the first probe of a silent server, and the part of the time since the verdict
-/// that passes between later ones. A server that was away for a moment is found at once, one that was
-/// away for long within a quarter of that time.
-const AGAIN: Duration = Duration::from_millis(400);
-/// See [`AGAIN`].
-const BACK_OFF: f64 = 0.25;
-/// Longest time between two probes of a silent server.
-const AGAIN_MOST: Duration = Duration::from_secs(3);
-/// After this long an examination without a result is given up: it was never made, as too many were
-/// under way.
-const EXPIRY: Duration = Duration::from_millis(500);
-/// Peers that must have found a server silent before a balancer that didn't examine it takes their word:
-/// one that is cut off itself convinces nobody.
+/// Minimum interval between two probes of a silent server, and the delay from the verdict to the first
+/// one.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval between two probes of a silent server as a fraction of the time since the verdict. A server
+/// that was unreachable for a moment is found at once, one that was unreachable for long within a
+/// quarter of that time.
+const BACKOFF_RATIO: f64 = 0.25;
+/// Maximum interval between two probes of a silent server.
+const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(3);
+/// How long to wait for the result of an examination. If there is none by then, the examination was
+/// never run, as too many were under way, and the server may be suspected again.
+const EXAMINATION_TIMEOUT: Duration = Duration::from_millis(500);
+/// Number of peers that must report a server as silent before a balancer that did not examine it adopts
+/// the result. A single peer may itself be cut off from the network.
 const QUORUM: usize = 2;
-/// How long a peer's report counts.
-const REPORTED: Duration = Duration::from_secs(2);
-/// How long a server that has answered a probe here is trusted whatever peers say of it: it may be out of
-/// reach for them alone.
+/// How long a peer's report remains valid.
+const REPORT_TTL: Duration = Duration::from_secs(2);
+/// How long peers' reports on a server are ignored after it answered a probe of this balancer: it may be
+/// unreachable only from those peers.
 pub const PEER_TRUST: Duration = Duration::from_secs(2);
-/// Where at least this part of all servers is silent, it is this balancer that is cut off, and its
-/// callers are better served through another.
-const ISOLATED: f64 = 0.95;
+/// Fraction of silent servers from which on this balancer takes itself to be cut off from the network.
+/// Its callers are then better served by another balancer.
+const ISOLATION_RATIO: f64 = 0.95;
 
-/// What is known of a server's silence.
+/// Whether a server answers, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     /// It answered a probe at that time.
-    Content(Duration),
-    /// It is to be examined, since that time.
-    Doubted(Duration),
-    /// It is being examined, since that time.
+    Responsive(Duration),
+    /// It has been waiting for an examination since that time.
+    Suspected(Duration),
+    /// Its examination started at that time.
     Examined(Duration),
-    /// Silent since that time; it is to be probed again at the other.
+    /// It does not answer.
     Silent {
         /// When it was found silent.
         since: Duration,
-        /// When it is to be probed again.
-        again: Duration,
-        /// Whether peers found it silent, and not an examination of this balancer's own.
+        /// When it is to be probed next.
+        next_probe: Duration,
+        /// Whether the verdict was adopted from peers rather than reached by an own examination.
         adopted: bool,
     },
 }
 
-/// A peer that has found a server silent, and when it said so.
+/// A peer's report that a server is silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Report {
     reporter: u64,
+    /// When it arrived.
     at: Duration,
 }
 
 /// The servers to examine now.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Due {
-    /// Those of which it is in question whether they live.
+    /// Servers that may no longer answer.
     pub suspected: Vec<Arc<str>>,
-    /// Silent ones, which may be back: a single probe without a control tells.
+    /// Silent servers that may answer again. A single probe without a control shows it.
     pub silent: Vec<Arc<str>>,
 }
 
-/// What an examination has shown.
+/// Result of an examination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Finding {
     /// The server answered a probe.
     Answered,
-    /// It answered none, and the control did.
+    /// The server answered no probe, and the control did.
     Silent,
-    /// It answered none, nor did the control.
+    /// Nothing can be concluded: the server answered no probe, and neither did the control.
     Unknown,
 }
 
-/// A change that the control thread acts upon.
+/// Change of a server's state that the control thread acts upon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// Nothing changes.
     Same,
-    /// The server has fallen silent.
+    /// The server no longer answers.
     Silent,
     /// The server answers again.
     Back,
 }
 
-/// The servers under suspicion.
+/// Tracks which servers are suspected, examined or silent.
 #[derive(Debug, Clone, Default)]
 pub struct Detector {
     states: Map<Arc<str>, State>,
@@ -104,8 +107,9 @@
 }
 
 impl Detector {
-    /// Takes in that a server is said to be silent, by a packet that went unanswered or by a peer.
-    /// True if it is to be examined; one that answered a probe within the time of `trust` is not.
+    /// Suspects a server because a packet to it went unanswered or a peer reported it as silent.
+    /// Returns true if it is to be examined. A server that answered a probe within the last `trust` is
+    /// not.
     ///
     /// ```
     /// use std::time::Duration;
@@ -119,20 +123,24 @@
     /// ```
     pub fn suspect(&mut self, server: &Arc<str>, trust: Duration, now: Duration) -> bool {
         match self.states.get(server) {
-            Some(State::Content(at)) if now < *at + trust => false,
-            Some(State::Doubted(at) | State::Examined(at)) if now < *at + EXPIRY => false,
+            Some(State::Responsive(at)) if now < *at + trust => false,
+            Some(State::Suspected(at) | State::Examined(at)) if now < *at + EXAMINATION_TIMEOUT => {
+                false
+            }
             Some(State::Silent { .. }) => false,
             _ => {
-                self.states.insert(Arc::clone(server), State::Doubted(now));
+                self.states
+                    .insert(Arc::clone(server), State::Suspected(now));
                 true
             }
         }
     }
 
-    /// The servers to examine now, [`MAX_EXAMINED`] at most; the others wait for the next time.
+    /// Returns the servers to examine or probe now, at most [`MAX_EXAMINED`]. The others wait for the
+    /// next call.
     ///
-    /// A cut puts a thousand servers of a data centre out of reach; probed together, they would take more
-    /// descriptors than a small balancer has left.
+    /// A network partition may make a thousand servers of a data centre unreachable. Probing them all at
+    /// once would need more file descriptors than a small balancer has left.
     pub fn due(&mut self, now: Duration) -> Due {
         let mut due = Due::default();
         for (server, state) in &mut self.states {
@@ -140,16 +148,16 @@
                 break;
             }
             match state {
-                State::Doubted(_) => {
+                State::Suspected(_) => {
                     *state = State::Examined(now);
                     due.suspected.push(Arc::clone(server));
                 }
                 State::Silent {
                     since,
-                    again,
+                    next_probe,
                     adopted,
-                } if now >= *again => {
-                    *again = now + pause(now.saturating_sub(*since), *adopted);
+                } if now >= *next_probe => {
+                    *next_probe = now + probe_interval(now.saturating_sub(*since), *adopted);
                     due.silent.push(Arc::clone(server));
                 }
                 _ => {}
@@ -160,19 +168,21 @@
         due
     }
 
-    /// Takes in what an examination has shown.
+    /// Records the result of an examination or probe.
     pub fn found(&mut self, server: &Arc<str>, finding: Finding, now: Duration) -> Verdict {
         let state = self.states.get(server).copied();
         match (finding, state) {
             (Finding::Answered, state) => {
-                self.states.insert(Arc::clone(server), State::Content(now));
+                self.states
+                    .insert(Arc::clone(server), State::Responsive(now));
                 match state {
                     Some(State::Silent { .. }) => Verdict::Back,
                     _ => Verdict::Same,
                 }
             }
             (Finding::Silent, Some(State::Examined(_))) => {
-                self.states.insert(Arc::clone(server), silent(false, now));
+                self.states
+                    .insert(Arc::clone(server), new_silent(false, now));
                 Verdict::Silent
             }
             (Finding::Unknown, Some(State::Examined(_))) => {
@@ -183,8 +193,8 @@
         }
     }
 
-    /// Takes in that the peer `reporter` has found a server silent by its own examination. Once
-    /// [`QUORUM`] peers have, it is silent here as well, without a probe.
+    /// Records that the peer `reporter` found a server silent by its own examination. Once [`QUORUM`]
+    /// peers have reported it, the server is silent for this balancer as well, without a probe.
     ///
     /// ```
     /// use std::time::Duration;
@@ -202,50 +212,51 @@
         now: Duration,
     ) -> Verdict {
         match self.states.get(server) {
-            Some(State::Content(at)) if now < *at + PEER_TRUST => return Verdict::Same,
-            Some(State::Doubted(at) | State::Examined(at)) if now < *at + EXPIRY => {
+            Some(State::Responsive(at)) if now < *at + PEER_TRUST => return Verdict::Same,
+            Some(State::Suspected(at) | State::Examined(at)) if now < *at + EXAMINATION_TIMEOUT => {
                 return Verdict::Same;
             }
             Some(State::Silent { .. }) => return Verdict::Same,
             _ => {}
         }
         let reports = self.reports.entry(Arc::clone(server)).or_default();
-        reports.retain(|report| report.reporter != reporter && now < report.at + REPORTED);
+        reports.retain(|report| report.reporter != reporter && now < report.at + REPORT_TTL);
         reports.push(Report { reporter, at: now });
         if reports.len() < QUORUM {
             return Verdict::Same;
         }
         self.reports.remove(server);
-        self.states.insert(Arc::clone(server), silent(true, now));
+        self.states
+            .insert(Arc::clone(server), new_silent(true, now));
         Verdict::Silent
     }
 
-    /// Takes in that a silent server has answered a peer's probe. One that was found silent here is probed
-    /// at once.
+    /// Records that a silent server answered a peer's probe. If this balancer found it silent by its own
+    /// examination, the server is probed at once instead of being trusted.
     pub fn peer_found_back(&mut self, server: &Arc<str>, now: Duration) -> Verdict {
         self.reports.remove(server);
         match self.states.get_mut(server) {
             Some(state @ State::Silent { adopted: true, .. }) => {
-                // Words from before that are still under way must not end its flows again.
-                *state = State::Content(now);
+                // Older reports that are still in transit must not end its flows again.
+                *state = State::Responsive(now);
                 Verdict::Back
             }
-            Some(State::Silent { again, .. }) => {
-                *again = now;
+            Some(State::Silent { next_probe, .. }) => {
+                *next_probe = now;
                 Verdict::Same
             }
             _ => Verdict::Same,
         }
     }
 
-    /// When the next examination is due.
+    /// When the next examination or probe is due.
     #[must_use]
     pub fn next_due(&self) -> Option<Duration> {
         self.states
             .values()
             .filter_map(|state| match state {
-                State::Content(_) | State::Examined(_) => None,
-                State::Doubted(at) | State::Silent { again: at, .. } => Some(*at),
+                State::Responsive(_) | State::Examined(_) => None,
+                State::Suspected(at) | State::Silent { next_probe: at, .. } => Some(*at),
             })
             .min()
     }
@@ -256,14 +267,14 @@
         matches!(self.states.get(server), Some(State::Silent { .. }))
     }
 
-    /// Whether a server may serve as the control of an examination: nothing speaks against it.
+    /// Whether a server may be the control of an examination, as it is neither suspected nor silent.
     #[must_use]
     pub fn is_trusted(&self, server: &str) -> bool {
-        matches!(self.states.get(server), None | Some(State::Content(_)))
+        matches!(self.states.get(server), None | Some(State::Responsive(_)))
     }
 
-    /// The servers that this balancer has found silent by its own examination: only these are told to
-    /// others, or their word would come back to them as that of many.
+    /// The servers that this balancer found silent by its own examination. Only these are reported to
+    /// peers: adopted verdicts would return to their origin as if many balancers had confirmed them.
     #[must_use]
     pub fn found_silent(&self) -> Vec<Arc<str>> {
         let found = self
@@ -273,7 +284,7 @@
         found.map(|(server, _)| Arc::clone(server)).collect()
     }
 
-    /// The silent servers.
+    /// All silent servers, whether examined here or adopted from peers.
     #[must_use]
     pub fn silent(&self) -> Vec<Arc<str>> {
         let silent = self
@@ -283,20 +294,20 @@
         silent.map(|(server, _)| Arc::clone(server)).collect()
     }
 
-    /// Forgets what is known of a server: it has started anew.
+    /// Discards the state of a server that has restarted.
     pub fn forget(&mut self, server: &str) {
         self.reports.remove(server);
         self.states.remove(server);
     }
 
-    /// Forgets servers that `is_known` doesn't name.
+    /// Keeps only the servers for which `is_known` returns true.
     pub fn retain(&mut self, is_known: impl Fn(&Arc<str>) -> bool) {
         self.states.retain(|server, _| is_known(server));
         self.reports.retain(|server, _| is_known(server));
     }
 
-    /// Whether so many of `all` servers are silent that it is this balancer that is cut off. One or
-    /// two servers that die are no sign of it.
+    /// Whether so many of `all` servers are silent that this balancer itself is probably cut off from the
+    /// network. One or two silent servers are never taken as a sign of that.
     ///
     /// ```
     /// assert!(!acacia_cookie::silence::Detector::default().is_isolated(10));
@@ -304,22 +315,27 @@
     #[must_use]
     pub fn is_isolated(&self, all: usize) -> bool {
         let silent = self.silent().len();
-        silent > 2 && silent as f64 >= ISOLATED * all as f64
+        silent > 2 && silent as f64 >= ISOLATION_RATIO * all as f64
     }
 }
 
 /// The state of a server that is found silent now.
-fn silent(adopted: bool, now: Duration) -> State {
+fn new_silent(adopted: bool, now: Duration) -> State {
     State::Silent {
         since: now,
-        again: now + pause(Duration::ZERO, adopted),
+        next_probe: now + probe_interval(Duration::ZERO, adopted),
         adopted,
     }
 }
 
-/// From one probe of a server that has been silent for so long to the next. Those that examined it tell
-/// the others when it is back, which probe it in case no word of that comes.
-fn pause(silent: Duration, adopted: bool) -> Duration {
-    let least = if adopted { AGAIN_MOST } else { AGAIN };
-    silent.mul_f64(BACK_OFF).clamp(least, AGAIN_MOST)
+/// Interval until the next probe of a server that has been silent for `silent`. Balancers that examined
+/// it report its return to those that adopted the verdict, so these probe less often, in case no report
+/// arrives.
+fn probe_interval(silent: Duration, adopted: bool) -> Duration {
+    let min = if adopted {
+        MAX_PROBE_INTERVAL
+    } else {
+        MIN_PROBE_INTERVAL
+    };
+    silent.mul_f64(BACKOFF_RATIO).clamp(min, MAX_PROBE_INTERVAL)
 }
