--- a/crates/cookie/src/speed.rs
+++ b/crates/cookie/src/speed.rs
@@ -1,13 +1,13 @@
-//! How fast each server is, as far as callers' packets show it.
+//! Estimates how fast each server is from the packets of its callers.
 //!
-//! Nobody tells the servers' speeds, which differ by more than two to one; with equal parts the slow ones
-//! are nearly full while the fast ones idle. The times from a caller's data to the acknowledgement of the
-//! answer show the speed; [`Speed`] turns them into a capacity that doesn't depend on how busy
-//! the server was.
+//! Servers do not report their speeds, which differ by more than two to one. With equal shares, the slow
+//! ones are nearly full while the fast ones idle. The time from a caller's data to the acknowledgement
+//! of the answer shows the speed; [`Speed`] converts these times into a capacity that does not depend on
+//! how busy the server was.
 //!
-//! Traffic threads count ([`Counts`]), and the control thread judges ([`Speeds`]) what they and its
-//! peers have counted: one balancer of nine sees too few answers of a server to tell its speed within
-//! ten seconds.
+//! Traffic threads count requests and their times ([`Counts`]). The control thread derives the speeds
+//! ([`Speeds`]) from its own counts and those of its peers: one balancer of nine sees too few answers of
+//! a server to estimate its speed within ten seconds.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,16 +16,16 @@
 
 use crate::snapshot::Snapshot;
 
-/// Between two evaluations, and between two reports of counts.
+/// Interval between two evaluations, and between two reports of counts.
 const TICK: Duration = Duration::from_secs(1);
-/// Largest ratio between a server's weight and the mean of its service. Beyond it, an estimate is
-/// more likely wrong than true.
-const MOST: f64 = 2.5;
-/// Part of a speed by which it must have changed to be told: each change makes a new snapshot, which
-/// goes through all servers, and 5 % more or less moves next to no flow.
-const STEP: f64 = 0.05;
-
-/// What some server was seen to do. What several balancers have seen adds up.
+/// Maximum ratio between a server's weight and the mean of its service, in either direction. An estimate
+/// beyond it is more likely wrong than right.
+const MAX_FACTOR: f64 = 2.5;
+/// Minimum relative change of a speed that is reported. Each reported change creates a new snapshot,
+/// which iterates over all servers, and a difference of 5 % moves hardly any flows.
+const MIN_CHANGE: f64 = 0.05;
+
+/// Counts of one server's requests. The counts of several balancers can be summed up.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerCount {
     /// The server.
@@ -34,20 +34,21 @@
     pub count: Count,
 }
 
-/// What one traffic thread has seen of the servers since it last told.
+/// The counts of one traffic thread since its last report.
 #[derive(Debug, Default)]
 pub struct Counts {
     servers: Map<Arc<str>, Count>,
-    told: Duration,
+    /// When the counts were last reported.
+    reported: Duration,
 }
 
 impl Counts {
-    /// Data went to a server that had nothing to answer on the flow before.
+    /// Counts a request: data to a server that had nothing left to answer on the flow.
     pub fn asked(&mut self, server: &Arc<str>) {
         self.count(server).asked += 1;
     }
 
-    /// The first part of the answer was acknowledged after `took`.
+    /// Counts an answer whose first part was acknowledged `took` after the request.
     pub fn answered(&mut self, server: &Arc<str>, took: Duration) {
         let count = self.count(server);
         count.answered += 1;
@@ -55,14 +56,14 @@
         count.answering += took;
     }
 
-    /// An opening was answered after `took`, which is the network's time.
+    /// Counts an opening that completed after `took`, which is the network's share of an answer's time.
     pub fn opened(&mut self, server: &Arc<str>, took: Duration) {
         let count = self.count(server);
         count.completed += 1;
         count.opening += took;
     }
 
-    /// A request was given up, or answered too soon to have been worked on.
+    /// Counts a request that was given up, or answered too soon to have been processed.
     pub fn failed(&mut self, server: &Arc<str>) {
         self.count(server).failed += 1;
     }
@@ -71,7 +72,7 @@
         self.servers.entry(Arc::clone(server)).or_default()
     }
 
-    /// What was seen since the last time, once a second; nothing between.
+    /// Returns the counts since the last report once per [`TICK`], otherwise nothing.
     ///
     /// ```
     /// use std::time::Duration;
@@ -82,10 +83,10 @@
     /// assert_eq!(counts.take(Duration::from_secs(1))[0].count.asked, 1);
     /// ```
     pub fn take(&mut self, now: Duration) -> Vec<ServerCount> {
-        if now < self.told + TICK {
+        if now < self.reported + TICK {
             return Vec::new();
         }
-        self.told = now;
+        self.reported = now;
         let counts = self.servers.drain();
         counts
             .map(|(server, count)| ServerCount { server, count })
@@ -93,65 +94,69 @@
     }
 }
 
-/// A server whose speed has changed by enough to be told.
+/// A server whose speed has changed by enough to be reported.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpeedChange {
     /// The server.
     pub server: Arc<str>,
-    /// Requests a second that it answers with each slot.
+    /// Requests per second that it answers with each slot.
     pub speed: f64,
 }
 
-/// One server.
+/// State of one server.
 #[derive(Debug, Default)]
 struct Entry {
+    /// Counts since the last evaluation.
     count: Count,
     speed: Speed,
     slots: u32,
-    /// The speed that was last told.
-    told: f64,
+    /// The speed that was last reported, in requests per second and slot.
+    reported: f64,
 }
 
 impl Entry {
-    /// Requests a second that it answers with each slot; nothing before the first measurement.
-    fn speed_a_slot(&self) -> Option<f64> {
+    /// Requests per second that it answers with each slot; `None` before the first measurement.
+    fn speed_per_slot(&self) -> Option<f64> {
         Some(self.speed.questions()? / f64::from(self.slots.max(1)))
     }
 }
 
-/// The servers' speeds, by all that this balancer and its peers have seen.
+/// Speeds of all servers, estimated from the counts of this balancer and its peers.
 #[derive(Debug, Default)]
 pub struct Speeds {
     servers: Map<Arc<str>, Entry>,
-    /// Counts of all servers, for the network's part of a time.
+    /// Counts of all servers, from which the network's share of an answer's time is estimated.
     all: Window,
-    /// The network's part of an answer's time, in seconds.
+    /// The network's share of an answer's time, in seconds.
     network: f64,
     limits: Limits,
-    ticked: Duration,
+    /// When the speeds were last evaluated.
+    evaluated: Duration,
 }
 
 impl Speeds {
-    /// Takes in what was seen of a server, here or at a peer.
-    pub fn add(&mut self, seen: &ServerCount) {
-        let entry = self.servers.entry(Arc::clone(&seen.server)).or_default();
-        entry.count.add(&seen.count);
+    /// Adds counts of a server from this balancer or a peer.
+    pub fn add(&mut self, counted: &ServerCount) {
+        let entry = self.servers.entry(Arc::clone(&counted.server)).or_default();
+        entry.count.add(&counted.count);
     }
 
-    /// Evaluates what came since the last time, once a second; gives the servers whose speed has
-    /// changed, or nothing between. `slots` gives a server's, or nothing where it is not known any
-    /// more; `visible` is the part of all answers that was taken in.
+    /// Evaluates the counts since the last call once per [`TICK`] and returns the servers whose speed has
+    /// changed; returns `None` in between.
+    ///
+    /// `visible` is the fraction of all answers that the counts contain. `slots` returns the slots of a
+    /// server, or `None` if the server is no longer known; it is then removed.
     pub fn tick(
         &mut self,
         now: Duration,
         visible: f64,
         slots: impl Fn(&str) -> Option<u32>,
     ) -> Option<Vec<SpeedChange>> {
-        let passed = now.saturating_sub(self.ticked);
+        let passed = now.saturating_sub(self.evaluated);
         if passed < TICK {
             return None;
         }
-        self.ticked = now;
+        self.evaluated = now;
         let mut sum = Count::default();
         for entry in self.servers.values() {
             sum.add(&entry.count);
@@ -169,9 +174,9 @@
             entry
                 .speed
                 .learn(&count, passed, network, visible, slots, &self.limits);
-            let speed = entry.speed_a_slot().unwrap_or_default();
-            if (speed - entry.told).abs() > STEP * entry.told {
-                entry.told = speed;
+            let speed = entry.speed_per_slot().unwrap_or_default();
+            if (speed - entry.reported).abs() > MIN_CHANGE * entry.reported {
+                entry.reported = speed;
                 changed.push(SpeedChange {
                     server: Arc::clone(server),
                     speed,
@@ -182,21 +187,21 @@
         Some(changed)
     }
 
-    /// Forgets a server that has started anew: it may run on another VM.
+    /// Discards the speed of a server that has restarted, as it may run on another VM.
     pub fn forget(&mut self, server: &str) {
         self.servers.remove(server);
     }
 
-    /// How long an answer of the server takes when nothing waits.
+    /// How long the server takes to answer when no request is queued.
     fn idle(&self, server: &str) -> Option<Idle> {
-        let speed = self.servers.get(server)?.speed_a_slot()?;
+        let speed = self.servers.get(server)?.speed_per_slot()?;
         (speed > 0.0).then(|| Idle {
             network: self.network,
             work: 1.0 / speed,
         })
     }
 
-    /// Puts what is known into a snapshot's servers.
+    /// Sets the answer times of a snapshot's servers and scales their weights by their speeds.
     pub fn apply(&self, snapshot: &mut Snapshot) {
         for server in &mut snapshot.servers {
             server.idle = self.idle(&server.id);
@@ -210,20 +215,21 @@
         }
     }
 
-    /// Factors on the weights of some servers of one service, in their order: their speed a slot in
-    /// proportion to the mean. A server whose speed is not known yet has the mean.
+    /// Returns the weight factors of some servers of one service, in the given order. A factor is the
+    /// ratio of the server's speed per slot to the mean; a server whose speed is not yet known is assumed
+    /// to have the mean.
     ///
     /// ```
     /// use acacia_cookie::speed::Speeds;
     /// assert_eq!(Speeds::default().factors(["a", "b"]), [1.0, 1.0]);
     /// ```
     pub fn factors<'a>(&self, servers: impl IntoIterator<Item = &'a str>) -> Vec<f64> {
-        let speed = |server: &str| self.servers.get(server)?.speed_a_slot();
+        let speed = |server: &str| self.servers.get(server)?.speed_per_slot();
         let speeds: Vec<Option<f64>> = servers.into_iter().map(speed).collect();
         let known = speeds.iter().flatten();
         let mean = known.clone().sum::<f64>() / known.count().max(1) as f64;
         let factor = |speed: &Option<f64>| match speed {
-            Some(speed) if mean > 0.0 => (speed / mean).clamp(1.0 / MOST, MOST),
+            Some(speed) if mean > 0.0 => (speed / mean).clamp(1.0 / MAX_FACTOR, MAX_FACTOR),
             _ => 1.0,
         };
         speeds.iter().map(factor).collect()
