--- a/crates/cookie/src/trial.rs
+++ b/crates/cookie/src/trial.rs
@@ -1,119 +1,126 @@
-//! One examination of servers under suspicion: what to probe when, and what the answers show.
+//! One examination of suspected servers: when to probe which, and what the answers prove.
 //!
-//! A server that is wrongly found silent has all its flows ended, the worst that a balancer can do. Behind
-//! a full link callers' packets and probes wait or are lost while every server is well. So a server is
-//! silent only beside a *control*, another server that answers meanwhile. Probes of
-//! the two alternate, and the probes come first and last: whatever delays or loses packets for
-//! longer than [`BETWEEN`] then meets the control too. Were the control probed last, a queue that
-//! drains would let it through in time where the probes before it had waited too long.
+//! If a server is wrongly found silent, all its flows are ended, which is the worst that a balancer can
+//! do. On a saturated link, callers' packets and probes are queued or lost although every server is
+//! healthy. A server is therefore found silent only if a *control*, another server, answers in the same
+//! period. Probes of the two alternate, and the server's probes come first and last, so that anything
+//! that delays or loses packets for longer than [`STEP_GAP`] affects the control too. If the control
+//! were probed last, a draining queue could deliver its probe in time although the earlier probes of the
+//! server had waited too long.
 
 use std::time::Duration;
 
 use crate::silence::Finding;
 
-/// How long a probe waits: twice the longest round trip between regions.
+/// Timeout of a probe: twice the longest round trip between regions.
 pub const WAIT: Duration = Duration::from_millis(60);
-/// From the first probe to the second. Most servers live and answer the first within it.
-const APART: Duration = Duration::from_millis(25);
-/// Between a probe and the control that follows it, or the other way round.
-const BETWEEN: Duration = Duration::from_millis(5);
-/// Refused connections that are proof without further probes: a refusal is an answer of the server's
-/// machine, so that no loss explains it.
-const REFUSALS: u32 = 2;
-
-/// What is probed in a step.
+/// Delay from the first probe to the second. Most suspected servers are alive and answer the first probe
+/// within it.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(25);
+/// Delay between a probe of the servers and one of the control, in either order.
+const STEP_GAP: Duration = Duration::from_millis(5);
+/// Number of refused connections that prove a server silent without further probes. A refusal is sent by
+/// the server's host, so packet loss cannot explain it.
+const MIN_REFUSALS: u32 = 2;
+
+/// Target of the probes in one step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
     Servers,
     Control,
 }
 
-/// The steps, each with the time since the one before. With fewer of either, a lossy link lets living
-/// servers look silent.
+/// The steps of a trial, each with the delay after the previous one. With fewer probes of the servers or
+/// of the control, live servers are found silent over a lossy link.
 const STEPS: [(Duration, Step); 10] = [
     (Duration::ZERO, Step::Servers),
-    (APART, Step::Servers),
-    (BETWEEN, Step::Control),
-    (BETWEEN, Step::Servers),
-    (BETWEEN, Step::Control),
-    (BETWEEN, Step::Servers),
-    (BETWEEN, Step::Control),
-    (BETWEEN, Step::Servers),
-    (BETWEEN, Step::Control),
-    (BETWEEN, Step::Servers),
+    (SECOND_PROBE_DELAY, Step::Servers),
+    (STEP_GAP, Step::Control),
+    (STEP_GAP, Step::Servers),
+    (STEP_GAP, Step::Control),
+    (STEP_GAP, Step::Servers),
+    (STEP_GAP, Step::Control),
+    (STEP_GAP, Step::Servers),
+    (STEP_GAP, Step::Control),
+    (STEP_GAP, Step::Servers),
 ];
 
-/// Probes of a server in a whole trial.
-const PROBES: u32 = count(Step::Servers);
-/// Probes of the control.
-const CONTROLS: u32 = count(Step::Control);
+/// Number of probes of each server in a complete trial.
+const SERVER_PROBES: u32 = count(Step::Servers);
+/// Number of probes of the control in a complete trial.
+const CONTROL_PROBES: u32 = count(Step::Control);
 
 const fn count(step: Step) -> u32 {
-    let (mut found, mut at) = (0, 0);
-    while at < STEPS.len() {
-        found += (STEPS[at].1 as u32 == step as u32) as u32;
-        at += 1;
+    let (mut total, mut index) = (0, 0);
+    while index < STEPS.len() {
+        total += (STEPS[index].1 as u32 == step as u32) as u32;
+        index += 1;
     }
-    found
+    total
 }
 
-/// Something to probe.
+/// Target of one probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Probe {
-    /// The server under suspicion with this index.
+    /// The suspected server with this index.
     Server(usize),
     /// The control.
     Control,
 }
 
-/// How a probe ended.
+/// Result of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
     /// The connection was accepted.
     Accepted,
-    /// It was refused.
+    /// The connection was refused.
     Refused,
-    /// Nothing came within [`WAIT`].
+    /// No answer arrived within [`WAIT`].
     Missing,
 }
 
-/// What is known of a server.
+/// Results of the probes of one server.
 #[derive(Debug, Clone, Copy, Default)]
 struct Server {
     answered: bool,
+    /// Number of refused probes.
     refused: u32,
+    /// Number of probes without an answer.
     missing: u32,
 }
 
 impl Server {
     fn is_refusing(self) -> bool {
-        !self.answered && self.refused >= REFUSALS
+        !self.answered && self.refused >= MIN_REFUSALS
     }
 
-    /// Whether further probes may tell something of it.
-    fn is_open(self) -> bool {
-        !self.answered && self.refused < REFUSALS
+    /// Whether further probes may change the result for this server.
+    fn is_undecided(self) -> bool {
+        !self.answered && self.refused < MIN_REFUSALS
     }
 }
 
-/// An examination under way.
+/// The probes of one examination and their results so far.
 #[derive(Debug, Clone)]
 pub struct Trial {
     servers: Vec<Server>,
+    /// Index of the next step.
     step: usize,
     /// When the next step is due.
-    at: Duration,
-    /// Probes that have not ended.
-    under_way: usize,
-    /// Controls that were answered.
+    step_due: Duration,
+    /// Number of probes without a result yet.
+    pending: usize,
+    /// Number of accepted probes of the control.
     controls: u32,
-    /// Whether a control went unanswered, or there is none: nothing is concluded then.
+    /// Whether a probe of the control was not accepted, or there is no control. Nothing can be concluded
+    /// then.
     uncontrolled: bool,
     has_control: bool,
 }
 
 impl Trial {
-    /// A trial of so many servers that begins at `now`, with or without a server to be its control.
+    /// Creates a trial of `servers` servers that starts at `now`. `has_control` tells whether there is a
+    /// server to be the control.
     ///
     /// ```
     /// use std::time::Duration;
@@ -129,25 +136,25 @@
         Trial {
             servers: vec![Server::default(); servers],
             step: 0,
-            at: now,
-            under_way: 0,
+            step_due: now,
+            pending: 0,
             controls: 0,
             uncontrolled: false,
             has_control,
         }
     }
 
-    /// What to probe now. Call [`Trial::record`] as each probe ends.
+    /// Returns the probes to send now. Call [`Trial::record`] with the result of each.
     pub fn due(&mut self, now: Duration) -> Vec<Probe> {
         let Some((_, step)) = self.next_step().filter(|(at, _)| now >= *at) else {
             return Vec::new();
         };
         self.step += 1;
-        // From now and not from the time planned: where this process was held up, steps that are late
-        // must not be made together.
-        self.at = now + STEPS.get(self.step).map_or(Duration::ZERO, |(gap, _)| *gap);
+        // The delay counts from now rather than from the scheduled time. Otherwise the late steps would
+        // all run at once after this process was suspended.
+        self.step_due = now + STEPS.get(self.step).map_or(Duration::ZERO, |(gap, _)| *gap);
         let probes = self.probes(step);
-        self.under_way += probes.len();
+        self.pending += probes.len();
         probes
     }
 
@@ -155,8 +162,8 @@
         match step {
             Step::Servers => {
                 let servers = self.servers.iter().enumerate();
-                let open = servers.filter(|(_, server)| server.is_open());
-                open.map(|(index, _)| Probe::Server(index)).collect()
+                let undecided = servers.filter(|(_, server)| server.is_undecided());
+                undecided.map(|(index, _)| Probe::Server(index)).collect()
             }
             Step::Control if self.has_control => vec![Probe::Control],
             Step::Control => {
@@ -168,18 +175,18 @@
 
     fn next_step(&self) -> Option<(Duration, Step)> {
         let (_, step) = STEPS.get(self.step).filter(|_| !self.is_decided())?;
-        Some((self.at, *step))
+        Some((self.step_due, *step))
     }
 
-    /// When [`Trial::due`] is to be asked next; none if nothing more is to be probed.
+    /// When to call [`Trial::due`] next; `None` if no probes remain.
     #[must_use]
     pub fn next_due(&self) -> Option<Duration> {
         self.next_step().map(|(at, _)| at)
     }
 
-    /// Takes in how a probe ended.
+    /// Records the result of a probe.
     pub fn record(&mut self, probe: Probe, answer: Answer) {
-        self.under_way -= 1;
+        self.pending -= 1;
         match probe {
             Probe::Server(index) => {
                 let server = &mut self.servers[index];
@@ -194,30 +201,31 @@
         }
     }
 
-    /// Whether further probes would change nothing.
+    /// Whether further probes cannot change the findings.
     fn is_decided(&self) -> bool {
-        let open = self.servers.iter().any(|server| server.is_open());
+        let undecided = self.servers.iter().any(|server| server.is_undecided());
         let refusing = self.servers.iter().any(|server| server.is_refusing());
-        self.uncontrolled || (!open && (!refusing || self.controls > 0))
+        self.uncontrolled || (!undecided && (!refusing || self.controls > 0))
     }
 
-    /// Whether all is known that this trial can show.
+    /// Whether the findings are final.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        // A server may answer yet when the control has not.
-        let waits = self.uncontrolled && self.under_way > 0;
-        let done = self.is_decided() || self.step == STEPS.len() && self.under_way == 0;
+        // A server may still answer a pending probe although the control did not.
+        let waits = self.uncontrolled && self.pending > 0;
+        let done = self.is_decided() || self.step == STEPS.len() && self.pending == 0;
         done && !waits
     }
 
-    /// What was found of each server, by index.
+    /// The finding for each server, by index.
     #[must_use]
     pub fn findings(&self) -> Vec<Finding> {
         self.servers.iter().map(|one| self.finding(*one)).collect()
     }
 
     fn finding(&self, server: Server) -> Finding {
-        let silent = server.refused + server.missing >= PROBES && self.controls >= CONTROLS;
+        let silent =
+            server.refused + server.missing >= SERVER_PROBES && self.controls >= CONTROL_PROBES;
         match server.answered {
             true => Finding::Answered,
             false if self.uncontrolled => Finding::Unknown,
