--- a/crates/cookie/src/roster.rs
+++ b/crates/cookie/src/roster.rs
@@ -1,4 +1,4 @@
-//! Every backend server that may still have flows, and what it is good for.
+//! Tracks every backend server that may still have flows, and whether it is usable.
 
 mod warming;
 
@@ -24,13 +24,13 @@
 
 pub use warming::WarmupLimits;
 
-/// The times by which a server whose entry is missing is judged.
+/// How long a server whose entry is missing remains usable and known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// How long a missing entry may come back before the server is taken as gone. 2 s: within that
-    /// time the store has them back after an outage.
+    /// How long a server with a missing entry remains usable. The default is 2 s: after an outage, the
+    /// store has the entries back within that time.
     pub missing: Duration,
-    /// How long a server that is gone stays known by its cookie: the longest life of a flow.
+    /// How long a server that is gone remains known by its cookie: the maximum lifetime of a flow.
     pub known: Duration,
 }
 
@@ -43,33 +43,34 @@
     }
 }
 
-/// Weight of a server that has just started against one that is warm, as its first requests take longer.
-const COLD: f64 = 0.6;
+/// Weight factor of a server that has just started, as its first requests take longer.
+const COLD_WEIGHT: f64 = 0.6;
 
+/// A server and what this balancer has learned of its entry.
 #[derive(Debug, Clone)]
 struct Known {
     server: Arc<server::Server>,
-    /// Position in the order in which balancers came to know servers, the same on all that follow
-    /// one store: its revision.
-    since: u64,
+    /// Revision of the store at which this balancer first saw the server. It orders servers in the same
+    /// way on all balancers that follow one store.
+    first_revision: u64,
     /// When its entry went missing.
     missing: Option<Duration>,
-    /// Until when it is slow after its start, by its entry.
-    warm: Duration,
-    /// Until when it may be, as it may have started again without a word.
-    suspect: Duration,
+    /// End of its warm-up, according to its entry.
+    warm_at: Duration,
+    /// End of its warm-up if it has restarted unnoticed, as it may have.
+    suspected_until: Duration,
     /// All its cookies.
     cookies: [Cookie; VARIANTS as usize],
 }
 
 impl Known {
-    /// Whether it announced its departure and its entry is gone.
+    /// Whether it announced its departure and its entry has been removed.
     fn has_left(&self) -> bool {
         self.missing.is_some() && self.server.state == State::Draining
     }
 }
 
-/// The servers known to a balancer, those that left within the life of a flow included.
+/// The servers known to a balancer, including those that left within the lifetime of a flow.
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     limits: Limits,
@@ -77,13 +78,14 @@
     config: Option<Arc<Config>>,
     /// The data centres under evacuation.
     evacuated: BTreeSet<Arc<str>>,
-    warming: WarmupLimits,
+    warmup_limits: WarmupLimits,
     revision: u64,
+    /// Servers that have restarted since the last call of [`Roster::take_restarted`].
     restarted: Vec<Arc<str>>,
 }
 
 impl Roster {
-    /// Nothing is known yet.
+    /// Creates a roster without any servers.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Roster {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Takes in what the catalog holds now.
+    /// Updates servers, configuration and evacuations from the catalog.
     ///
     /// ```
     /// use std::time::Duration;
@@ -108,13 +110,13 @@
         self.config = catalog.config().map(|item| Arc::clone(&item.value));
         let evacuations = catalog.evacuations();
         let evacuated = evacuations.map(|(centre, _)| Arc::clone(centre)).collect();
-        let before = std::mem::replace(&mut self.evacuated, evacuated);
-        for centre in &before - &self.evacuated {
+        let previous = std::mem::replace(&mut self.evacuated, evacuated);
+        for centre in &previous - &self.evacuated {
             self.suspect_cold(now, |server| server.data_centre == centre);
         }
         for (id, item) in catalog.servers() {
             match &item.value {
-                Some(server) => self.take(id, server, item.revision, now),
+                Some(server) => self.update_server(id, server, item.revision, now),
                 None => {
                     if let Some(known) = self.servers.get_mut(id) {
                         known.missing.get_or_insert(now);
@@ -130,8 +132,15 @@
         });
     }
 
-    fn take(&mut self, id: &Arc<str>, server: &Arc<server::Server>, revision: u64, now: Duration) {
-        let warm = now + Duration::from_millis(server.warmup_ms.into());
+    /// Updates one server from its entry.
+    fn update_server(
+        &mut self,
+        id: &Arc<str>,
+        server: &Arc<server::Server>,
+        revision: u64,
+        now: Duration,
+    ) {
+        let warm_at = now + Duration::from_millis(server.warmup_ms.into());
         match self.servers.get_mut(id) {
             Some(known) if Arc::ptr_eq(&known.server, server) => known.missing = None,
             Some(known) => {
@@ -140,15 +149,15 @@
                 }
                 known.server = Arc::clone(server);
                 known.missing = None;
-                known.warm = warm;
+                known.warm_at = warm_at;
             }
             None => {
                 let known = Known {
                     server: Arc::clone(server),
-                    since: revision,
+                    first_revision: revision,
                     missing: None,
-                    warm,
-                    suspect: Duration::ZERO,
+                    warm_at,
+                    suspected_until: Duration::ZERO,
                     cookies: std::array::from_fn(|variant| Cookie::of(id, variant as u32)),
                 };
                 self.servers.insert(Arc::clone(id), known);
@@ -156,22 +165,22 @@
         }
     }
 
-    /// The servers that have started again under their names since the last time.
+    /// Returns the servers that have restarted under their names since the last call.
     ///
-    /// What was learned of such a server no longer holds: it was silent or slow in its former life,
-    /// perhaps on another VM. Without this it would get no flow until a probe finds it, and too few
-    /// for as long as its old speed is remembered.
+    /// What was learned of such a server before its restart, perhaps on another VM, is no longer valid.
+    /// If that state were kept, a server that was silent would get no flow until a probe succeeds, and
+    /// one that was slow would get too few for as long as its old speed is remembered.
     pub fn take_restarted(&mut self) -> Vec<Arc<str>> {
         std::mem::take(&mut self.restarted)
     }
 
-    /// When the standing of some server changes by time alone, if nothing else happens before.
+    /// When the standing or the warm-up of some server next changes by the passage of time alone.
     #[must_use]
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
         let missing = self.limits.missing;
         let ends = |known: &Known| {
-            let back = known.missing.map(|at| at + missing);
-            [back, Some(known.warm), Some(known.suspect)]
+            let expiry = known.missing.map(|at| at + missing);
+            [expiry, Some(known.warm_at), Some(known.suspected_until)]
         };
         self.servers
             .values()
@@ -181,17 +190,17 @@
             .min()
     }
 
-    /// Routes and servers as traffic threads need them.
+    /// Returns the routes and servers for the traffic threads.
     #[must_use]
     pub fn snapshot(&self, detector: &Detector, now: Duration) -> Snapshot {
         let mut snapshot = Snapshot {
             revision: self.revision,
             ..Snapshot::default()
         };
-        // Older ones first: they keep the cookies that younger ones turn out to share.
+        // Older servers come first: they keep a cookie that a newer server turns out to share.
         let mut known: Vec<&Known> = self.servers.values().collect();
         known.sort_by(|one, other| {
-            (one.since, &one.server.id).cmp(&(other.since, &other.server.id))
+            (one.first_revision, &one.server.id).cmp(&(other.first_revision, &other.server.id))
         });
         let shared = shared_cookies(&known);
         for (position, known) in known.iter().enumerate() {
@@ -214,13 +223,18 @@
     fn server(&self, known: &Known, shared: &[Cookie], now: Duration) -> Server {
         let server = &known.server;
         let mut own = known.cookies.into_iter();
-        let alone = own.find(|cookie| shared.binary_search(cookie).is_err());
-        let warmth = if known.warm > now { COLD } else { 1.0 };
+        let unique = own.find(|cookie| shared.binary_search(cookie).is_err());
+        let warmup_factor = if known.warm_at > now {
+            COLD_WEIGHT
+        } else {
+            1.0
+        };
         Server {
             id: Arc::clone(&server.id),
             hash: cookie::hash(&server.id),
-            // With all variants shared, which no fleet will see, the older server gets the flow.
-            cookie: alone.unwrap_or(known.cookies[0]),
+            // If all variants are shared, the older server gets the flow. This does not occur in any
+            // realistic fleet.
+            cookie: unique.unwrap_or(known.cookies[0]),
             tag: server.tag,
             address: server.address,
             service: Arc::clone(&server.service),
@@ -229,12 +243,12 @@
             slots: server.slots.max(1),
             idle: None,
             failing: false,
-            weight: f64::from(server.slots.max(1)) * warmth,
+            weight: f64::from(server.slots.max(1)) * warmup_factor,
         }
     }
 
-    /// Whether another server has its address: it lives no more, and nothing that is sent there for
-    /// it is answered.
+    /// Whether another server now has its address. The old server no longer exists then, and packets sent
+    /// there for it are not answered.
     fn is_replaced(&self, known: &Known) -> bool {
         let address = known.server.address;
         self.servers.values().any(|other| {
@@ -244,26 +258,26 @@
         })
     }
 
-    /// The servers of which it may be in question whether they live: all that are known but for
-    /// those that announced their departure and have left. Probes of the latter, for as long as they
-    /// are known by their cookies, would cost and tell nothing.
+    /// The servers that may be examined: all known servers except those that announced their departure
+    /// and have left. The latter remain known by their cookies for a while, and probing them in that time
+    /// would be wasted.
     pub fn servers(&self) -> impl Iterator<Item = &Arc<server::Server>> {
         let others = self.servers.values().filter(|known| !known.has_left());
         others.map(|known| &known.server)
     }
 
-    /// Whether a server is known and has not left in order.
+    /// Whether a server is known and has not left after announcing its departure.
     pub fn holds(&self, id: &str) -> bool {
         self.servers.get(id).is_some_and(|known| !known.has_left())
     }
 
-    /// A server that is known by its name.
+    /// Returns a known server by name, even if it has left.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Arc<server::Server>> {
         self.servers.get(id).map(|known| &known.server)
     }
 
-    /// The servers whose entries stand.
+    /// The servers whose entries exist.
     pub fn present(&self) -> impl Iterator<Item = &Arc<server::Server>> {
         let present = self
             .servers
@@ -275,21 +289,21 @@
     fn standing(&self, known: &Known, now: Duration) -> Standing {
         let draining = known.server.state == State::Draining;
         let evacuated = self.evacuated.contains(&known.server.data_centre);
-        let is_back_soon = |at: Duration| now.saturating_sub(at) < self.limits.missing;
+        let recently_missing = |at: Duration| now.saturating_sub(at) < self.limits.missing;
         match known.missing {
             None if draining => Standing::Draining,
             None if evacuated => Standing::Evacuated,
             None => Standing::Ready,
             Some(_) if draining => Standing::Gone,
             Some(_) if self.is_replaced(known) => Standing::Gone,
-            Some(at) if is_back_soon(at) && evacuated => Standing::Evacuated,
-            Some(at) if is_back_soon(at) => Standing::Missing,
+            Some(at) if recently_missing(at) && evacuated => Standing::Evacuated,
+            Some(at) if recently_missing(at) => Standing::Missing,
             Some(_) => Standing::Lost,
         }
     }
 }
 
-/// Cookies that two servers have, in order.
+/// Cookies that several servers have in common, sorted.
 fn shared_cookies(known: &[&Known]) -> Vec<Cookie> {
     let mut all: Vec<Cookie> = known.iter().flat_map(|known| known.cookies).collect();
     all.sort_unstable();
@@ -314,12 +328,12 @@
         }
         let name = Arc::clone(&route.name);
         let demand = demand(route);
-        let seen = Route {
+        let route_entry = Route {
             name,
             pools,
             demand,
         };
-        snapshot.routes.insert(route.front, seen);
+        snapshot.routes.insert(route.front, route_entry);
     }
     let mut pools = vec![Pool::default(); positions.len()];
     for (service, position) in positions {
@@ -332,7 +346,7 @@
     snapshot.pools = pools;
 }
 
-/// What a route's callers expect.
+/// Latency and priority that a route's callers expect; `None` without a latency objective.
 fn demand(route: &route::Route) -> Option<Demand> {
     Some(Demand {
         latency: route.objective.latency?,
@@ -340,21 +354,21 @@
     })
 }
 
-/// The servers of a service that take new flows: the ready ones, or where there is none, those whose
-/// entries have just gone missing.
+/// Positions of a service's servers that accept new flows: the ready ones or, if there are none, those
+/// whose entries have only just gone missing.
 fn open(snapshot: &Snapshot, known: &[&Known], service: &Arc<str>) -> Vec<u32> {
-    let with = |standing: Standing| {
-        let fits = move |position: &usize| {
+    let with_standing = |standing: Standing| {
+        let matches = move |position: &usize| {
             known[*position].server.service == *service
                 && snapshot.servers[*position].standing == standing
         };
         (0..known.len())
-            .filter(fits)
+            .filter(matches)
             .map(|position| position as u32)
     };
-    let ready: Vec<u32> = with(Standing::Ready).collect();
+    let ready: Vec<u32> = with_standing(Standing::Ready).collect();
     if ready.is_empty() {
-        return with(Standing::Missing).collect();
+        return with_standing(Standing::Missing).collect();
     }
     ready
 }
--- a/crates/cookie/src/roster/warming.rs
+++ b/crates/cookie/src/roster/warming.rs
@@ -1,4 +1,4 @@
-//! Servers that have just started, of services that limit what such a server gets.
+//! Limits new flows to servers that have just started, for services with a configured warm-up limit.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use super::{Known, Roster};
 use crate::{cold::Ration, snapshot::Snapshot};
 
-/// What is sent to servers that have just started, of services with a limit on them.
+/// How the configured request rates of cold servers are turned into limits for the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmupLimits {
-    /// Factor on the requests a second that the operators state.
+    /// Factor on the configured requests per second.
     pub overshoot: f64,
-    /// Requests a second beyond them.
+    /// Requests per second added to the product.
     pub slack: f64,
-    /// Balancers of the fleet, this one included; none as long as this one can't know.
+    /// Number of balancers in the fleet, including this one; `None` while it is not known.
     pub balancers: Option<u32>,
 }
 
@@ -32,17 +32,18 @@
 }
 
 impl Roster {
-    /// Sets what is sent to servers that have just started.
-    pub fn set_warmup_limits(&mut self, warming: WarmupLimits) {
-        self.warming = warming;
+    /// Sets the limits on servers that have just started.
+    pub fn set_warmup_limits(&mut self, limits: WarmupLimits) {
+        self.warmup_limits = limits;
     }
 
-    /// A server that was silent answers again: it may have started anew, and its entry may not say so yet.
+    /// Treats a server that was silent and answers again as cold. It may have restarted, and its entry may
+    /// not show that yet.
     pub fn suspect_restart(&mut self, id: &str, now: Duration) {
         self.suspect_cold(now, |server| &*server.id == id);
     }
 
-    /// Takes servers for cold for as long as one of their service is after its start.
+    /// Treats the selected servers as cold for the configured warm-up time of their services.
     pub(super) fn suspect_cold(&mut self, now: Duration, which: impl Fn(&server::Server) -> bool) {
         let config = self.config.as_deref();
         for known in self.servers.values_mut() {
@@ -50,19 +51,19 @@
                 && which(&known.server)
             {
                 let end = now + Duration::from_millis(warmup.time_ms.into());
-                known.suspect = known.suspect.max(end);
+                known.suspected_until = known.suspected_until.max(end);
             }
         }
     }
 
-    /// Whether a server has just started, or may have, and its service limits what such a server gets.
+    /// Whether a server has started recently, or may have, and its service has a warm-up limit.
     fn is_limited(&self, known: &Known, now: Duration) -> bool {
-        let is_cold = known.warm.max(known.suspect) > now;
+        let is_cold = known.warm_at.max(known.suspected_until) > now;
         let config = self.config.as_deref();
         is_cold && config.is_some_and(|config| warmup(config, &known.server).is_some())
     }
 
-    /// Takes the limited servers out of those that take any new flow.
+    /// Moves the limited servers of each pool from `open` to `cold`.
     pub(super) fn separate_cold(&self, snapshot: &mut Snapshot, known: &[&Known], now: Duration) {
         let Some(config) = &self.config else {
             return;
@@ -73,18 +74,19 @@
                 .open
                 .extract_if(.., |position| is_limited(position))
                 .collect();
-            let limit = config.warmups.iter();
-            let mut limit = limit.filter(|warmup| warmup.service == pool.service);
-            pool.ration = limit.next().and_then(|warmup| self.ration(warmup));
+            let limits = config.warmups.iter();
+            let mut limits = limits.filter(|warmup| warmup.service == pool.service);
+            pool.ration = limits.next().and_then(|warmup| self.ration(warmup));
         }
     }
 
+    /// The limit of the whole fleet for each cold server; `None` while the fleet's size is not known.
     fn ration(&self, warmup: &Warmup) -> Option<Ration> {
         let WarmupLimits {
             overshoot,
             slack,
             balancers,
-        } = self.warming;
+        } = self.warmup_limits;
         Some(Ration {
             bound: f64::from(warmup.requests) / 1_000.0 * overshoot + slack,
             balancers: balancers?,
@@ -92,7 +94,7 @@
     }
 }
 
-/// The limit on a server that has just started.
+/// The warm-up limit of a server's service, if one is configured.
 fn warmup<'a>(config: &'a Config, server: &server::Server) -> Option<&'a Warmup> {
     let mut limits = config.warmups.iter();
     limits.find(|warmup| warmup.service == server.service)
