--- a/crates/cookie/src/silence.rs
+++ b/crates/cookie/src/silence.rs
@@ -27,7 +27,7 @@
 const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(3);
 /// How long to wait for the result of an examination. If there is none by then, the examination was
 /// never run, as too many were under way, and the server may be suspected again.
-const EXAMINATION_TIMEOUT: Duration = Duration::from_millis(500);
+const RESULT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Number of peers that must report a server as silent before a balancer that did not examine it adopts
 /// the result. A single peer may itself be cut off from the network.
 const QUORUM: usize = 2;
@@ -124,9 +124,7 @@
     pub fn suspect(&mut self, server: &Arc<str>, trust: Duration, now: Duration) -> bool {
         match self.states.get(server) {
             Some(State::Responsive(at)) if now < *at + trust => false,
-            Some(State::Suspected(at) | State::Examined(at)) if now < *at + EXAMINATION_TIMEOUT => {
-                false
-            }
+            Some(State::Suspected(at) | State::Examined(at)) if now < *at + RESULT_TIMEOUT => false,
             Some(State::Silent { .. }) => false,
             _ => {
                 self.states
@@ -213,7 +211,7 @@
     ) -> Verdict {
         match self.states.get(server) {
             Some(State::Responsive(at)) if now < *at + PEER_TRUST => return Verdict::Same,
-            Some(State::Suspected(at) | State::Examined(at)) if now < *at + EXAMINATION_TIMEOUT => {
+            Some(State::Suspected(at) | State::Examined(at)) if now < *at + RESULT_TIMEOUT => {
                 return Verdict::Same;
             }
             Some(State::Silent { .. }) => return Verdict::Same,
