--- a/crates/cookie/tests/it/cold.rs
+++ b/crates/cookie/tests/it/cold.rs
@@ -1,4 +1,5 @@
-//! Servers that have just started bear few requests, and the bound holds for the sum over all balancers.
+//! Servers that have just started can handle few requests. The bound on new flows to them applies to the
+//! sum over all balancers.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -22,40 +23,40 @@
 
 use crate::fixture::{catalog, evacuation, ms, opening, present, routed, sent, server};
 
-/// For how long the servers are cold, in milliseconds.
+/// How long the servers are cold, in milliseconds.
 const COLD_MS: u64 = 4_000;
-/// The window of the bound.
+/// The interval to which the bound applies.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// A fleet before some cold servers and none that is warm.
+/// A fleet of balancers in front of some cold servers, without any warm ones.
 #[derive(Debug, Clone)]
 struct Scene {
-    /// Balancers that are there.
+    /// Number of balancers.
     balancers: u32,
-    /// How many each balancer knows, itself included.
+    /// Number of balancers that each balancer knows, including itself.
     known: Vec<u32>,
-    /// Balancers that have just started and can't know how many there are.
-    newborn: Vec<bool>,
+    /// Whether each balancer has just started and does not know the size of the fleet.
+    just_started: Vec<bool>,
     servers: usize,
-    /// New flows a second at all balancers together.
+    /// New flows per second, over all balancers.
     demand: u32,
     bound: f64,
     seed: u64,
 }
 
-/// How a balancer decides whether a cold server gets a new flow; gives which.
-type Way<'a> = dyn FnMut(usize, u64, Duration) -> Option<usize> + 'a;
+/// Decides which cold server gets a new flow that arrives at a balancer, if any.
+type Placement<'a> = dyn FnMut(usize, u64, Duration) -> Option<usize> + 'a;
 
-/// The most new flows that a server gets within [`WINDOW`].
-fn most(scene: &Scene, way: &mut Way<'_>) -> usize {
+/// The maximum number of new flows that a server gets within [`WINDOW`].
+fn max_in_window(scene: &Scene, place: &mut Placement<'_>) -> usize {
     let mut recent: Vec<VecDeque<Duration>> = vec![VecDeque::new(); scene.servers];
     let flows = u64::from(scene.demand) * COLD_MS / 1_000;
-    let mut most = 0;
+    let mut max = 0;
     for number in 0..flows {
         let draw = mix(number ^ mix(scene.seed));
         let now = ms(number * COLD_MS / flows.max(1));
         let balancer = (draw >> 20) as usize % scene.balancers as usize;
-        let Some(server) = way(balancer, draw, now) else {
+        let Some(server) = place(balancer, draw, now) else {
             continue;
         };
         let recent = &mut recent[server];
@@ -63,51 +64,51 @@
         while recent.front().is_some_and(|at| *at + WINDOW <= now) {
             recent.pop_front();
         }
-        most = most.max(recent.len());
+        max = max.max(recent.len());
     }
-    most
+    max
 }
 
 fn name(server: usize) -> Arc<str> {
     format!("i-{server}").into()
 }
 
-/// The most that a server gets where each balancer sends its random part.
-fn most_by_part(scene: &Scene) -> usize {
+/// The maximum where each balancer samples its new flows at random.
+fn max_with_sampling(scene: &Scene) -> usize {
     let service: Arc<str> = "live".into();
     let names: Vec<Arc<str>> = (0..scene.servers).map(name).collect();
-    let mut sent: Vec<Limiter> = (0..scene.balancers).map(|_| Limiter::default()).collect();
-    most(scene, &mut |balancer, flow, now| {
-        if scene.newborn[balancer] {
+    let mut limiters: Vec<Limiter> = (0..scene.balancers).map(|_| Limiter::default()).collect();
+    max_in_window(scene, &mut |balancer, flow, now| {
+        if scene.just_started[balancer] {
             return None;
         }
         let ration = Ration {
             bound: scene.bound,
             balancers: scene.known[balancer],
         };
-        let sent = &mut sent[balancer];
-        if !sent.samples(&service, &ration, scene.servers, flow, now) {
+        let limiter = &mut limiters[balancer];
+        if !limiter.samples(&service, &ration, scene.servers, flow, now) {
             return None;
         }
         let first = mix(flow) as usize % scene.servers;
         let mut order = (0..scene.servers).map(|step| (first + step) % scene.servers);
-        let server = order.find(|server| sent.has_room(&names[*server], &ration, now))?;
-        sent.add(&names[server], now);
+        let server = order.find(|server| limiter.has_room(&names[*server], &ration, now))?;
+        limiter.add(&names[server], now);
         Some(server)
     })
 }
 
-/// The most that a server gets where each balancer has an equal share, of one flow at least.
-fn most_by_share(scene: &Scene) -> usize {
+/// The maximum where each balancer has an equal quota of at least one flow.
+fn max_with_quotas(scene: &Scene) -> usize {
     let mut sent: BTreeMap<(usize, usize), VecDeque<Duration>> = BTreeMap::new();
-    most(scene, &mut |balancer, flow, now| {
+    max_in_window(scene, &mut |balancer, flow, now| {
         let server = mix(flow) as usize % scene.servers;
-        let share = scene.bound / f64::from(scene.known[balancer]);
+        let quota = scene.bound / f64::from(scene.known[balancer]);
         let sent = sent.entry((balancer, server)).or_default();
         while sent.front().is_some_and(|at| *at + WINDOW <= now) {
             sent.pop_front();
         }
-        if sent.len() as f64 >= share.floor().max(1.0) {
+        if sent.len() as f64 >= quota.floor().max(1.0) {
             return None;
         }
         sent.push_back(now);
@@ -115,24 +116,25 @@
     })
 }
 
-/// Fleets of 1 to 300 in which lists of balancers lack up to a quarter, and some have just started.
+/// Fleets of 1 to 300 balancers. Their lists of balancers lack up to a quarter of the fleet, and some of
+/// them have just started.
 fn scenes() -> impl Strategy<Value = Scene> {
     let sizes = (1u32..=300, 1usize..=60, 0u32..=20_000, any::<u64>());
     let bounds = prop_oneof![Just(6.5), Just(14.0), Just(35.0)];
     (sizes, bounds, 0.75f64..=1.0, 0.0f64..=0.6).prop_map(
-        |((balancers, servers, demand, seed), bound, known, newborn)| {
+        |((balancers, servers, demand, seed), bound, known, just_started)| {
             let draw = |balancer: u32, salt: u64| {
                 mix(seed ^ mix(u64::from(balancer) ^ salt)) as f64 / u64::MAX as f64
             };
             let know = |balancer| {
-                let part = known + (1.0 - known) * draw(balancer, 1);
-                ((f64::from(balancers) * part).ceil() as u32).max(1)
+                let fraction = known + (1.0 - known) * draw(balancer, 1);
+                ((f64::from(balancers) * fraction).ceil() as u32).max(1)
             };
             Scene {
                 balancers,
                 known: (0..balancers).map(know).collect(),
-                newborn: (0..balancers)
-                    .map(|balancer| draw(balancer, 2) < newborn)
+                just_started: (0..balancers)
+                    .map(|balancer| draw(balancer, 2) < just_started)
                     .collect(),
                 servers,
                 demand,
@@ -146,11 +148,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
-    /// Servers that come back cold get more than they bear, as no balancer sees what the others send.
+    /// Guards against overload of cold servers: no balancer sees how much the others send to them.
     #[test]
-    fn cold_servers_get_no_more_than_they_bear_from_the_whole_fleet(scene in scenes()) {
-        let most = most_by_part(&scene);
-        prop_assert!(most as f64 <= scene.bound, "{most} of {}", scene.bound);
+    fn the_rate_of_the_whole_fleet_to_a_cold_server_stays_within_the_bound(scene in scenes()) {
+        let max = max_with_sampling(&scene);
+        prop_assert!(max as f64 <= scene.bound, "{max} of {}", scene.bound);
     }
 }
 
@@ -158,7 +160,7 @@
     Scene {
         balancers,
         known: vec![balancers; balancers as usize],
-        newborn: vec![false; balancers as usize],
+        just_started: vec![false; balancers as usize],
         servers,
         demand,
         bound,
@@ -166,53 +168,54 @@
     }
 }
 
-/// An equal share for each balancer is less than one flow in a large fleet.
+/// In a large fleet, an equal quota for each balancer is less than one flow. Rounded up to one flow, the
+/// quotas exceed the bound together.
 #[test]
-fn an_equal_share_for_each_balancer_would_not_keep_the_bound() {
+fn equal_quotas_for_all_balancers_exceed_the_bound() {
     let scene = scene(67, 40, 20_000, 14.0);
 
-    assert!(most_by_share(&scene) as f64 > scene.bound);
-    assert!(most_by_part(&scene) as f64 <= scene.bound);
+    assert!(max_with_quotas(&scene) as f64 > scene.bound);
+    assert!(max_with_sampling(&scene) as f64 <= scene.bound);
 }
 
-/// A data centre is cut off from the others; after some seconds its balancers hear of nobody there, and
-/// would take the whole bound for their own.
+/// A network partition separates two halves of the fleet. After some seconds, the balancers of each half
+/// no longer hear from the other, and must not claim the whole bound for themselves.
 #[test]
-fn two_halves_that_lost_each_other_keep_the_bound_together() {
+fn partitioned_halves_of_a_fleet_keep_the_bound_together() {
     let mut halves = scene(66, 40, 8_000, 14.0);
     let mut sizes = acacia_catalog::member::Peak::default();
     sizes.follow(66, ms(0));
     let known = sizes.follow(33, ms(30_000)) as u32;
     halves.known = vec![known; 66];
 
-    assert!(most_by_part(&halves) as f64 <= halves.bound);
+    assert!(max_with_sampling(&halves) as f64 <= halves.bound);
 }
 
-/// Where all servers are cold, callers are served as far as these bear it.
+/// If all servers are cold, callers are still served at the rate that these servers can handle.
 #[test]
-fn cold_servers_that_are_the_only_ones_are_used() {
+fn cold_servers_are_used_if_there_are_no_others() {
     let scene = scene(9, 14, 2_000, 35.0);
     let service: Arc<str> = "live".into();
     let ration = Ration {
         bound: scene.bound,
         balancers: scene.balancers,
     };
-    let mut sent: Vec<Limiter> = (0..scene.balancers).map(|_| Limiter::default()).collect();
+    let mut limiters: Vec<Limiter> = (0..scene.balancers).map(|_| Limiter::default()).collect();
 
     let flows = (0..8_000u64).filter(|flow| {
-        let balancer = *flow as usize % sent.len();
-        sent[balancer].samples(&service, &ration, scene.servers, mix(*flow), ms(flow / 2))
+        let balancer = *flow as usize % limiters.len();
+        limiters[balancer].samples(&service, &ration, scene.servers, mix(*flow), ms(flow / 2))
     });
 
     let mean = flows.count() as f64 / 4.0 / scene.servers as f64;
     assert!((5.0..=14.0).contains(&mean), "{mean} a second");
 }
 
-/// For how long a server of the service is cold, in milliseconds.
+/// How long a server of the service is cold, in milliseconds.
 const WARMUP_MS: u32 = 2_000;
 
-/// A configuration whose service bears 6 requests a second on a cold server.
-fn limited(revision: u64) -> Change {
+/// A configuration that limits cold servers of the service to 6 requests per second.
+fn warmup_config(revision: u64) -> Change {
     let Change::Config { config, .. } = routed(&["live"], revision) else {
         unreachable!("a configuration");
     };
@@ -231,7 +234,7 @@
     }
 }
 
-/// Six servers, of which those with a number up to `cold` have just started.
+/// Six servers, of which the first `cold` have just started.
 fn servers(cold: u64) -> Vec<Change> {
     let server = |number: u64| {
         let mut server = server(&format!("h-{number}"), "live");
@@ -241,7 +244,7 @@
     (1..=6).map(server).collect()
 }
 
-/// A roster that has taken in the changes at time 0, in a fleet of so many balancers.
+/// A roster to which the changes were applied at time 0, in a fleet of `balancers` balancers.
 fn roster(changes: Vec<Change>, balancers: Option<u32>) -> Roster {
     let mut roster = Roster::default();
     roster.set_warmup_limits(WarmupLimits {
@@ -253,6 +256,7 @@
     roster
 }
 
+/// Names of the cold servers, sorted.
 fn cold(snapshot: &Snapshot) -> Vec<&str> {
     let cold = snapshot.pools[0].cold.iter();
     let mut cold: Vec<&str> = cold
@@ -262,7 +266,7 @@
     cold
 }
 
-/// The servers that openings go to, by number of openings; those that are refused count under their code.
+/// Number of openings that each server gets; refused openings are counted by their code.
 fn placed(snapshot: &Snapshot, openings: u16) -> BTreeMap<Result<Arc<str>, Code>, usize> {
     let mut resolver = Resolver::default();
     let mut placed = BTreeMap::new();
@@ -281,7 +285,7 @@
 #[test]
 fn a_server_is_limited_until_it_is_warm() {
     let mut changes = servers(2);
-    changes.push(limited(9));
+    changes.push(warmup_config(9));
     let roster = roster(changes, Some(3));
 
     let before = roster.snapshot(&Detector::default(), ms(1_999));
@@ -296,7 +300,7 @@
     assert_eq!(after.pools[0].open.len(), 6);
 }
 
-/// A service without a limit would lose its servers for as long as they are slow.
+/// A service without a limit must not lose its cold servers while they warm up.
 #[test]
 fn a_service_without_a_limit_uses_its_cold_servers() {
     let mut changes = servers(2);
@@ -308,11 +312,12 @@
     assert_eq!(snapshot.pools[0].open.len(), 6);
 }
 
-/// Servers become cold while their data centre is evacuated, and all of its flows come back at once.
+/// Servers become cold while their data centre is evacuated. When the evacuation ends, all its flows
+/// return at once.
 #[test]
-fn servers_are_taken_for_cold_when_the_evacuation_of_their_data_centre_ends() {
+fn servers_count_as_cold_after_an_evacuation_of_their_data_centre() {
     let mut changes = servers(0);
-    changes.push(limited(9));
+    changes.push(warmup_config(9));
     changes.push(evacuation("a", 10, true));
     let mut roster = roster(changes.clone(), Some(3));
     changes.push(evacuation("a", 11, false));
@@ -325,11 +330,11 @@
     assert!(cold(&after).is_empty());
 }
 
-/// A server crashes and starts again, and answers probes before its new entry is known.
+/// A server crashes and restarts, and answers probes before its new entry is known.
 #[test]
-fn a_server_that_was_silent_is_taken_for_cold() {
+fn a_server_that_was_silent_counts_as_cold() {
     let mut changes = servers(0);
-    changes.push(limited(9));
+    changes.push(warmup_config(9));
     let mut roster = roster(changes, Some(3));
 
     roster.suspect_restart("h-4", ms(30_000));
@@ -339,11 +344,12 @@
     assert_eq!(roster.next_change(ms(30_000)), Some(ms(32_000)));
 }
 
-/// A server that has just started gets its share of a burst and fails it.
+/// Guards against overload of cold servers in a burst: if they got an equal share of it, they would fail
+/// these requests.
 #[test]
-fn while_half_of_the_servers_are_warm_they_take_all_flows() {
+fn warm_servers_take_all_flows_if_they_are_at_least_half() {
     let mut changes = servers(3);
-    changes.push(limited(9));
+    changes.push(warmup_config(9));
     let snapshot = roster(changes, Some(3)).snapshot(&Detector::default(), ms(1));
 
     let placed = placed(&snapshot, 300);
@@ -352,28 +358,29 @@
     assert_eq!(used, [Ok("h-4"), Ok("h-5"), Ok("h-6")]);
 }
 
-/// One warm server among cold ones gets all flows of the service.
+/// Guards against sending all flows of a service to its only warm server.
 #[test]
-fn where_most_servers_are_cold_they_take_a_part() {
+fn cold_servers_take_some_flows_if_they_are_the_majority() {
     let mut changes = servers(5);
-    changes.push(limited(9));
+    changes.push(warmup_config(9));
     let snapshot = roster(changes, Some(3)).snapshot(&Detector::default(), ms(1));
 
     let placed = placed(&snapshot, 300);
 
     assert!(placed[&Ok("h-6".into())] < 300, "{placed:?}");
     for server in ["h-1", "h-2", "h-3", "h-4", "h-5"] {
-        let most = 3 * 14 / 3;
+        let max = 3 * 14 / 3;
         let got = placed.get(&Ok(server.into())).copied().unwrap_or(0);
-        assert!(got <= most, "{server}: {got}");
+        assert!(got <= max, "{server}: {got}");
     }
 }
 
-/// A balancer that has just started doesn't know how many others there are.
+/// A balancer that has just started does not know how many others there are, and cannot compute its
+/// share of the limit.
 #[test]
-fn a_balancer_that_cannot_know_the_size_of_the_fleet_sends_nothing_to_cold_servers() {
+fn a_balancer_that_does_not_know_the_fleet_size_uses_no_cold_server() {
     let mut changes = servers(6);
-    changes.push(limited(9));
+    changes.push(warmup_config(9));
     let snapshot = roster(changes, None).snapshot(&Detector::default(), ms(1));
 
     let placed = placed(&snapshot, 100);
