--- a/crates/cookie/tests/it/failing.rs
+++ b/crates/cookie/tests/it/failing.rs
@@ -1,4 +1,4 @@
-//! Servers that fail their requests, as observers and those that they tell see it.
+//! Detection of servers that fail their requests, at observers and at balancers that receive verdicts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,9 +12,10 @@
     "i-1".into()
 }
 
-/// Callers hang up now and then, and a server that answers nearly all loses its flows for it.
+/// Callers close connections now and then. A server that answers nearly all requests must not lose its
+/// flows because of that.
 #[test]
-fn a_server_that_answers_most_is_not_failing() {
+fn a_server_that_answers_most_requests_is_not_failing() {
     let mut observer = Observer::default();
 
     for at in 0..200 {
@@ -22,7 +23,7 @@
     }
 }
 
-/// A server failed requests long ago, one at a time.
+/// Single failures far apart in time must not lead to a verdict.
 #[test]
 fn old_failures_do_not_add_up() {
     let mut observer = Observer::default();
@@ -32,22 +33,24 @@
     }
 }
 
-/// The data centre is told in time again, and not with each report.
+/// The data centre must receive a repeated verdict before the previous one expires, but not with each
+/// report.
 #[test]
 fn a_verdict_is_repeated_once_a_second() {
     let mut observer = Observer::default();
 
-    let told: Vec<u64> = (0..40)
+    let announced: Vec<u64> = (0..40)
         .map(|number| number * 100)
         .filter(|at| observer.add(&id(), 3, 0, ms(*at)))
         .collect();
 
-    assert_eq!(told, [0, 1_000, 2_000, 3_000]);
+    assert_eq!(announced, [0, 1_000, 2_000, 3_000]);
 }
 
-/// A peer reports absurd numbers, and a server that lives is avoided for good.
+/// Guards against a peer that reports absurd numbers, which would keep a healthy server avoided
+/// indefinitely.
 #[test]
-fn an_absurd_report_is_forgotten_within_seconds() {
+fn an_absurd_report_loses_its_effect_within_seconds() {
     let mut observer = Observer::default();
     observer.add(&id(), u32::MAX, 0, ms(0));
 
@@ -56,9 +59,9 @@
     assert!(!late);
 }
 
-/// A failing server is started anew, and gets next to no flows for what it did in its former life.
+/// A failing server restarts. Failures from before the restart must not reduce its flows.
 #[test]
-fn a_server_that_starts_anew_is_not_avoided() {
+fn a_server_that_restarts_is_not_avoided() {
     let (mut observer, mut failing) = (Observer::default(), FailingServers::default());
     observer.add(&id(), 9, 0, ms(0));
     failing.mark(&id(), ms(0));
@@ -70,8 +73,8 @@
     assert!(!observer.add(&id(), 1, 0, ms(10)));
 }
 
-/// All servers turn requests away under load. Were those that are known to do it avoided, the few others
-/// would get all of it.
+/// All servers reject requests under load. If those known to do so were avoided, the few others would
+/// receive the whole load.
 #[rstest]
 #[case::few_fail(&["a"], 0.05)]
 #[case::most_fail(&["a", "b", "c"], 1.0)]
@@ -95,17 +98,17 @@
 }
 
 proptest! {
-    /// FailingServers end by themselves, whatever comes.
+    /// A verdict expires within its lifetime after the last report, whatever reports came before.
     #[test]
-    fn no_mark_outlives_its_time(marks in prop::collection::vec(0..60_000u64, 0..50)) {
-        let mut held = FailingServers::default();
-        let last = marks.iter().max().copied().unwrap_or_default();
-        let mut marks = marks;
-        marks.sort_unstable();
-        for at in marks {
-            held.mark(&id(), ms(at));
+    fn no_verdict_outlives_its_lifetime(times in prop::collection::vec(0..60_000u64, 0..50)) {
+        let mut failing = FailingServers::default();
+        let last = times.iter().max().copied().unwrap_or_default();
+        let mut times = times;
+        times.sort_unstable();
+        for at in times {
+            failing.mark(&id(), ms(at));
         }
 
-        prop_assert!(!held.is_failing("i-1", ms(last) + Duration::from_secs(4)));
+        prop_assert!(!failing.is_failing("i-1", ms(last) + Duration::from_secs(4)));
     }
 }
