--- a/crates/cookie/tests/it/silence.rs
+++ b/crates/cookie/tests/it/silence.rs
@@ -9,7 +9,7 @@
     "i-1".into()
 }
 
-/// What an examination shows whose probes and control are answered or not.
+/// The finding of an examination, given which of its probes and whether its control were answered.
 fn finding(probes: [bool; 2], control: bool) -> Finding {
     match (probes[0] || probes[1], control) {
         (true, _) => Finding::Answered,
@@ -27,10 +27,10 @@
     detector.found(&id(), finding, now + ms(85))
 }
 
-/// A packet is lost on its way, and so is a probe. The server lives; were it taken for silent, all
-/// its callers' flows would be ended, which is the worst that a balancer can do.
+/// A caller's packet and one probe are lost although the server is alive. If it were found silent, all
+/// its flows would be ended, which is the worst that a balancer can do.
 #[test]
-fn one_lost_probe_condemns_nobody() {
+fn one_lost_probe_does_not_make_a_server_silent() {
     let mut detector = Detector::default();
 
     assert_eq!(
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn two_probes_without_an_answer_beside_one_of_another_server_are_proof() {
+fn a_server_that_answers_no_probe_while_the_control_answers_is_silent() {
     let mut detector = Detector::default();
 
     assert_eq!(
@@ -55,11 +55,11 @@
     assert!(detector.is_silent("i-1"));
 }
 
-/// A small balancer passes a large configuration on, and its link is full for half a second.
-/// Callers' packets go unanswered, and so do all probes. Without a control it would end the flows of
-/// every server.
+/// A small balancer forwards a large configuration, which saturates its link for half a second. Callers'
+/// packets and all probes go unanswered. Without a control, the balancer would end the flows of every
+/// server.
 #[test]
-fn a_balancer_whose_own_link_is_full_condemns_nobody() {
+fn a_balancer_with_a_saturated_link_finds_no_server_silent() {
     let mut detector = Detector::default();
 
     assert_eq!(
@@ -69,24 +69,24 @@
     assert!(!detector.is_silent("i-1"));
     assert!(
         detector.suspect(&id(), ms(300), ms(100)),
-        "and looks again when there is reason to"
+        "a new suspicion starts another examination"
     );
 }
 
-/// A server is dark for a few seconds and comes back. It must be in use again at once: the others
+/// A server is unreachable for a few seconds and returns. It must be used again at once, as the others
 /// carry its load meanwhile.
 #[test]
-fn a_silent_server_is_probed_until_it_is_back() {
+fn a_silent_server_is_probed_until_it_answers() {
     let mut detector = Detector::default();
     examine(&mut detector, Finding::Silent, ms(0));
 
-    let next = detector.next_due().expect("a probe to come");
+    let next = detector.next_due().expect("a first probe is due");
     assert_eq!(detector.due(next).silent, [id()]);
     assert_eq!(
         detector.found(&id(), Finding::Silent, next + ms(60)),
         Verdict::Same
     );
-    let later = detector.next_due().expect("another");
+    let later = detector.next_due().expect("a second probe is due");
     assert_eq!(detector.due(later).silent, [id()]);
 
     assert_eq!(
@@ -96,11 +96,11 @@
     assert!(later - next <= ms(500));
 }
 
-/// A data centre's servers are gone for minutes, and every balancer of a large fleet goes on probing
-/// each of them. The longer a server is away, the rarer its probes: one that is back is found within a
-/// quarter of the time that it was away and within three seconds at most.
+/// A data centre's servers are unreachable for minutes, and every balancer of a large fleet keeps probing
+/// each of them. Probes become less frequent the longer a server is unreachable. Its return is detected
+/// within a quarter of that time, and within three seconds at most.
 #[test]
-fn probes_of_a_server_that_stays_silent_become_rare() {
+fn probes_of_a_silent_server_become_less_frequent() {
     let mut detector = Detector::default();
     examine(&mut detector, Finding::Silent, ms(0));
 
@@ -117,10 +117,10 @@
     }
 }
 
-/// An examination was never made, because too many were under way or the server's address was not
-/// known. The server must not stay under suspicion for good: it would never be found silent.
+/// An examination was never run, because too many were under way or the server's address was not known.
+/// The server must not remain suspected forever, or it would never be found silent.
 #[test]
-fn a_suspicion_without_a_result_can_be_raised_again() {
+fn a_server_can_be_suspected_again_if_its_examination_has_no_result() {
     let mut detector = Detector::default();
     assert!(detector.suspect(&id(), ms(300), ms(0)));
     detector.due(ms(0));
@@ -129,8 +129,8 @@
     assert_eq!(detector.due(ms(1_000)).suspected, [id()]);
 }
 
-/// A cut puts a thousand servers out of reach. Each must be examined, and no more than some dozens
-/// together: their probes would take the descriptors that flows need.
+/// A network partition makes a thousand servers unreachable. Each must be examined, but only a few dozen
+/// at a time: their probes would otherwise use up the file descriptors that flows need.
 #[test]
 fn many_servers_are_examined_a_few_dozen_at_a_time() {
     let mut detector = Detector::default();
@@ -148,10 +148,10 @@
     assert_eq!(examined, 1_000);
 }
 
-/// A balancer is cut off from all servers but for one that served as the control. Every other looks
-/// silent from there, and none is: it must end no flow and send its callers to another balancer.
+/// A balancer is cut off from all servers but the one that serves as the control. The others appear
+/// silent to it although they are alive. It must end no flow, and its callers must use another balancer.
 #[test]
-fn a_balancer_that_reaches_nobody_takes_itself_for_cut_off() {
+fn a_balancer_that_reaches_almost_no_server_is_isolated() {
     let mut detector = Detector::default();
     for number in 0..20 {
         let server: Arc<str> = format!("i-{number}").into();
@@ -161,20 +161,23 @@
     }
 
     assert!(detector.is_isolated(21));
-    assert!(!detector.is_isolated(30), "a data centre answers");
+    assert!(
+        !detector.is_isolated(30),
+        "the servers of one data centre still answer"
+    );
 }
 
-/// Ten thousand seeded histories of a server that lives while one packet of ten is lost, on the
-/// callers' way and on that of probes: how often it is condemned. Each unanswered packet of a caller
-/// starts an examination; a probe is lost with its question or its answer. With two probes and a control
-/// after them it was condemned in 292 of 10,000 examinations, each of which ends all its flows.
+/// Measures how often a live server is found silent in ten thousand seeded histories in which one packet
+/// of ten is lost, both of callers and of probes. Each unanswered packet of a caller starts an
+/// examination, and a probe fails if its request or its answer is lost. With two probes followed by a
+/// control, the server was found silent in 292 of 10,000 examinations, each of which ends all its flows.
 #[test]
-fn a_server_that_lives_is_condemned_in_few_of_many_lossy_histories() {
-    let (mut condemned, mut suspicions) = (0, 0);
+fn a_live_server_is_rarely_found_silent_under_packet_loss() {
+    let (mut found_silent, mut suspicions) = (0, 0);
     for history in 0..10_000u64 {
         let mut detector = Detector::default();
         let draw = |kind: u64, second: u64| mix(mix(history) ^ (kind << 32 | second)) % 100;
-        // A minute with a caller's packet each second, one of ten of which is lost.
+        // One packet of a caller per second for a minute, one in ten of which is lost.
         for second in 0..60 {
             if draw(0, second) >= 10 {
                 continue;
@@ -186,21 +189,22 @@
                 (draw(sent, second) >= 19).then_some(ms(5))
             });
             if examine(&mut detector, finding, Duration::from_secs(second)) == Verdict::Silent {
-                condemned += 1;
+                found_silent += 1;
                 break;
             }
         }
     }
 
-    let part = f64::from(condemned) / f64::from(suspicions);
-    println!("condemned in {condemned} of {suspicions} suspicions: {part:.4}");
-    // Six losses of 19 % and four answered controls: 0.00002 of the suspicions.
-    assert!(part < 0.0002, "{part}");
+    let ratio = f64::from(found_silent) / f64::from(suspicions);
+    println!("found silent in {found_silent} of {suspicions} suspicions: {ratio:.4}");
+    // Expected ratio: 0.00002, from six losses at 19 % each and four answered controls.
+    assert!(ratio < 0.0002, "{ratio}");
 }
 
-/// A balancer that is cut off reports every server, again and again, and ends flows at all others.
+/// Guards against a balancer that is cut off: it reports every server repeatedly, and would make all
+/// other balancers end flows.
 #[test]
-fn one_peer_convinces_nobody() {
+fn reports_of_a_single_peer_have_no_effect() {
     let mut detector = Detector::default();
 
     for at in 0..100 {
@@ -211,7 +215,7 @@
     }
 }
 
-/// Two peers are wrong about a server at different times.
+/// Two peers report a server wrongly at different times.
 #[test]
 fn old_reports_do_not_add_up() {
     let mut detector = Detector::default();
@@ -223,9 +227,10 @@
     );
 }
 
-/// Peers are cut off from a server that this balancer reaches, and it ends living flows on their word.
+/// Peers are cut off from a server that this balancer reaches. Their reports must not make it end flows
+/// that still work.
 #[test]
-fn a_server_that_has_just_answered_here_is_not_silent_by_word() {
+fn peers_reports_do_not_override_a_recent_answer() {
     let mut detector = Detector::default();
     examine(&mut detector, Finding::Answered, ms(0));
 
@@ -237,9 +242,9 @@
     }
 }
 
-/// The word that a server is back is lost, and it gets no flows for good.
+/// The report that a server answers again is lost. The server must not remain without flows forever.
 #[test]
-fn a_server_that_is_silent_by_word_is_probed_after_seconds() {
+fn a_server_found_silent_by_peers_is_probed_after_seconds() {
     let mut detector = Detector::default();
     detector.peer_found_silent(&id(), 1, ms(0));
     detector.peer_found_silent(&id(), 2, ms(0));
@@ -252,9 +257,9 @@
     );
 }
 
-/// A server is back and only those that examined it use it.
+/// Guards against a server that answers again but is used only by the balancers that examined it.
 #[test]
-fn the_word_that_a_server_is_back_is_taken() {
+fn a_peer_s_report_that_a_server_is_back_is_adopted() {
     let mut detector = Detector::default();
     detector.peer_found_silent(&id(), 1, ms(0));
     detector.peer_found_silent(&id(), 2, ms(0));
@@ -263,7 +268,8 @@
     assert!(!detector.is_silent("i-1"));
 }
 
-/// A liar says that a silent server is back, and flows go to it again.
+/// A faulty peer reports that a silent server answers again. New flows must not be sent to the server on
+/// that report alone.
 #[test]
 fn a_server_found_silent_here_is_probed_before_it_counts_as_back() {
     let mut detector = Detector::default();
@@ -274,9 +280,10 @@
     assert_eq!(detector.due(ms(100)).silent, [id()]);
 }
 
-/// Peers that have not heard yet that a server is back still name it, and its flows are ended again.
+/// Peers that do not yet know that a server answers again still report it as silent. Its flows must not
+/// be ended again.
 #[test]
-fn old_words_do_not_silence_a_server_that_is_back() {
+fn outdated_reports_do_not_make_a_returned_server_silent() {
     let mut detector = Detector::default();
     detector.peer_found_silent(&id(), 1, ms(0));
     detector.peer_found_silent(&id(), 2, ms(0));
@@ -290,9 +297,10 @@
     }
 }
 
-/// The word of two peers goes round a data centre as that of many, and never ends.
+/// Guards against circulating reports: if adopted verdicts were reported too, those of two peers would
+/// spread through a data centre as if many had confirmed them, and never expire.
 #[test]
-fn only_own_findings_are_told() {
+fn only_own_findings_are_reported() {
     let mut detector = Detector::default();
     detector.peer_found_silent(&id(), 1, ms(0));
     detector.peer_found_silent(&id(), 2, ms(0));
