--- a/crates/cookie/tests/it/speed.rs
+++ b/crates/cookie/tests/it/speed.rs
@@ -5,7 +5,7 @@
 use crate::fixture::ms;
 
 /// Counts of one second in which a server answered five requests.
-fn five(server: &str, took: Duration) -> Vec<ServerCount> {
+fn five_answers(server: &str, took: Duration) -> Vec<ServerCount> {
     let server: Arc<str> = server.into();
     let mut counts = Counts::default();
     for _ in 0..5 {
@@ -15,18 +15,18 @@
     counts.take(Duration::from_secs(1))
 }
 
-fn feed(speeds: &mut Speeds, seen: &[ServerCount]) {
-    seen.iter().for_each(|seen| speeds.add(seen));
+fn add_all(speeds: &mut Speeds, counts: &[ServerCount]) {
+    counts.iter().for_each(|count| speeds.add(count));
 }
 
-/// A server that takes twice as long must get half as much, or its callers wait while the other one
-/// idles.
+/// A server that takes twice as long must get half as many flows. Otherwise its callers wait while the
+/// other server idles.
 #[test]
-fn a_slow_server_s_factor_follows_its_times() {
+fn a_slow_server_s_factor_is_proportional_to_its_speed() {
     let mut speeds = Speeds::default();
     for second in 1..=20 {
-        feed(&mut speeds, &five("fast", ms(20)));
-        feed(&mut speeds, &five("slow", ms(40)));
+        add_all(&mut speeds, &five_answers("fast", ms(20)));
+        add_all(&mut speeds, &five_answers("slow", ms(40)));
         speeds.tick(Duration::from_secs(second), 0.5, |_| Some(2));
     }
 
@@ -36,18 +36,18 @@
     assert!((1.6..2.4).contains(&ratio), "{factors:?}");
 }
 
-/// A server turns slow. One balancer of nine sees five of its answers in a second; by these alone new
-/// flows would go there for another ten seconds, and each of them waits. With what the peers saw,
+/// A server becomes slow. One balancer of nine sees five of its answers per second. Based on these alone,
+/// new flows would be sent there for another ten seconds and be delayed. With the counts of the peers,
 /// three seconds are enough.
 #[test]
-fn what_peers_have_seen_shows_a_slow_server_sooner() {
+fn counts_of_peers_reveal_a_slow_server_sooner() {
     let ratio_after = |balancers: u32, seconds: u64| {
         let mut speeds = Speeds::default();
         for second in 1..=20 + seconds {
             let took = if second <= 20 { ms(20) } else { ms(80) };
             for _ in 0..balancers {
-                feed(&mut speeds, &five("steady", ms(20)));
-                feed(&mut speeds, &five("slow", took));
+                add_all(&mut speeds, &five_answers("steady", ms(20)));
+                add_all(&mut speeds, &five_answers("slow", took));
             }
             let visible = f64::from(balancers) / 9.0;
             speeds.tick(Duration::from_secs(second), visible, |_| Some(2));
@@ -62,43 +62,43 @@
     assert!(together > 2.0, "{together}");
 }
 
-/// A server that has just joined has answered nothing yet. With no factor it would get no flow, and
-/// so never show its speed.
+/// A server that has just joined has not answered anything yet. Without a factor it would get no flow,
+/// and its speed would never be known.
 #[test]
-fn a_server_without_answers_has_the_mean() {
+fn a_server_without_answers_gets_the_mean_factor() {
     let mut speeds = Speeds::default();
     for second in 1..=20 {
-        feed(&mut speeds, &five("known", ms(20)));
+        add_all(&mut speeds, &five_answers("known", ms(20)));
         speeds.tick(Duration::from_secs(second), 0.1, |_| Some(2));
     }
 
     assert_eq!(speeds.factors(["known", "new"]), [1.0, 1.0]);
 }
 
-/// A server starts again under its name, on another VM. What was known of it tells nothing of it now.
+/// A server restarts under its name on another VM. The speed measured before is no longer valid.
 #[test]
-fn a_server_that_starts_again_is_measured_anew() {
+fn the_speed_of_a_restarted_server_is_discarded() {
     let mut speeds = Speeds::default();
     for second in 1..=20 {
-        feed(&mut speeds, &five("steady", ms(20)));
-        feed(&mut speeds, &five("again", ms(60)));
+        add_all(&mut speeds, &five_answers("steady", ms(20)));
+        add_all(&mut speeds, &five_answers("restarted", ms(60)));
         speeds.tick(Duration::from_secs(second), 0.1, |_| Some(2));
     }
-    let before = speeds.factors(["steady", "again"]);
+    let before = speeds.factors(["steady", "restarted"]);
 
-    speeds.forget("again");
+    speeds.forget("restarted");
 
     assert!(before[1] < before[0]);
-    assert_eq!(speeds.factors(["steady", "again"]), [1.0, 1.0]);
+    assert_eq!(speeds.factors(["steady", "restarted"]), [1.0, 1.0]);
 }
 
-/// One measurement is far off. Its server must neither take all flows nor lose all.
+/// A measurement is far off. Its server must neither get all flows nor lose all of them.
 #[test]
 fn factors_are_bounded() {
     let mut speeds = Speeds::default();
     for second in 1..=20 {
         for (server, took) in [("a", 1), ("b", 5_000), ("c", 20)] {
-            feed(&mut speeds, &five(server, ms(took)));
+            add_all(&mut speeds, &five_answers(server, ms(took)));
         }
         speeds.tick(Duration::from_secs(second), 0.1, |_| Some(2));
     }
