--- a/crates/cookie/tests/it/roster.rs
+++ b/crates/cookie/tests/it/roster.rs
@@ -9,32 +9,32 @@
 
 use crate::fixture::{absent, catalog, ms, present, routed, server, snapshot};
 
-/// The standing of `id` at `at` ms, after the changes have come at time 0.
+/// The standing of `id` at `at` ms, after the changes were applied at time 0.
 fn standing(changes: Vec<acacia_catalog::Change>, id: &str, at: u64) -> Standing {
     let mut roster = Roster::default();
-    // The balancer has known the first changes before it hears of the last.
-    for upto in 1..=changes.len() {
-        roster.update(&catalog(changes[..upto].iter().cloned()), ms(0));
+    // The changes are applied one by one, so that the balancer knows the earlier ones first.
+    for count in 1..=changes.len() {
+        roster.update(&catalog(changes[..count].iter().cloned()), ms(0));
     }
     let snapshot = roster.snapshot(&Detector::default(), ms(at));
     let found = snapshot.servers.iter().find(|server| &*server.id == id);
-    found.expect("a server that is known").standing
+    found.expect("the server is known").standing
 }
 
-/// Leases run out while the store is away, and all servers' entries are removed at once although
-/// the servers live. Were they taken for gone, every caller would be turned away until the entries
-/// are back, two seconds later.
+/// Leases expire during an outage of the store, and the entries of all servers are removed at once
+/// although the servers are alive. If the servers counted as gone, every caller would be rejected until
+/// the entries are back, two seconds later.
 #[test]
-fn entries_that_lapse_together_leave_the_servers_in_use_for_a_while() {
+fn servers_whose_entries_all_expire_remain_in_use_for_a_while() {
     let before = vec![
         present(server("h-1", "live"), 1),
         present(server("h-2", "live"), 2),
         routed(&["live"], 3),
     ];
-    let lapsed = [absent("h-1", 4), absent("h-2", 5)];
+    let expired = [absent("h-1", 4), absent("h-2", 5)];
     let mut roster = Roster::default();
     roster.update(&catalog(before.clone()), ms(0));
-    roster.update(&catalog(before.into_iter().chain(lapsed)), ms(100));
+    roster.update(&catalog(before.into_iter().chain(expired)), ms(100));
 
     let during = roster.snapshot(&Detector::default(), ms(1_900));
     let after = roster.snapshot(&Detector::default(), ms(2_200));
@@ -43,10 +43,10 @@
     assert_eq!(after.pools[0].open.len(), 0);
 }
 
-/// One server's entry lapses, the others' stand: it has most likely died, and the others take the
-/// new flows.
+/// The entry of one server expires and those of the others remain. The server has most likely crashed,
+/// and the others must get the new flows.
 #[test]
-fn a_missing_server_gets_no_new_flow_beside_ready_ones() {
+fn a_missing_server_gets_no_new_flow_while_others_are_ready() {
     let before = vec![
         present(server("h-1", "live"), 1),
         present(server("h-2", "live"), 2),
@@ -71,8 +71,8 @@
 #[rstest]
 #[case::ready(State::Ready, false, 0, Standing::Ready)]
 #[case::draining(State::Draining, false, 0, Standing::Draining)]
-#[case::lapsed(State::Ready, true, 1_000, Standing::Missing)]
-#[case::lapsed_for_good(State::Ready, true, 2_000, Standing::Lost)]
+#[case::expired(State::Ready, true, 1_000, Standing::Missing)]
+#[case::expired_for_long(State::Ready, true, 2_000, Standing::Lost)]
 #[case::left(State::Draining, true, 0, Standing::Gone)]
 fn a_server_s_standing_follows_from_its_entry(
     #[case] state: State,
@@ -94,11 +94,11 @@
     assert_eq!(standing(changes, "h-1", at), expected);
 }
 
-/// A server dies, and its address is given to a server of another service. Packets of its flows
-/// that go on reach the new one, which keeps silent as they aren't meant for it, and their callers
-/// wait out their deadlines.
+/// A server crashes, and its address is assigned to a server of another service. The new server ignores
+/// packets of the old flows, as they are not meant for it. If these flows were not ended, their callers
+/// would wait until their deadlines.
 #[test]
-fn a_server_whose_address_another_has_is_gone() {
+fn a_server_whose_address_was_reassigned_is_gone() {
     let old = server("h-1", "live");
     let new = acacia_catalog::server::Server {
         address: old.address,
@@ -126,9 +126,9 @@
     assert!(beyond.server(Cookie::of("h-1", 0)).is_none());
 }
 
-/// Names of servers whose first cookies are the same, found by search: with 30 bits, two of some
-/// fifty thousand names.
-fn twins() -> (String, String) {
+/// Two server names with the same first cookie, found by search. With 30 bits, this takes some fifty
+/// thousand names.
+fn names_with_same_cookie() -> (String, String) {
     let mut seen = std::collections::HashMap::new();
     for number in 0.. {
         let id = format!("i-{number:x}");
@@ -139,11 +139,11 @@
     unreachable!("the search ends with a pair")
 }
 
-/// Two of 21,000 servers have the same cookie. Without a second one, half of the packets of their
-/// flows would reach the other server, which ends them.
+/// Two of 21,000 servers have the same cookie. Without an alternative cookie, half of the packets of their
+/// flows would reach the other server, which ends these flows.
 #[test]
-fn servers_that_share_a_cookie_open_flows_with_another() {
-    let (one, other) = twins();
+fn servers_that_share_a_cookie_use_different_ones_for_new_flows() {
+    let (one, other) = names_with_same_cookie();
 
     let snapshot = snapshot([
         present(server(&one, "live"), 1),
@@ -165,11 +165,11 @@
     }
 }
 
-/// A balancer opens a flow at a server when it knows no other with that cookie; then the other one
-/// starts. Its flows must go on to the first.
+/// A balancer opens flows at a server before another one with the same cookie starts. Packets of these
+/// flows must still be forwarded to the first server.
 #[test]
-fn a_shared_cookie_names_the_server_that_was_there_before() {
-    let (one, other) = twins();
+fn a_shared_cookie_identifies_the_older_server() {
+    let (one, other) = names_with_same_cookie();
     let before = snapshot([present(server(&one, "live"), 1)]);
     let opened = before.servers[0].cookie;
 
@@ -184,10 +184,10 @@
     );
 }
 
-/// Servers that were released one after the other stay known by their cookies for a minute. Peers
-/// that name them as silent must not bring them under examination for all that time.
+/// Servers that were shut down one after the other remain known by their cookies for a minute. Reports of
+/// peers that they are silent must not cause examinations during that time.
 #[test]
-fn a_server_that_has_left_is_in_question_no_more() {
+fn a_server_that_has_left_is_not_examined() {
     let leaving = acacia_catalog::server::Server {
         state: State::Draining,
         ..server("h-1", "live")
