--- a/crates/cookie/tests/it/silence.rs
+++ b/crates/cookie/tests/it/silence.rs
@@ -3,7 +3,7 @@
 use acacia_cookie::silence::{Detector, Finding, Verdict};
 use acacia_wire::flow::mix;
 
-use crate::{fixture::ms, trial::play};
+use crate::{fixture::ms, trial::simulate};
 
 fn id() -> Arc<str> {
     "i-1".into()
@@ -184,7 +184,7 @@
             }
             suspicions += 1;
             let mut sent = 0;
-            let (finding, _) = play(|_, _| {
+            let (finding, _) = simulate(|_, _| {
                 sent += 1;
                 (draw(sent, second) >= 19).then_some(ms(5))
             });
