--- a/crates/cookie/src/cold.rs
+++ b/crates/cookie/src/cold.rs
@@ -123,7 +123,7 @@
         self.rates.retain(|name, _| is_service(name));
     }
 
-    /// Removes servers whose flows are all older than [`COUNT_WINDOW`].
+    /// Removes servers whose flows are all too old to count.
     pub fn sweep(&mut self, now: Duration) {
         self.recent_flows
             .retain(|_, times| times.iter().any(|at| *at + COUNT_WINDOW > now));
--- a/crates/cookie/src/failing.rs
+++ b/crates/cookie/src/failing.rs
@@ -13,7 +13,7 @@
 use crate::snapshot::Snapshot;
 
 /// Time constant of the exponential decay of the counts.
-const DECAY: Duration = Duration::from_secs(2);
+const DECAY_TIME: Duration = Duration::from_secs(2);
 /// Minimum decayed number of failures for a verdict: callers close connections now and then.
 const MIN_FAILURES: f64 = 3.0;
 /// Minimum ratio of failed requests to all requests for a verdict.
@@ -49,7 +49,7 @@
 impl Tally {
     fn decay(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.updated).as_secs_f64();
-        let factor = (-passed / DECAY.as_secs_f64()).exp();
+        let factor = (-passed / DECAY_TIME.as_secs_f64()).exp();
         self.failed *= factor;
         self.answered *= factor;
         self.updated = self.updated.max(now);
@@ -101,7 +101,7 @@
     /// Removes servers that have not been reported for five time constants.
     pub fn sweep(&mut self, now: Duration) {
         self.servers
-            .retain(|_, tally| now < tally.updated + DECAY * 5);
+            .retain(|_, tally| now < tally.updated + DECAY_TIME * 5);
     }
 }
 
--- a/crates/cookie/src/silence.rs
+++ b/crates/cookie/src/silence.rs
@@ -19,9 +19,9 @@
 /// Minimum interval between two probes of a silent server, and the delay from the verdict to the first
 /// one.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// Interval between two probes of a silent server as a fraction of the time since the verdict. A server
-/// that was unreachable for a moment is found at once, one that was unreachable for long within a
-/// quarter of that time.
+/// Interval between two probes of a silent server as a fraction of the time since the verdict. The
+/// return of a server is detected at once if it was unreachable for a moment, and otherwise within a
+/// quarter of the time that it was unreachable.
 const BACKOFF_RATIO: f64 = 0.25;
 /// Maximum interval between two probes of a silent server.
 const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(3);
@@ -36,7 +36,7 @@
 /// How long peers' reports on a server are ignored after it answered a probe of this balancer: it may be
 /// unreachable only from those peers.
 pub const PEER_TRUST: Duration = Duration::from_secs(2);
-/// Fraction of silent servers from which on this balancer takes itself to be cut off from the network.
+/// Minimum fraction of silent servers at which this balancer considers itself cut off from the network.
 /// Its callers are then better served by another balancer.
 const ISOLATION_RATIO: f64 = 0.95;
 
@@ -107,7 +107,7 @@
 }
 
 impl Detector {
-    /// Suspects a server because a packet to it went unanswered or a peer reported it as silent.
+    /// Marks a server as suspected because a packet to it went unanswered or a peer reported it as silent.
     /// Returns true if it is to be examined. A server that answered a probe within the last `trust` is
     /// not.
     ///
@@ -327,8 +327,8 @@
 }
 
 /// Interval until the next probe of a server that has been silent for `silent`. Balancers that examined
-/// it report its return to those that adopted the verdict, so these probe less often, in case no report
-/// arrives.
+/// it report its return to those that adopted the verdict. The latter probe it less often, only in case
+/// no report arrives.
 fn probe_interval(silent: Duration, adopted: bool) -> Duration {
     let min = if adopted {
         MAX_PROBE_INTERVAL
--- a/crates/cookie/src/speed.rs
+++ b/crates/cookie/src/speed.rs
@@ -72,7 +72,7 @@
         self.servers.entry(Arc::clone(server)).or_default()
     }
 
-    /// Returns the counts since the last report once per [`TICK`], otherwise nothing.
+    /// Returns the counts since the last report once per second, and nothing in between.
     ///
     /// ```
     /// use std::time::Duration;
@@ -141,8 +141,8 @@
         entry.count.add(&counted.count);
     }
 
-    /// Evaluates the counts since the last call once per [`TICK`] and returns the servers whose speed has
-    /// changed; returns `None` in between.
+    /// Evaluates the counts since the last evaluation once per second and returns the servers whose speed
+    /// has changed; returns `None` in between.
     ///
     /// `visible` is the fraction of all answers that the counts contain. `slots` returns the slots of a
     /// server, or `None` if the server is no longer known; it is then removed.
