--- a/crates/cookie/src/cold.rs
+++ b/crates/cookie/src/cold.rs
@@ -1,12 +1,12 @@
 //! Limits the rate of new flows to servers that have just started (cold servers).
 //!
 //! A cold server can handle only a few requests per second. The bound applies to the sum over all
-//! balancers, including those that are partitioned, have just started or hold stale state. They cannot
-//! coordinate within one second, so each balancer independently sends a random sample of its new flows
-//! to cold servers. The total is then close to a Poisson distribution, whichever balancers the flows
-//! arrive at, and the sampling probability keeps it below the bound without anyone knowing the total.
-//! An equal quota per balancer does not work: with hundreds of balancers, each quota would be less than
-//! one flow.
+//! balancers, including those that are partitioned, have just started or hold stale state. They
+//! cannot coordinate within one second, so each balancer independently sends a random sample of its
+//! new flows to cold servers. The total is then close to a Poisson distribution, whichever
+//! balancers the flows arrive at, and the sampling probability keeps it below the bound without
+//! anyone knowing the total. An equal quota per balancer does not work: with hundreds of balancers,
+//! each quota would be less than one flow.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -18,8 +18,8 @@
 
 /// Standard deviations between the mean number of new flows per second and the bound.
 const MARGIN_SIGMAS: f64 = 7.0;
-/// How long a new flow counts towards its server's bound: the one second that the bound refers to, plus
-/// an allowance for packets that are delayed in the network.
+/// How long a new flow counts towards its server's bound: the one second that the bound refers to,
+/// plus an allowance for packets that are delayed in the network.
 const COUNT_WINDOW: Duration = Duration::from_millis(1_300);
 /// Makes the sampling decision independent of other decisions based on the flow's hash.
 const SALT: u64 = 0x636f_6c64;
--- a/crates/cookie/src/failing.rs
+++ b/crates/cookie/src/failing.rs
@@ -1,10 +1,10 @@
 //! Detects servers that fail their requests, by combining the counts of several balancers.
 //!
-//! In a large fleet, one balancer sees a request to a given server only every few seconds. That is too
-//! few to distinguish a server that fails most requests from one whose caller closed the connection.
-//! Balancers that see a request fail therefore report to an *observer* of the server ([`Observer`]).
-//! The observer sums up these reports and announces failing servers to its data centre
-//! ([`FailingServers`]).
+//! In a large fleet, one balancer sees a request to a given server only every few seconds. That is
+//! too few to distinguish a server that fails most requests from one whose caller closed the
+//! connection. Balancers that see a request fail therefore report to an *observer* of the server
+//! ([`Observer`]). The observer sums up these reports and announces failing servers to its data
+//! centre ([`FailingServers`]).
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,8 +24,8 @@
 const VERDICT_TTL: Duration = Duration::from_secs(4);
 /// How long a balancer keeps reporting its counts of a server after it saw the server fail.
 const REPORT_PERIOD: Duration = Duration::from_secs(5);
-/// Maximum number of requests accepted from one report. It exceeds what a balancer sees of a server in
-/// one second, and prevents an absurd number from having a lasting effect.
+/// Maximum number of requests accepted from one report. It exceeds what a balancer sees of a server
+/// in one second, and prevents an absurd number from having a lasting effect.
 const MAX_REPORTED: u32 = 64;
 
 /// Factor on the weight for new flows of a failing server. The remaining flows show when it has
@@ -105,7 +105,8 @@
     }
 }
 
-/// The servers that observers have announced as failing, and those whose counts this balancer reports.
+/// The servers that observers have announced as failing, and those whose counts this balancer
+/// reports.
 #[derive(Debug, Default)]
 pub struct FailingServers {
     /// When the verdict on each failing server expires.
@@ -144,8 +145,8 @@
         self.expiries.values().min().copied()
     }
 
-    /// Whether this balancer is to report its counts of a server, given that it has just seen `failed`
-    /// failed requests.
+    /// Whether this balancer is to report its counts of a server, given that it has just seen
+    /// `failed` failed requests.
     pub fn should_report(&mut self, server: &Arc<str>, failed: u32, now: Duration) -> bool {
         if failed > 0 {
             self.failure_seen.insert(Arc::clone(server), now);
--- a/crates/cookie/src/roster.rs
+++ b/crates/cookie/src/roster.rs
@@ -27,8 +27,8 @@
 /// How long a server whose entry is missing remains usable and known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// How long a server with a missing entry remains usable. The default is 2 s: after an outage, the
-    /// store has the entries back within that time.
+    /// How long a server with a missing entry remains usable. The default is 2 s: after an outage,
+    /// the store has the entries back within that time.
     pub missing: Duration,
     /// How long a server that is gone remains known by its cookie: the maximum lifetime of a flow.
     pub known: Duration,
@@ -50,8 +50,8 @@
 #[derive(Debug, Clone)]
 struct Known {
     server: Arc<server::Server>,
-    /// Revision of the store at which this balancer first saw the server. It orders servers in the same
-    /// way on all balancers that follow one store.
+    /// Revision of the store at which this balancer first saw the server. It orders servers in the
+    /// same way on all balancers that follow one store.
     first_revision: u64,
     /// When its entry went missing.
     missing: Option<Duration>,
@@ -167,9 +167,10 @@
 
     /// Returns the servers that have restarted under their names since the last call.
     ///
-    /// What was learned of such a server before its restart, perhaps on another VM, is no longer valid.
-    /// If that state were kept, a server that was silent would get no flow until a probe succeeds, and
-    /// one that was slow would get too few for as long as its old speed is remembered.
+    /// What was learned of such a server before its restart, perhaps on another VM, is no longer
+    /// valid. If that state were kept, a server that was silent would get no flow until a probe
+    /// succeeds, and one that was slow would get too few for as long as its old speed is
+    /// remembered.
     pub fn take_restarted(&mut self) -> Vec<Arc<str>> {
         std::mem::take(&mut self.restarted)
     }
@@ -232,8 +233,8 @@
         Server {
             id: Arc::clone(&server.id),
             hash: cookie::hash(&server.id),
-            // If all variants are shared, the older server gets the flow. This does not occur in any
-            // realistic fleet.
+            // If all variants are shared, the older server gets the flow. This does not occur in
+            // any realistic fleet.
             cookie: unique.unwrap_or(known.cookies[0]),
             tag: server.tag,
             address: server.address,
@@ -247,8 +248,8 @@
         }
     }
 
-    /// Whether another server now has its address. The old server no longer exists then, and packets sent
-    /// there for it are not answered.
+    /// Whether another server now has its address. The old server no longer exists then, and
+    /// packets sent there for it are not answered.
     fn is_replaced(&self, known: &Known) -> bool {
         let address = known.server.address;
         self.servers.values().any(|other| {
@@ -258,9 +259,9 @@
         })
     }
 
-    /// The servers that may be examined: all known servers except those that announced their departure
-    /// and have left. The latter remain known by their cookies for a while, and probing them in that time
-    /// would be wasted.
+    /// The servers that may be examined: all known servers except those that announced their
+    /// departure and have left. The latter remain known by their cookies for a while, and probing
+    /// them in that time would be wasted.
     pub fn servers(&self) -> impl Iterator<Item = &Arc<server::Server>> {
         let others = self.servers.values().filter(|known| !known.has_left());
         others.map(|known| &known.server)
@@ -354,8 +355,8 @@
     })
 }
 
-/// Positions of a service's servers that accept new flows: the ready ones or, if there are none, those
-/// whose entries have only just gone missing.
+/// Positions of a service's servers that accept new flows: the ready ones or, if there are none,
+/// those whose entries have only just gone missing.
 fn open(snapshot: &Snapshot, known: &[&Known], service: &Arc<str>) -> Vec<u32> {
     let with_standing = |standing: Standing| {
         let matches = move |position: &usize| {
--- a/crates/cookie/src/roster/warming.rs
+++ b/crates/cookie/src/roster/warming.rs
@@ -1,4 +1,5 @@
-//! Limits new flows to servers that have just started, for services with a configured warm-up limit.
+//! Limits new flows to servers that have just started, for services with a configured warm-up
+//! limit.
 
 use std::time::Duration;
 
@@ -37,8 +38,8 @@
         self.warmup_limits = limits;
     }
 
-    /// Treats a server that was silent and answers again as cold. It may have restarted, and its entry may
-    /// not show that yet.
+    /// Treats a server that was silent and answers again as cold. It may have restarted, and its
+    /// entry may not show that yet.
     pub fn suspect_restart(&mut self, id: &str, now: Duration) {
         self.suspect_cold(now, |server| &*server.id == id);
     }
@@ -80,7 +81,8 @@
         }
     }
 
-    /// The limit of the whole fleet for each cold server; `None` while the fleet's size is not known.
+    /// The limit of the whole fleet for each cold server; `None` while the fleet's size is not
+    /// known.
     fn ration(&self, warmup: &Warmup) -> Option<Ration> {
         let WarmupLimits {
             overshoot,
--- a/crates/cookie/src/silence.rs
+++ b/crates/cookie/src/silence.rs
@@ -1,8 +1,8 @@
 //! Detects servers that no longer answer (silent servers).
 //!
-//! A server may crash without closing its connections, or a network partition may make all servers of a
-//! data centre unreachable, seconds before their entries expire in the store. The first sign is a
-//! caller's retransmission. One lost packet looks the same, so a retransmission only starts an
+//! A server may crash without closing its connections, or a network partition may make all servers
+//! of a data centre unreachable, seconds before their entries expire in the store. The first sign
+//! is a caller's retransmission. One lost packet looks the same, so a retransmission only starts an
 //! examination, which checks whether the server's address still accepts connections. A live server
 //! accepts one within a round trip, however busy it is.
 //!
@@ -16,28 +16,28 @@
 
 /// Maximum number of servers examined or probed together.
 pub const MAX_EXAMINED: usize = 64;
-/// Minimum interval between two probes of a silent server, and the delay from the verdict to the first
-/// one.
+/// Minimum interval between two probes of a silent server, and the delay from the verdict to the
+/// first one.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(400);
 /// Interval between two probes of a silent server as a fraction of the time since the verdict. The
-/// return of a server is detected at once if it was unreachable for a moment, and otherwise within a
-/// quarter of the time that it was unreachable.
+/// return of a server is detected at once if it was unreachable for a moment, and otherwise within
+/// a quarter of the time that it was unreachable.
 const BACKOFF_RATIO: f64 = 0.25;
 /// Maximum interval between two probes of a silent server.
 const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(3);
 /// How long to wait for the result of an examination. If there is none by then, the examination was
 /// never run, as too many were under way, and the server may be suspected again.
 const RESULT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Number of peers that must report a server as silent before a balancer that did not examine it adopts
-/// the result. A single peer may itself be cut off from the network.
+/// Number of peers that must report a server as silent before a balancer that did not examine it
+/// adopts the result. A single peer may itself be cut off from the network.
 const QUORUM: usize = 2;
 /// How long a peer's report remains valid.
 const REPORT_TTL: Duration = Duration::from_secs(2);
-/// How long peers' reports on a server are ignored after it answered a probe of this balancer: it may be
-/// unreachable only from those peers.
+/// How long peers' reports on a server are ignored after it answered a probe of this balancer: it
+/// may be unreachable only from those peers.
 pub const PEER_TRUST: Duration = Duration::from_secs(2);
-/// Minimum fraction of silent servers at which this balancer considers itself cut off from the network.
-/// Its callers are then better served by another balancer.
+/// Minimum fraction of silent servers at which this balancer considers itself cut off from the
+/// network. Its callers are then better served by another balancer.
 const ISOLATION_RATIO: f64 = 0.95;
 
 /// Whether a server answers, as far as is known.
@@ -107,9 +107,9 @@
 }
 
 impl Detector {
-    /// Marks a server as suspected because a packet to it went unanswered or a peer reported it as silent.
-    /// Returns true if it is to be examined. A server that answered a probe within the last `trust` is
-    /// not.
+    /// Marks a server as suspected because a packet to it went unanswered or a peer reported it as
+    /// silent. Returns true if it is to be examined. A server that answered a probe within the last
+    /// `trust` is not.
     ///
     /// ```
     /// use std::time::Duration;
@@ -134,11 +134,11 @@
         }
     }
 
-    /// Returns the servers to examine or probe now, at most [`MAX_EXAMINED`]. The others wait for the
-    /// next call.
+    /// Returns the servers to examine or probe now, at most [`MAX_EXAMINED`]. The others wait for
+    /// the next call.
     ///
-    /// A network partition may make a thousand servers of a data centre unreachable. Probing them all at
-    /// once would need more file descriptors than a small balancer has left.
+    /// A network partition may make a thousand servers of a data centre unreachable. Probing them
+    /// all at once would need more file descriptors than a small balancer has left.
     pub fn due(&mut self, now: Duration) -> Due {
         let mut due = Due::default();
         for (server, state) in &mut self.states {
@@ -191,8 +191,9 @@
         }
     }
 
-    /// Records that the peer `reporter` found a server silent by its own examination. Once [`QUORUM`]
-    /// peers have reported it, the server is silent for this balancer as well, without a probe.
+    /// Records that the peer `reporter` found a server silent by its own examination. Once
+    /// [`QUORUM`] peers have reported it, the server is silent for this balancer as well, without a
+    /// probe.
     ///
     /// ```
     /// use std::time::Duration;
@@ -229,8 +230,8 @@
         Verdict::Silent
     }
 
-    /// Records that a silent server answered a peer's probe. If this balancer found it silent by its own
-    /// examination, the server is probed at once instead of being trusted.
+    /// Records that a silent server answered a peer's probe. If this balancer found it silent by
+    /// its own examination, the server is probed at once instead of being trusted.
     pub fn peer_found_back(&mut self, server: &Arc<str>, now: Duration) -> Verdict {
         self.reports.remove(server);
         match self.states.get_mut(server) {
@@ -265,14 +266,16 @@
         matches!(self.states.get(server), Some(State::Silent { .. }))
     }
 
-    /// Whether a server may be the control of an examination, as it is neither suspected nor silent.
+    /// Whether a server may be the control of an examination, as it is neither suspected nor
+    /// silent.
     #[must_use]
     pub fn is_trusted(&self, server: &str) -> bool {
         matches!(self.states.get(server), None | Some(State::Responsive(_)))
     }
 
-    /// The servers that this balancer found silent by its own examination. Only these are reported to
-    /// peers: adopted verdicts would return to their origin as if many balancers had confirmed them.
+    /// The servers that this balancer found silent by its own examination. Only these are reported
+    /// to peers: adopted verdicts would return to their origin as if many balancers had confirmed
+    /// them.
     #[must_use]
     pub fn found_silent(&self) -> Vec<Arc<str>> {
         let found = self
@@ -304,8 +307,8 @@
         self.reports.retain(|server, _| is_known(server));
     }
 
-    /// Whether so many of `all` servers are silent that this balancer itself is probably cut off from the
-    /// network. One or two silent servers are never taken as a sign of that.
+    /// Whether so many of `all` servers are silent that this balancer itself is probably cut off
+    /// from the network. One or two silent servers are never taken as a sign of that.
     ///
     /// ```
     /// assert!(!acacia_cookie::silence::Detector::default().is_isolated(10));
@@ -326,9 +329,9 @@
     }
 }
 
-/// Interval until the next probe of a server that has been silent for `silent`. Balancers that examined
-/// it report its return to those that adopted the verdict. The latter probe it less often, only in case
-/// no report arrives.
+/// Interval until the next probe of a server that has been silent for `silent`. Balancers that
+/// examined it report its return to those that adopted the verdict. The latter probe it less often,
+/// only in case no report arrives.
 fn probe_interval(silent: Duration, adopted: bool) -> Duration {
     let min = if adopted {
         MAX_PROBE_INTERVAL
--- a/crates/cookie/src/speed.rs
+++ b/crates/cookie/src/speed.rs
@@ -1,13 +1,13 @@
 //! Estimates how fast each server is from the packets of its callers.
 //!
-//! Servers do not report their speeds, which differ by more than two to one. With equal shares, the slow
-//! ones are nearly full while the fast ones idle. The time from a caller's data to the acknowledgement
-//! of the answer shows the speed; [`Speed`] converts these times into a capacity that does not depend on
-//! how busy the server was.
+//! Servers do not report their speeds, which differ by more than two to one. With equal shares, the
+//! slow ones are nearly full while the fast ones idle. The time from a caller's data to the
+//! acknowledgement of the answer shows the speed; [`Speed`] converts these times into a capacity
+//! that does not depend on how busy the server was.
 //!
-//! Traffic threads count requests and their times ([`Counts`]). The control thread derives the speeds
-//! ([`Speeds`]) from its own counts and those of its peers: one balancer of nine sees too few answers of
-//! a server to estimate its speed within ten seconds.
+//! Traffic threads count requests and their times ([`Counts`]). The control thread derives the
+//! speeds ([`Speeds`]) from its own counts and those of its peers: one balancer of nine sees too
+//! few answers of a server to estimate its speed within ten seconds.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,11 +18,11 @@
 
 /// Interval between two evaluations, and between two reports of counts.
 const TICK: Duration = Duration::from_secs(1);
-/// Maximum ratio between a server's weight and the mean of its service, in either direction. An estimate
-/// beyond it is more likely wrong than right.
+/// Maximum ratio between a server's weight and the mean of its service, in either direction. An
+/// estimate beyond it is more likely wrong than right.
 const MAX_FACTOR: f64 = 2.5;
-/// Minimum relative change of a speed that is reported. Each reported change creates a new snapshot,
-/// which iterates over all servers, and a difference of 5 % moves hardly any flows.
+/// Minimum relative change of a speed that is reported. Each reported change creates a new
+/// snapshot, which iterates over all servers, and a difference of 5 % moves hardly any flows.
 const MIN_CHANGE: f64 = 0.05;
 
 /// Counts of one server's requests. The counts of several balancers can be summed up.
@@ -56,7 +56,8 @@
         count.answering += took;
     }
 
-    /// Counts an opening that completed after `took`, which is the network's share of an answer's time.
+    /// Counts an opening that completed after `took`, which is the network's share of an answer's
+    /// time.
     pub fn opened(&mut self, server: &Arc<str>, took: Duration) {
         let count = self.count(server);
         count.completed += 1;
@@ -141,11 +142,11 @@
         entry.count.add(&counted.count);
     }
 
-    /// Evaluates the counts since the last evaluation once per second and returns the servers whose speed
-    /// has changed; returns `None` in between.
+    /// Evaluates the counts since the last evaluation once per second and returns the servers whose
+    /// speed has changed; returns `None` in between.
     ///
-    /// `visible` is the fraction of all answers that the counts contain. `slots` returns the slots of a
-    /// server, or `None` if the server is no longer known; it is then removed.
+    /// `visible` is the fraction of all answers that the counts contain. `slots` returns the slots
+    /// of a server, or `None` if the server is no longer known; it is then removed.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -215,9 +216,9 @@
         }
     }
 
-    /// Returns the weight factors of some servers of one service, in the given order. A factor is the
-    /// ratio of the server's speed per slot to the mean; a server whose speed is not yet known is assumed
-    /// to have the mean.
+    /// Returns the weight factors of some servers of one service, in the given order. A factor is
+    /// the ratio of the server's speed per slot to the mean; a server whose speed is not yet known
+    /// is assumed to have the mean.
     ///
     /// ```
     /// use acacia_cookie::speed::Speeds;
--- a/crates/cookie/src/trial.rs
+++ b/crates/cookie/src/trial.rs
@@ -1,12 +1,12 @@
 //! One examination of suspected servers: when to probe which, and what the answers prove.
 //!
-//! If a server is wrongly found silent, all its flows are ended, which is the worst that a balancer can
-//! do. On a saturated link, callers' packets and probes are queued or lost although every server is
-//! healthy. A server is therefore found silent only if a *control*, another server, answers in the same
-//! period. Probes of the two alternate, and the server's probes come first and last, so that anything
-//! that delays or loses packets for longer than [`STEP_GAP`] affects the control too. If the control
-//! were probed last, a draining queue could deliver its probe in time although the earlier probes of the
-//! server had waited too long.
+//! If a server is wrongly found silent, all its flows are ended, which is the worst that a balancer
+//! can do. On a saturated link, callers' packets and probes are queued or lost although every
+//! server is healthy. A server is therefore found silent only if a *control*, another server,
+//! answers in the same period. Probes of the two alternate, and the server's probes come first and
+//! last, so that anything that delays or loses packets for longer than [`STEP_GAP`] affects the
+//! control too. If the control were probed last, a draining queue could deliver its probe in time
+//! although the earlier probes of the server had waited too long.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 
 /// Timeout of a probe: twice the longest round trip between regions.
 pub const WAIT: Duration = Duration::from_millis(60);
-/// Delay from the first probe to the second. Most suspected servers are alive and answer the first probe
-/// within it.
+/// Delay from the first probe to the second. Most suspected servers are alive and answer the first
+/// probe within it.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(25);
 /// Delay between a probe of the servers and one of the control, in either order.
 const STEP_GAP: Duration = Duration::from_millis(5);
-/// Number of refused connections that prove a server silent without further probes. A refusal is sent by
-/// the server's host, so packet loss cannot explain it.
+/// Number of refused connections that prove a server silent without further probes. A refusal is
+/// sent by the server's host, so packet loss cannot explain it.
 const MIN_REFUSALS: u32 = 2;
 
 /// Target of the probes in one step.
@@ -30,8 +30,8 @@
     Control,
 }
 
-/// The steps of a trial, each with the delay after the previous one. With fewer probes of the servers or
-/// of the control, live servers are found silent over a lossy link.
+/// The steps of a trial, each with the delay after the previous one. With fewer probes of the
+/// servers or of the control, live servers are found silent over a lossy link.
 const STEPS: [(Duration, Step); 10] = [
     (Duration::ZERO, Step::Servers),
     (SECOND_PROBE_DELAY, Step::Servers),
@@ -112,15 +112,15 @@
     pending: usize,
     /// Number of accepted probes of the control.
     controls: u32,
-    /// Whether a probe of the control was not accepted, or there is no control. Nothing can be concluded
-    /// then.
+    /// Whether a probe of the control was not accepted, or there is no control. Nothing can be
+    /// concluded then.
     uncontrolled: bool,
     has_control: bool,
 }
 
 impl Trial {
-    /// Creates a trial of `servers` servers that starts at `now`. `has_control` tells whether there is a
-    /// server to be the control.
+    /// Creates a trial of `servers` servers that starts at `now`. `has_control` tells whether there
+    /// is a server to be the control.
     ///
     /// ```
     /// use std::time::Duration;
@@ -150,8 +150,8 @@
             return Vec::new();
         };
         self.step += 1;
-        // The delay counts from now rather than from the scheduled time. Otherwise the late steps would
-        // all run at once after this process was suspended.
+        // The delay counts from now rather than from the scheduled time. Otherwise the late steps
+        // would all run at once after this process was suspended.
         self.step_due = now + STEPS.get(self.step).map_or(Duration::ZERO, |(gap, _)| *gap);
         let probes = self.probes(step);
         self.pending += probes.len();
--- a/crates/cookie/tests/it/cold.rs
+++ b/crates/cookie/tests/it/cold.rs
@@ -1,5 +1,5 @@
-//! Servers that have just started can handle few requests. The bound on new flows to them applies to the
-//! sum over all balancers.
+//! Servers that have just started can handle few requests. The bound on new flows to them applies
+//! to the sum over all balancers.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -116,8 +116,8 @@
     })
 }
 
-/// Fleets of 1 to 300 balancers. Their lists of balancers lack up to a quarter of the fleet, and some of
-/// them have just started.
+/// Fleets of 1 to 300 balancers. Their lists of balancers lack up to a quarter of the fleet, and
+/// some of them have just started.
 fn scenes() -> impl Strategy<Value = Scene> {
     let sizes = (1u32..=300, 1usize..=60, 0u32..=20_000, any::<u64>());
     let bounds = prop_oneof![Just(6.5), Just(14.0), Just(35.0)];
@@ -168,8 +168,8 @@
     }
 }
 
-/// In a large fleet, an equal quota for each balancer is less than one flow. Rounded up to one flow, the
-/// quotas exceed the bound together.
+/// In a large fleet, an equal quota for each balancer is less than one flow. Rounded up to one
+/// flow, the quotas exceed the bound together.
 #[test]
 fn equal_quotas_for_all_balancers_exceed_the_bound() {
     let scene = scene(67, 40, 20_000, 14.0);
@@ -178,8 +178,8 @@
     assert!(max_with_sampling(&scene) as f64 <= scene.bound);
 }
 
-/// A network partition separates two halves of the fleet. After some seconds, the balancers of each half
-/// no longer hear from the other, and must not claim the whole bound for themselves.
+/// A network partition separates two halves of the fleet. After some seconds, the balancers of each
+/// half no longer hear from the other, and must not claim the whole bound for themselves.
 #[test]
 fn partitioned_halves_of_a_fleet_keep_the_bound_together() {
     let mut halves = scene(66, 40, 8_000, 14.0);
@@ -312,8 +312,8 @@
     assert_eq!(snapshot.pools[0].open.len(), 6);
 }
 
-/// Servers become cold while their data centre is evacuated. When the evacuation ends, all its flows
-/// return at once.
+/// Servers become cold while their data centre is evacuated. When the evacuation ends, all its
+/// flows return at once.
 #[test]
 fn servers_count_as_cold_after_an_evacuation_of_their_data_centre() {
     let mut changes = servers(0);
@@ -344,8 +344,8 @@
     assert_eq!(roster.next_change(ms(30_000)), Some(ms(32_000)));
 }
 
-/// Guards against overload of cold servers in a burst: if they got an equal share of it, they would fail
-/// these requests.
+/// Guards against overload of cold servers in a burst: if they got an equal share of it, they would
+/// fail these requests.
 #[test]
 fn warm_servers_take_all_flows_if_they_are_at_least_half() {
     let mut changes = servers(3);
--- a/crates/cookie/tests/it/failing.rs
+++ b/crates/cookie/tests/it/failing.rs
@@ -1,4 +1,5 @@
-//! Detection of servers that fail their requests, at observers and at balancers that receive verdicts.
+//! Detection of servers that fail their requests, at observers and at balancers that receive
+//! verdicts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,8 +13,8 @@
     "i-1".into()
 }
 
-/// Callers close connections now and then. A server that answers nearly all requests must not lose its
-/// flows because of that.
+/// Callers close connections now and then. A server that answers nearly all requests must not lose
+/// its flows because of that.
 #[test]
 fn a_server_that_answers_most_requests_is_not_failing() {
     let mut observer = Observer::default();
@@ -33,8 +34,8 @@
     }
 }
 
-/// The data centre must receive a repeated verdict before the previous one expires, but not with each
-/// report.
+/// The data centre must receive a repeated verdict before the previous one expires, but not with
+/// each report.
 #[test]
 fn a_verdict_is_repeated_once_a_second() {
     let mut observer = Observer::default();
@@ -73,8 +74,8 @@
     assert!(!observer.add(&id(), 1, 0, ms(10)));
 }
 
-/// All servers reject requests under load. If those known to do so were avoided, the few others would
-/// receive the whole load.
+/// All servers reject requests under load. If those known to do so were avoided, the few others
+/// would receive the whole load.
 #[rstest]
 #[case::few_fail(&["a"], 0.05)]
 #[case::most_fail(&["a", "b", "c"], 1.0)]
--- a/crates/cookie/tests/it/roster.rs
+++ b/crates/cookie/tests/it/roster.rs
@@ -22,8 +22,8 @@
 }
 
 /// Leases expire during an outage of the store, and the entries of all servers are removed at once
-/// although the servers are alive. If the servers counted as gone, every caller would be rejected until
-/// the entries are back, two seconds later.
+/// although the servers are alive. If the servers counted as gone, every caller would be rejected
+/// until the entries are back, two seconds later.
 #[test]
 fn servers_whose_entries_all_expire_remain_in_use_for_a_while() {
     let before = vec![
@@ -43,8 +43,8 @@
     assert_eq!(after.pools[0].open.len(), 0);
 }
 
-/// The entry of one server expires and those of the others remain. The server has most likely crashed,
-/// and the others must get the new flows.
+/// The entry of one server expires and those of the others remain. The server has most likely
+/// crashed, and the others must get the new flows.
 #[test]
 fn a_missing_server_gets_no_new_flow_while_others_are_ready() {
     let before = vec![
@@ -94,9 +94,9 @@
     assert_eq!(standing(changes, "h-1", at), expected);
 }
 
-/// A server crashes, and its address is assigned to a server of another service. The new server ignores
-/// packets of the old flows, as they are not meant for it. If these flows were not ended, their callers
-/// would wait until their deadlines.
+/// A server crashes, and its address is assigned to a server of another service. The new server
+/// ignores packets of the old flows, as they are not meant for it. If these flows were not ended,
+/// their callers would wait until their deadlines.
 #[test]
 fn a_server_whose_address_was_reassigned_is_gone() {
     let old = server("h-1", "live");
@@ -126,8 +126,8 @@
     assert!(beyond.server(Cookie::of("h-1", 0)).is_none());
 }
 
-/// Two server names with the same first cookie, found by search. With 30 bits, this takes some fifty
-/// thousand names.
+/// Two server names with the same first cookie, found by search. With 30 bits, this takes some
+/// fifty thousand names.
 fn names_with_same_cookie() -> (String, String) {
     let mut seen = std::collections::HashMap::new();
     for number in 0.. {
@@ -139,8 +139,8 @@
     unreachable!("the search ends with a pair")
 }
 
-/// Two of 21,000 servers have the same cookie. Without an alternative cookie, half of the packets of their
-/// flows would reach the other server, which ends these flows.
+/// Two of 21,000 servers have the same cookie. Without an alternative cookie, half of the packets
+/// of their flows would reach the other server, which ends these flows.
 #[test]
 fn servers_that_share_a_cookie_use_different_ones_for_new_flows() {
     let (one, other) = names_with_same_cookie();
@@ -165,8 +165,8 @@
     }
 }
 
-/// A balancer opens flows at a server before another one with the same cookie starts. Packets of these
-/// flows must still be forwarded to the first server.
+/// A balancer opens flows at a server before another one with the same cookie starts. Packets of
+/// these flows must still be forwarded to the first server.
 #[test]
 fn a_shared_cookie_identifies_the_older_server() {
     let (one, other) = names_with_same_cookie();
@@ -184,8 +184,8 @@
     );
 }
 
-/// Servers that were shut down one after the other remain known by their cookies for a minute. Reports of
-/// peers that they are silent must not cause examinations during that time.
+/// Servers that were shut down one after the other remain known by their cookies for a minute.
+/// Reports of peers that they are silent must not cause examinations during that time.
 #[test]
 fn a_server_that_has_left_is_not_examined() {
     let leaving = acacia_catalog::server::Server {
--- a/crates/cookie/tests/it/silence.rs
+++ b/crates/cookie/tests/it/silence.rs
@@ -27,8 +27,8 @@
     detector.found(&id(), finding, now + ms(85))
 }
 
-/// A caller's packet and one probe are lost although the server is alive. If it were found silent, all
-/// its flows would be ended, which is the worst that a balancer can do.
+/// A caller's packet and one probe are lost although the server is alive. If it were found silent,
+/// all its flows would be ended, which is the worst that a balancer can do.
 #[test]
 fn one_lost_probe_does_not_make_a_server_silent() {
     let mut detector = Detector::default();
@@ -55,9 +55,9 @@
     assert!(detector.is_silent("i-1"));
 }
 
-/// A small balancer forwards a large configuration, which saturates its link for half a second. Callers'
-/// packets and all probes go unanswered. Without a control, the balancer would end the flows of every
-/// server.
+/// A small balancer forwards a large configuration, which saturates its link for half a second.
+/// Callers' packets and all probes go unanswered. Without a control, the balancer would end the
+/// flows of every server.
 #[test]
 fn a_balancer_with_a_saturated_link_finds_no_server_silent() {
     let mut detector = Detector::default();
@@ -73,8 +73,8 @@
     );
 }
 
-/// A server is unreachable for a few seconds and returns. It must be used again at once, as the others
-/// carry its load meanwhile.
+/// A server is unreachable for a few seconds and returns. It must be used again at once, as the
+/// others carry its load meanwhile.
 #[test]
 fn a_silent_server_is_probed_until_it_answers() {
     let mut detector = Detector::default();
@@ -96,9 +96,9 @@
     assert!(later - next <= ms(500));
 }
 
-/// A data centre's servers are unreachable for minutes, and every balancer of a large fleet keeps probing
-/// each of them. Probes become less frequent the longer a server is unreachable. Its return is detected
-/// within a quarter of that time, and within three seconds at most.
+/// A data centre's servers are unreachable for minutes, and every balancer of a large fleet keeps
+/// probing each of them. Probes become less frequent the longer a server is unreachable. Its return
+/// is detected within a quarter of that time, and within three seconds at most.
 #[test]
 fn probes_of_a_silent_server_become_less_frequent() {
     let mut detector = Detector::default();
@@ -117,8 +117,8 @@
     }
 }
 
-/// An examination was never run, because too many were under way or the server's address was not known.
-/// The server must not remain suspected forever, or it would never be found silent.
+/// An examination was never run, because too many were under way or the server's address was not
+/// known. The server must not remain suspected forever, or it would never be found silent.
 #[test]
 fn a_server_can_be_suspected_again_if_its_examination_has_no_result() {
     let mut detector = Detector::default();
@@ -129,8 +129,8 @@
     assert_eq!(detector.due(ms(1_000)).suspected, [id()]);
 }
 
-/// A network partition makes a thousand servers unreachable. Each must be examined, but only a few dozen
-/// at a time: their probes would otherwise use up the file descriptors that flows need.
+/// A network partition makes a thousand servers unreachable. Each must be examined, but only a few
+/// dozen at a time: their probes would otherwise use up the file descriptors that flows need.
 #[test]
 fn many_servers_are_examined_a_few_dozen_at_a_time() {
     let mut detector = Detector::default();
@@ -149,7 +149,8 @@
 }
 
 /// A balancer is cut off from all servers but the one that serves as the control. The others appear
-/// silent to it although they are alive. It must end no flow, and its callers must use another balancer.
+/// silent to it although they are alive. It must end no flow, and its callers must use another
+/// balancer.
 #[test]
 fn a_balancer_that_reaches_almost_no_server_is_isolated() {
     let mut detector = Detector::default();
@@ -167,10 +168,11 @@
     );
 }
 
-/// Measures how often a live server is found silent in ten thousand seeded histories in which one packet
-/// of ten is lost, both of callers and of probes. Each unanswered packet of a caller starts an
-/// examination, and a probe fails if its request or its answer is lost. With two probes followed by a
-/// control, the server was found silent in 292 of 10,000 examinations, each of which ends all its flows.
+/// Measures how often a live server is found silent in ten thousand seeded histories in which one
+/// packet of ten is lost, both of callers and of probes. Each unanswered packet of a caller starts
+/// an examination, and a probe fails if its request or its answer is lost. With two probes followed
+/// by a control, the server was found silent in 292 of 10,000 examinations, each of which ends all
+/// its flows.
 #[test]
 fn a_live_server_is_rarely_found_silent_under_packet_loss() {
     let (mut found_silent, mut suspicions) = (0, 0);
@@ -201,8 +203,8 @@
     assert!(ratio < 0.0002, "{ratio}");
 }
 
-/// Guards against a balancer that is cut off: it reports every server repeatedly, and would make all
-/// other balancers end flows.
+/// Guards against a balancer that is cut off: it reports every server repeatedly, and would make
+/// all other balancers end flows.
 #[test]
 fn reports_of_a_single_peer_have_no_effect() {
     let mut detector = Detector::default();
@@ -227,8 +229,8 @@
     );
 }
 
-/// Peers are cut off from a server that this balancer reaches. Their reports must not make it end flows
-/// that still work.
+/// Peers are cut off from a server that this balancer reaches. Their reports must not make it end
+/// flows that still work.
 #[test]
 fn peers_reports_do_not_override_a_recent_answer() {
     let mut detector = Detector::default();
@@ -242,7 +244,8 @@
     }
 }
 
-/// The report that a server answers again is lost. The server must not remain without flows forever.
+/// The report that a server answers again is lost. The server must not remain without flows
+/// forever.
 #[test]
 fn a_server_found_silent_by_peers_is_probed_after_seconds() {
     let mut detector = Detector::default();
@@ -268,8 +271,8 @@
     assert!(!detector.is_silent("i-1"));
 }
 
-/// A faulty peer reports that a silent server answers again. New flows must not be sent to the server on
-/// that report alone.
+/// A faulty peer reports that a silent server answers again. New flows must not be sent to the
+/// server on that report alone.
 #[test]
 fn a_server_found_silent_here_is_probed_before_it_counts_as_back() {
     let mut detector = Detector::default();
@@ -280,8 +283,8 @@
     assert_eq!(detector.due(ms(100)).silent, [id()]);
 }
 
-/// Peers that do not yet know that a server answers again still report it as silent. Its flows must not
-/// be ended again.
+/// Peers that do not yet know that a server answers again still report it as silent. Its flows must
+/// not be ended again.
 #[test]
 fn outdated_reports_do_not_make_a_returned_server_silent() {
     let mut detector = Detector::default();
@@ -297,8 +300,8 @@
     }
 }
 
-/// Guards against circulating reports: if adopted verdicts were reported too, those of two peers would
-/// spread through a data centre as if many had confirmed them, and never expire.
+/// Guards against circulating reports: if adopted verdicts were reported too, those of two peers
+/// would spread through a data centre as if many had confirmed them, and never expire.
 #[test]
 fn only_own_findings_are_reported() {
     let mut detector = Detector::default();
--- a/crates/cookie/tests/it/speed.rs
+++ b/crates/cookie/tests/it/speed.rs
@@ -19,8 +19,8 @@
     counts.iter().for_each(|count| speeds.add(count));
 }
 
-/// A server that takes twice as long must get half as many flows. Otherwise its callers wait while the
-/// other server idles.
+/// A server that takes twice as long must get half as many flows. Otherwise its callers wait while
+/// the other server idles.
 #[test]
 fn a_slow_server_s_factor_is_proportional_to_its_speed() {
     let mut speeds = Speeds::default();
@@ -36,9 +36,9 @@
     assert!((1.6..2.4).contains(&ratio), "{factors:?}");
 }
 
-/// A server becomes slow. One balancer of nine sees five of its answers per second. Based on these alone,
-/// new flows would be sent there for another ten seconds and be delayed. With the counts of the peers,
-/// three seconds are enough.
+/// A server becomes slow. One balancer of nine sees five of its answers per second. Based on these
+/// alone, new flows would be sent there for another ten seconds and be delayed. With the counts of
+/// the peers, three seconds are enough.
 #[test]
 fn counts_of_peers_reveal_a_slow_server_sooner() {
     let ratio_after = |balancers: u32, seconds: u64| {
@@ -62,8 +62,8 @@
     assert!(together > 2.0, "{together}");
 }
 
-/// A server that has just joined has not answered anything yet. Without a factor it would get no flow,
-/// and its speed would never be known.
+/// A server that has just joined has not answered anything yet. Without a factor it would get no
+/// flow, and its speed would never be known.
 #[test]
 fn a_server_without_answers_gets_the_mean_factor() {
     let mut speeds = Speeds::default();
--- a/crates/cookie/tests/it/trial.rs
+++ b/crates/cookie/tests/it/trial.rs
@@ -14,8 +14,8 @@
 
 /// Simulates a trial of one server and returns the finding and when it was reached.
 ///
-/// `travel` returns the round-trip time of a probe that is sent at the given time, or `None` if the probe
-/// or its answer is lost or the server is down.
+/// `travel` returns the round-trip time of a probe that is sent at the given time, or `None` if the
+/// probe or its answer is lost or the server is down.
 pub fn simulate(
     mut travel: impl FnMut(Probe, Duration) -> Option<Duration>,
 ) -> (Finding, Duration) {
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Simulates the senders until `now`, in milliseconds. Like TCP, each sends one window per round trip,
-    /// halves it after a loss and increases it otherwise.
+    /// Simulates the senders until `now`, in milliseconds. Like TCP, each sends one window per
+    /// round trip, halves it after a loss and increases it otherwise.
     fn advance(&mut self, now: f64) {
         while let Some((at, index)) = self.next_sender().filter(|(at, _)| *at <= now) {
             self.drain(at);
@@ -131,10 +131,10 @@
     silent.count() as u32
 }
 
-/// A balancer forwards a configuration of thousands of routes to three others, which saturates its link
-/// of 2, 5 or 10 Mbit/s for a second or more. Callers' packets are delayed and retransmitted, so that
-/// dozens of live servers are suspected in that second. One wrong verdict ends all flows of a server.
-/// Queues of 16 kB drop most packets, those of 256 kB delay them by up to a second.
+/// A balancer forwards a configuration of thousands of routes to three others, which saturates its
+/// link of 2, 5 or 10 Mbit/s for a second or more. Callers' packets are delayed and retransmitted,
+/// so that dozens of live servers are suspected in that second. One wrong verdict ends all flows of
+/// a server. Queues of 16 kB drop most packets, those of 256 kB delay them by up to a second.
 #[rstest]
 fn a_saturated_link_does_not_make_live_servers_silent(
     #[values(2.0, 5.0, 10.0)] mbits: f64,
@@ -146,10 +146,10 @@
     assert!(silent <= 1, "{silent} of 10,000");
 }
 
-/// The transfer that saturated the link has ended, and its queue drains. The first probes are queued for
-/// too long, but a control that is sent after the last of them waits a little less and is answered in
-/// time. Callers' flows were ended by that: a dozen live servers were logged as `server-suspected`, and
-/// one of them as `server-silent` 91 ms later.
+/// The transfer that saturated the link has ended, and its queue drains. The first probes are
+/// queued for too long, but a control that is sent after the last of them waits a little less and
+/// is answered in time. Callers' flows were ended by that: a dozen live servers were logged as
+/// `server-suspected`, and one of them as `server-silent` 91 ms later.
 #[test]
 fn a_draining_queue_does_not_make_a_live_server_silent() {
     for tenths in 0..4_000u32 {
@@ -164,8 +164,8 @@
     }
 }
 
-/// Links lose a fraction of all packets for seconds. Live servers are suspected because callers' packets
-/// are lost, and each wrong verdict would end all flows of one.
+/// Links lose a fraction of all packets for seconds. Live servers are suspected because callers'
+/// packets are lost, and each wrong verdict would end all flows of one.
 #[rstest]
 fn packet_loss_rarely_makes_a_live_server_silent(#[values(0.05, 0.1, 0.2, 0.4, 0.6)] loss: f64) {
     let mut random = Pcg64::seed_from_u64(7);
@@ -180,8 +180,8 @@
     assert!(f64::from(silent) / f64::from(trials) < 0.0015, "{silent}");
 }
 
-/// The host of a server is down, and its callers wait for answers that never arrive. The verdict must be
-/// reached while they can still wait: well below the 200 ms after which they retransmit.
+/// The host of a server is down, and its callers wait for answers that never arrive. The verdict
+/// must be reached while they can still wait: well below the 200 ms after which they retransmit.
 #[test]
 fn a_server_whose_host_is_down_is_found_silent_in_time() {
     let (found, took) = simulate(|probe, _| (probe == Probe::Control).then_some(ms(5)));
@@ -190,8 +190,8 @@
     assert!(took <= ms(150), "{took:?}");
 }
 
-/// The host of a server is down while one packet of ten is lost in each direction. Not every examination
-/// reaches a verdict, but each retransmission of a caller starts another one.
+/// The host of a server is down while one packet of ten is lost in each direction. Not every
+/// examination reaches a verdict, but each retransmission of a caller starts another one.
 #[test]
 fn a_server_whose_host_is_down_is_found_silent_over_a_lossy_link() {
     let mut random = Pcg64::seed_from_u64(8);
@@ -207,8 +207,8 @@
     assert!(silent > 350, "{silent} of 1,000 in one examination");
 }
 
-/// The process of a server has crashed, and its host refuses connections at once. Packet loss cannot
-/// explain that, so the verdict does not wait for more probes.
+/// The process of a server has crashed, and its host refuses connections at once. Packet loss
+/// cannot explain that, so the verdict does not wait for more probes.
 #[test]
 fn a_server_that_refuses_connections_is_found_silent_at_once() {
     let mut trial = Trial::new(1, true, ms(0));
@@ -240,8 +240,8 @@
     assert_eq!(trial.next_due(), Some(ms(105)));
 }
 
-/// All other servers are suspected or silent, so there is no control and nothing can be concluded. The
-/// trial must end nevertheless.
+/// All other servers are suspected or silent, so there is no control and nothing can be concluded.
+/// The trial must end nevertheless.
 #[test]
 fn without_a_control_nothing_is_concluded() {
     let mut trial = Trial::new(1, false, ms(0));
