--- a/crates/cookie/src/roster.rs
+++ b/crates/cookie/src/roster.rs
@@ -24,11 +24,11 @@
 
 pub use warming::WarmupLimits;
 
-/// How long a server whose entry is missing remains usable and known.
+/// Time limits for servers whose entries are missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// How long a server with a missing entry remains usable. The default is 2 s: after an outage,
-    /// the store has the entries back within that time.
+    /// How long an entry may be missing before its server counts as lost and gets no new flows at
+    /// all. The default is 2 s: after an outage, the store has the entries back within that time.
     pub missing: Duration,
     /// How long a server that is gone remains known by its cookie: the maximum lifetime of a flow.
     pub known: Duration,
@@ -48,7 +48,7 @@
 
 /// A server and what this balancer has learned of its entry.
 #[derive(Debug, Clone)]
-struct Known {
+struct KnownServer {
     server: Arc<server::Server>,
     /// Revision of the store at which this balancer first saw the server. It orders servers in the
     /// same way on all balancers that follow one store.
@@ -63,7 +63,7 @@
     cookies: [Cookie; VARIANTS as usize],
 }
 
-impl Known {
+impl KnownServer {
     /// Whether it announced its departure and its entry has been removed.
     fn has_left(&self) -> bool {
         self.missing.is_some() && self.server.state == State::Draining
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     limits: Limits,
-    servers: BTreeMap<Arc<str>, Known>,
+    servers: BTreeMap<Arc<str>, KnownServer>,
     config: Option<Arc<Config>>,
     /// The data centres under evacuation.
     evacuated: BTreeSet<Arc<str>>,
@@ -152,7 +152,7 @@
                 known.warm_at = warm_at;
             }
             None => {
-                let known = Known {
+                let known = KnownServer {
                     server: Arc::clone(server),
                     first_revision: revision,
                     missing: None,
@@ -179,7 +179,7 @@
     #[must_use]
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
         let missing = self.limits.missing;
-        let ends = |known: &Known| {
+        let ends = |known: &KnownServer| {
             let expiry = known.missing.map(|at| at + missing);
             [expiry, Some(known.warm_at), Some(known.suspected_until)]
         };
@@ -199,7 +199,7 @@
             ..Snapshot::default()
         };
         // Older servers come first: they keep a cookie that a newer server turns out to share.
-        let mut known: Vec<&Known> = self.servers.values().collect();
+        let mut known: Vec<&KnownServer> = self.servers.values().collect();
         known.sort_by(|one, other| {
             (one.first_revision, &one.server.id).cmp(&(other.first_revision, &other.server.id))
         });
@@ -221,7 +221,7 @@
         snapshot
     }
 
-    fn server(&self, known: &Known, shared: &[Cookie], now: Duration) -> Server {
+    fn server(&self, known: &KnownServer, shared: &[Cookie], now: Duration) -> Server {
         let server = &known.server;
         let mut own = known.cookies.into_iter();
         let unique = own.find(|cookie| shared.binary_search(cookie).is_err());
@@ -250,7 +250,7 @@
 
     /// Whether another server now has its address. The old server no longer exists then, and
     /// packets sent there for it are not answered.
-    fn is_replaced(&self, known: &Known) -> bool {
+    fn is_replaced(&self, known: &KnownServer) -> bool {
         let address = known.server.address;
         self.servers.values().any(|other| {
             other.missing.is_none()
@@ -287,7 +287,7 @@
         present.map(|known| &known.server)
     }
 
-    fn standing(&self, known: &Known, now: Duration) -> Standing {
+    fn standing(&self, known: &KnownServer, now: Duration) -> Standing {
         let draining = known.server.state == State::Draining;
         let evacuated = self.evacuated.contains(&known.server.data_centre);
         let recently_missing = |at: Duration| now.saturating_sub(at) < self.limits.missing;
@@ -305,7 +305,7 @@
 }
 
 /// Cookies that several servers have in common, sorted.
-fn shared_cookies(known: &[&Known]) -> Vec<Cookie> {
+fn shared_cookies(known: &[&KnownServer]) -> Vec<Cookie> {
     let mut all: Vec<Cookie> = known.iter().flat_map(|known| known.cookies).collect();
     all.sort_unstable();
     let mut shared: Vec<Cookie> = all
@@ -317,7 +317,7 @@
     shared
 }
 
-fn fill_routes(snapshot: &mut Snapshot, config: &Config, known: &[&Known]) {
+fn fill_routes(snapshot: &mut Snapshot, config: &Config, known: &[&KnownServer]) {
     snapshot.version = config.version;
     let mut positions: Map<Arc<str>, u32> = Map::default();
     for route in &config.routes {
@@ -357,7 +357,7 @@
 
 /// Positions of a service's servers that accept new flows: the ready ones or, if there are none,
 /// those whose entries have only just gone missing.
-fn open(snapshot: &Snapshot, known: &[&Known], service: &Arc<str>) -> Vec<u32> {
+fn open(snapshot: &Snapshot, known: &[&KnownServer], service: &Arc<str>) -> Vec<u32> {
     let with_standing = |standing: Standing| {
         let matches = move |position: &usize| {
             known[*position].server.service == *service
--- a/crates/cookie/src/roster/warming.rs
+++ b/crates/cookie/src/roster/warming.rs
@@ -8,7 +8,7 @@
     server,
 };
 
-use super::{Known, Roster};
+use super::{KnownServer, Roster};
 use crate::{cold::Ration, snapshot::Snapshot};
 
 /// How the configured request rates of cold servers are turned into limits for the whole fleet.
@@ -58,14 +58,19 @@
     }
 
     /// Whether a server has started recently, or may have, and its service has a warm-up limit.
-    fn is_limited(&self, known: &Known, now: Duration) -> bool {
+    fn is_limited(&self, known: &KnownServer, now: Duration) -> bool {
         let is_cold = known.warm_at.max(known.suspected_until) > now;
         let config = self.config.as_deref();
         is_cold && config.is_some_and(|config| warmup(config, &known.server).is_some())
     }
 
     /// Moves the limited servers of each pool from `open` to `cold`.
-    pub(super) fn separate_cold(&self, snapshot: &mut Snapshot, known: &[&Known], now: Duration) {
+    pub(super) fn separate_cold(
+        &self,
+        snapshot: &mut Snapshot,
+        known: &[&KnownServer],
+        now: Duration,
+    ) {
         let Some(config) = &self.config else {
             return;
         };
--- a/crates/cookie/src/silence.rs
+++ b/crates/cookie/src/silence.rs
@@ -84,7 +84,8 @@
     Answered,
     /// The server answered no probe, and the control did.
     Silent,
-    /// Nothing can be concluded: the server answered no probe, and neither did the control.
+    /// Nothing can be concluded: the server answered no probe, and probes of the control went
+    /// unanswered too or there was no control.
     Unknown,
 }
 
