--- a/crates/cookie/tests/it/trial.rs
+++ b/crates/cookie/tests/it/trial.rs
@@ -197,10 +197,9 @@
     let mut random = Pcg64::seed_from_u64(8);
     let mut silent = 0;
     for _ in 0..1_000 {
-        let is_answered = |random: &mut Pcg64| !random.random_bool(0.19);
-        let (found, _) = simulate(|probe, _| {
-            (probe == Probe::Control && is_answered(&mut random)).then_some(ms(5))
-        });
+        let answers = |random: &mut Pcg64| !random.random_bool(0.19);
+        let (found, _) =
+            simulate(|probe, _| (probe == Probe::Control && answers(&mut random)).then_some(ms(5)));
         silent += u32::from(found == Finding::Silent);
     }
 
