--- a/crates/cookie/src/resolver.rs
+++ b/crates/cookie/src/resolver.rs
@@ -24,7 +24,7 @@
     cookie::Cookie,
     flow::{Flow, Observation, Table},
     snapshot::{Server, Snapshot, Standing},
-    speed::{Counts, Seen},
+    speed::{Counts, ServerCount},
 };
 
 /// What to do with a client's packet.
@@ -99,7 +99,7 @@
     /// The server did not answer a packet.
     Unanswered(Arc<str>),
     /// Counts of requests and answers by server.
-    Seen(Vec<Seen>),
+    Seen(Vec<ServerCount>),
 }
 
 /// A response time measured on a flow, for the metrics.
@@ -149,7 +149,7 @@
     /// By service, the share of less urgent new flows that is refused.
     throttles: Map<Arc<str>, Throttle>,
     /// Flows recently sent to cold servers.
-    warming: cold::Sent,
+    warming: cold::Limiter,
     /// When expired state was last removed.
     last_expiry: Duration,
     /// When each server was last seen to answer.
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -17,10 +17,10 @@
 };
 use acacia_cookie::{
     Roster, Snapshot,
-    failing::{Ledger, Marks},
-    roster::{Limits, Warming},
+    failing::{FailingServers, Observer},
+    roster::{Limits, WarmupLimits},
     silence::Detector,
-    speed::{Seen, Speeds},
+    speed::{ServerCount, Speeds},
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -82,18 +82,18 @@
     /// The largest size of the fleet of late.
     size: Peak,
     /// What the settings say of servers that have just started.
-    warming: Warming,
+    warming: WarmupLimits,
     catalog: Catalog,
     reading: ReadSchedule,
     roster: Roster,
     detector: Detector,
     speeds: Speeds,
     /// How the requests of the servers that this balancer observes have ended.
-    ledger: Ledger,
+    ledger: Observer,
     /// Servers that fail their requests.
-    marks: Marks,
+    marks: FailingServers,
     /// What was seen of servers here and not told to peers yet.
-    untold: Vec<Seen>,
+    untold: Vec<ServerCount>,
     /// Peers that have told what they saw since the speeds were last evaluated.
     reports: usize,
     isolated: bool,
@@ -147,8 +147,8 @@
             }),
             detector: Detector::default(),
             speeds: Speeds::default(),
-            ledger: Ledger::default(),
-            marks: Marks::default(),
+            ledger: Observer::default(),
+            marks: FailingServers::default(),
             untold: Vec::new(),
             reports: 0,
             isolated: false,
@@ -430,7 +430,7 @@
     /// Routes and servers for the traffic threads, and when they change by time alone.
     pub fn snapshot(&mut self, now: Duration) -> (Snapshot, Option<Duration>) {
         let balancers = self.balancers(now);
-        self.roster.set_warming(Warming {
+        self.roster.set_warmup_limits(WarmupLimits {
             balancers,
             ..self.warming
         });
@@ -471,8 +471,8 @@
     }
 }
 
-fn warming(settings: &Settings) -> Warming {
-    Warming {
+fn warming(settings: &Settings) -> WarmupLimits {
+    WarmupLimits {
         overshoot: settings.cold_overshoot,
         slack: settings.cold_slack,
         balancers: None,
--- a/crates/node/src/cookie/core/failing.rs
+++ b/crates/node/src/cookie/core/failing.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc, time::Duration};
 
 use acacia_catalog::spread::chosen;
-use acacia_cookie::{Snapshot, cookie, failing, speed::Seen};
+use acacia_cookie::{Snapshot, cookie, failing, speed::ServerCount};
 
 use super::{Core, Outcome};
 use crate::cookie::message::{Failure, Parcel};
@@ -15,10 +15,10 @@
 
 impl Core {
     /// Reports how the requests of servers that fail some of them ended here.
-    pub(super) fn report_failures(&mut self, seen: &[Seen], now: Duration) -> Outcome {
+    pub(super) fn report_failures(&mut self, seen: &[ServerCount], now: Duration) -> Outcome {
         let mut reports: BTreeMap<SocketAddrV4, Vec<Failure>> = BTreeMap::new();
-        for Seen { server, count } in seen {
-            if !self.marks.reports(server, count.failed, now) {
+        for ServerCount { server, count } in seen {
+            if !self.marks.should_report(server, count.failed, now) {
                 continue;
             }
             let Some(known) = self.roster.get(server) else {
@@ -92,9 +92,9 @@
         self.marks.sweep(now);
         self.ledger.sweep(now);
         for server in &mut snapshot.servers {
-            server.failing = self.marks.is_marked(&server.id, now);
+            server.failing = self.marks.is_failing(&server.id, now);
         }
-        failing::weigh(snapshot);
-        self.marks.next()
+        failing::lower_weights(snapshot);
+        self.marks.next_expiry()
     }
 }
