--- a/crates/cookie/src/resolver/open.rs
+++ b/crates/cookie/src/resolver/open.rs
@@ -216,7 +216,7 @@
         }
         let part = limit.part();
         let terms = Terms {
-            demand,
+            objective: demand,
             urgent: rank.urgent,
             part,
         };
--- a/crates/cookie/src/resolver/urgency.rs
+++ b/crates/cookie/src/resolver/urgency.rs
@@ -4,7 +4,7 @@
 
 use acacia_code::Code;
 use acacia_load::{
-    overload::Demand,
+    overload::LatencyObjective,
     throttle::{Pressure, WAITS},
     urgency::Rank,
 };
@@ -18,7 +18,12 @@
 
 impl Resolver {
     /// How urgent a new flow is beside others of its service.
-    pub(super) fn rank(&mut self, service: &Arc<str>, demand: &Demand, now: Duration) -> Rank {
+    pub(super) fn rank(
+        &mut self,
+        service: &Arc<str>,
+        demand: &LatencyObjective,
+        now: Duration,
+    ) -> Rank {
         let Some(priority) = demand.priority else {
             return Rank::default();
         };
--- a/crates/cookie/src/roster.rs
+++ b/crates/cookie/src/roster.rs
@@ -13,7 +13,7 @@
     route::{self, Config},
     server::{self, State},
 };
-use acacia_load::overload::Demand;
+use acacia_load::overload::LatencyObjective;
 use acacia_wire::collections::Map;
 
 use crate::{
@@ -333,8 +333,8 @@
 }
 
 /// What a route's callers expect.
-fn demand(route: &route::Route) -> Option<Demand> {
-    Some(Demand {
+fn demand(route: &route::Route) -> Option<LatencyObjective> {
+    Some(LatencyObjective {
         latency: route.objective.latency?,
         priority: route.objective.priority,
     })
--- a/crates/cookie/src/snapshot.rs
+++ b/crates/cookie/src/snapshot.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use acacia_catalog::route::Front;
-use acacia_load::{delay::Idle, overload::Demand};
+use acacia_load::{delay::Idle, overload::LatencyObjective};
 use acacia_wire::collections::Map;
 
 use crate::{cold::Ration, cookie::Cookie};
@@ -93,7 +93,7 @@
     /// Positions of the services' pools, each with its weight.
     pub pools: Vec<(u32, u32)>,
     /// What its callers expect; nothing if the operators don't say, and then none is refused.
-    pub demand: Option<Demand>,
+    pub demand: Option<LatencyObjective>,
 }
 
 /// Routes and servers at one moment.
--- a/crates/cookie/tests/it/overload.rs
+++ b/crates/cookie/tests/it/overload.rs
@@ -8,7 +8,7 @@
 
 use acacia_catalog::route::Front;
 use acacia_cookie::{Action, Resolver, Snapshot, cookie::Cookie};
-use acacia_load::{delay::Idle, overload::Demand};
+use acacia_load::{delay::Idle, overload::LatencyObjective};
 use acacia_wire::{
     flow::mix,
     packet::{Kind, Packet},
@@ -48,7 +48,7 @@
     let route = snapshot.routes[&FRONT].clone();
     for (port, urgent) in [(FRONT.port, false), (URGENT, true)] {
         let mut route = route.clone();
-        route.demand = refuses.then_some(Demand {
+        route.demand = refuses.then_some(LatencyObjective {
             latency: LATENCY,
             priority: Some(if urgent { 1 } else { 2 }),
         });
--- a/crates/load/src/overload.rs
+++ b/crates/load/src/overload.rs
@@ -71,7 +71,7 @@
 
 /// What the callers of a route expect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Demand {
+pub struct LatencyObjective {
     /// Within which time an answer is worth all to them.
     pub latency: Duration,
     /// How urgent they are, 0 being the most; none if the operators don't say.
@@ -82,7 +82,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Terms {
     /// What its callers expect.
-    pub demand: Demand,
+    pub objective: LatencyObjective,
     /// Whether less urgent flows use the same servers.
     pub urgent: bool,
     /// See [`Limit::part`].
@@ -107,9 +107,9 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_load::overload::{Demand, Prospect, Terms};
-    /// let demand = Demand { latency: Duration::from_millis(200), priority: None };
-    /// let terms = Terms { demand, urgent: false, part: 0.35 };
+    /// use acacia_load::overload::{LatencyObjective, Prospect, Terms};
+    /// let objective = LatencyObjective { latency: Duration::from_millis(200), priority: None };
+    /// let terms = Terms { objective, urgent: false, part: 0.35 };
     /// let prospect = |expected| Prospect { expected, idle: Some(0.04) };
     /// assert!(terms.admits(&prospect(0.06)));
     /// assert!(!terms.admits(&prospect(0.08)));
@@ -124,7 +124,7 @@
     /// long as it is not known what an answer takes when nothing waits, the whole objective.
     #[must_use]
     pub fn limit(&self, server: &Prospect) -> f64 {
-        let latency = self.demand.latency.as_secs_f64();
+        let latency = self.objective.latency.as_secs_f64();
         let part = if self.urgent { URGENT } else { self.part };
         match server.idle {
             Some(_) if !self.is_met_by(server) => part * latency,
@@ -135,7 +135,7 @@
 
     /// Whether the server could answer in time when nothing waits there.
     fn is_met_by(&self, server: &Prospect) -> bool {
-        let latency = self.demand.latency.as_secs_f64();
+        let latency = self.objective.latency.as_secs_f64();
         server.idle.is_none_or(|idle| idle <= latency)
     }
 }
@@ -160,9 +160,9 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use acacia_load::overload::{Demand, Prospect, Terms, admit};
-/// let demand = Demand { latency: Duration::from_millis(200), priority: None };
-/// let terms = Terms { demand, urgent: false, part: 0.35 };
+/// use acacia_load::overload::{LatencyObjective, Prospect, Terms, admit};
+/// let objective = LatencyObjective { latency: Duration::from_millis(200), priority: None };
+/// let terms = Terms { objective, urgent: false, part: 0.35 };
 /// let prospect = |server: u32| Prospect {
 ///     expected: [0.15, 0.05, 0.3][server as usize],
 ///     idle: Some(0.04),
--- a/crates/load/tests/it/overload.rs
+++ b/crates/load/tests/it/overload.rs
@@ -1,12 +1,12 @@
 use std::time::Duration;
 
-use acacia_load::overload::{Demand, Limit, Prospect, Terms, admit};
+use acacia_load::overload::{LatencyObjective, Limit, Prospect, Terms, admit};
 use proptest::prelude::*;
 
 fn terms(latency_ms: u64, urgent: bool) -> Terms {
     let latency = Duration::from_millis(latency_ms);
     Terms {
-        demand: Demand {
+        objective: LatencyObjective {
             latency,
             priority: None,
         },
