--- a/crates/bench/src/balance/fleet.rs
+++ b/crates/bench/src/balance/fleet.rs
@@ -79,7 +79,7 @@
         };
         let balancer = || {
             let mut controller = Controller::new(pool.clone(), limits.clone(), 1);
-            controller.in_force(weights);
+            controller.set_weights(weights);
             Balancer {
                 gate: Gate::new(&pool, limits.clone()),
                 controller,
@@ -154,7 +154,9 @@
     /// The configuration takes a server out or lets it in, at every balancer.
     pub fn leaving(&mut self, server: usize, leaving: bool) {
         for balancer in &mut self.balancers {
-            balancer.controller.leaving(Server(server as u16), leaving);
+            balancer
+                .controller
+                .set_leaving(Server(server as u16), leaving);
         }
     }
 
@@ -162,7 +164,7 @@
     pub fn apply(&mut self, at: usize, update: &Update) {
         let balancer = &mut self.balancers[at];
         balancer.table = Rc::clone(&update.table);
-        balancer.controller.in_force(&update.weights);
+        balancer.controller.set_weights(&update.weights);
     }
 
     /// Delivers a report, or loses it.
@@ -182,7 +184,7 @@
     /// What a health endpoint says, at every balancer.
     pub fn health(&mut self, server: usize, fine: bool) {
         for balancer in &mut self.balancers {
-            balancer.controller.health(Server(server as u16), fine);
+            balancer.controller.set_health(Server(server as u16), fine);
         }
     }
 
--- a/crates/load/src/controller.rs
+++ b/crates/load/src/controller.rs
@@ -31,7 +31,7 @@
 
 impl Controller {
     /// A controller without any figure, for a balancer with `threads` traffic threads. Weights are
-    /// equal until [`Controller::in_force`] says otherwise.
+    /// equal until [`Controller::set_weights`] says otherwise.
     ///
     /// ```
     /// use std::time::Duration;
@@ -104,7 +104,7 @@
     }
 
     /// What a server's health endpoint says. It lags or misleads, so it only ever lowers trust.
-    pub fn health(&mut self, server: Server, fine: bool) {
+    pub fn set_health(&mut self, server: Server, fine: bool) {
         if let Some(estimate) = self.estimates.servers.get_mut(server.index()) {
             estimate.distrusted = !fine;
         }
@@ -112,7 +112,7 @@
 
     /// Whether a server is leaving (draining) or not yet in use: it gets no new flows. One that
     /// comes back starts cold.
-    pub fn leaving(&mut self, server: Server, leaving: bool) {
+    pub fn set_leaving(&mut self, server: Server, leaving: bool) {
         if let Some(estimate) = self.estimates.servers.get_mut(server.index()) {
             if estimate.leaving && !leaving {
                 *estimate = Estimate::default();
@@ -123,7 +123,7 @@
 
     /// The weights of the table of new flows that is in force now, in any unit; 0 for a server
     /// that is not in it.
-    pub fn in_force(&mut self, weights: &[f64]) {
+    pub fn set_weights(&mut self, weights: &[f64]) {
         let sum: f64 = weights.iter().sum();
         if weights.len() == self.in_force.len() && sum > 0.0 {
             let factor = weights.len() as f64 / sum;
--- a/crates/load/tests/it/fake.rs
+++ b/crates/load/tests/it/fake.rs
@@ -294,7 +294,7 @@
             }
         }
         if let Some(weights) = self.balancers[0].controller.weights(now) {
-            self.each(|controller| controller.in_force(&weights));
+            self.each(|controller| controller.set_weights(&weights));
             self.weights = weights;
         }
     }
--- a/crates/load/tests/it/outcome.rs
+++ b/crates/load/tests/it/outcome.rs
@@ -114,12 +114,12 @@
 #[rstest]
 fn a_cold_server_ramps_up(#[values(false, true)] dying: bool) {
     let mut fake = Fake::new(&SPEEDS, 7);
-    fake.each(|controller| controller.leaving(Server(0), true));
+    fake.each(|controller| controller.set_leaving(Server(0), true));
     fake.run(40.0, [0.35, 0.1]);
     if dying {
         fake.kill();
     }
-    fake.each(|controller| controller.leaving(Server(0), false));
+    fake.each(|controller| controller.set_leaving(Server(0), false));
     let mut parts = Vec::new();
     for step in 0..10 {
         fake.factors[0] = (0.1 + 0.15 * f64::from(step)).min(1.0);
@@ -137,7 +137,7 @@
 #[test]
 fn wrong_health_endpoints_empty_nothing() {
     let mut fake = settled(8, false);
-    (0..6).for_each(|server| fake.each(|controller| controller.health(Server(server), false)));
+    (0..6).for_each(|server| fake.each(|controller| controller.set_health(Server(server), false)));
     let outcome = fake.run(20.0, USUAL);
     assert_eq!(outcome.refused[PAYING], 0);
     assert!(
--- a/crates/node/src/control/load.rs
+++ b/crates/node/src/control/load.rs
@@ -237,14 +237,14 @@
             None => Controller::new(pool, Limits::default(), u32::try_from(threads).unwrap_or(1)),
         };
         for (at, server) in (0..).zip(&service.servers) {
-            controller.leaving(Server(at), server.state != State::Up);
+            controller.set_leaving(Server(at), server.state != State::Up);
         }
         let weights: Vec<f64> = service
             .servers
             .iter()
             .map(|server| f64::from(server.weight))
             .collect();
-        controller.in_force(&weights);
+        controller.set_weights(&weights);
         Entry {
             name: Arc::clone(&service.name),
             down: vec![false; numbers.len()],
