--- a/crates/load/src/controller.rs
+++ b/crates/load/src/controller.rs
@@ -67,13 +67,18 @@
     /// report counts again once they have changed as well; until then this balancer goes by its
     /// own eighth.
     #[must_use]
-    pub fn renew(self, pool: Pool, servers: &[Option<usize>], classes: &[Option<usize>]) -> Self {
+    pub fn reconfigure(
+        self,
+        pool: Pool,
+        servers: &[Option<usize>],
+        classes: &[Option<usize>],
+    ) -> Self {
         let new = Controller::new(pool, self.limits.clone(), self.threads);
         let weight = |index: &Option<usize>| index.map_or(0.0, |index| self.in_force[index]);
         Controller {
-            peers: self.peers.renew(servers, classes),
-            estimates: self.estimates.renew(servers),
-            bench: self.bench.renew(servers),
+            peers: self.peers.remap(servers, classes),
+            estimates: self.estimates.remap(servers),
+            bench: self.bench.remap(servers),
             in_force: servers.iter().map(weight).collect(),
             plan: self.plan,
             last: self.last,
--- a/crates/load/src/eject.rs
+++ b/crates/load/src/eject.rs
@@ -78,7 +78,7 @@
     /// The records of the servers that a changed configuration keeps: `from` gives the old index of
     /// each new one.
     #[must_use]
-    pub fn renew(&self, from: &[Option<usize>]) -> Self {
+    pub fn remap(&self, from: &[Option<usize>]) -> Self {
         let old = |index: &Option<usize>| index.and_then(|index| self.records.get(index).copied());
         Bench {
             records: from
--- a/crates/load/src/estimate.rs
+++ b/crates/load/src/estimate.rs
@@ -90,7 +90,7 @@
     /// What is known of the servers that a changed configuration keeps: `from` gives the old index
     /// of each new one.
     #[must_use]
-    pub fn renew(&self, from: &[Option<usize>]) -> Self {
+    pub fn remap(&self, from: &[Option<usize>]) -> Self {
         let old = |index: &Option<usize>| index.and_then(|index| self.servers.get(index).cloned());
         Estimates {
             servers: from
--- a/crates/load/src/peer.rs
+++ b/crates/load/src/peer.rs
@@ -81,7 +81,7 @@
     /// The open flows of this balancer under a changed configuration: `servers` and `classes` give
     /// the old index of each new one. Peers count again when they report under it.
     #[must_use]
-    pub fn renew(&self, servers: &[Option<usize>], classes: &[Option<usize>]) -> Self {
+    pub fn remap(&self, servers: &[Option<usize>], classes: &[Option<usize>]) -> Self {
         let pick = |from: &[f64], index: &Option<usize>| {
             index
                 .and_then(|index| from.get(index).copied())
--- a/crates/load/tests/it/report.rs
+++ b/crates/load/tests/it/report.rs
@@ -76,6 +76,6 @@
     let mut tally = Tally::new(2, 1);
     (0..5).for_each(|_| tally.opened(Server(1)));
     peers.absorb(&tally);
-    let peers = peers.renew(&[Some(1), None, None], &[Some(0)]);
+    let peers = peers.remap(&[Some(1), None, None], &[Some(0)]);
     assert_eq!(peers.open().servers, vec![5.0, 0.0, 0.0]);
 }
--- a/crates/node/src/control/load.rs
+++ b/crates/node/src/control/load.rs
@@ -232,7 +232,7 @@
                     .iter()
                     .map(|class| before.iter().position(|other| other.name == class.name))
                     .collect();
-                old.controller.clone().renew(pool, &servers, &classes)
+                old.controller.clone().reconfigure(pool, &servers, &classes)
             }
             None => Controller::new(pool, Limits::default(), u32::try_from(threads).unwrap_or(1)),
         };
