--- a/crates/bench/src/balance/fleet.rs
+++ b/crates/bench/src/balance/fleet.rs
@@ -83,7 +83,7 @@
             Balancer {
                 gate: Gate::new(&pool, limits.clone()),
                 controller,
-                plan: Plan::blind(&pool),
+                plan: Plan::unrestricted(&pool),
                 table: Rc::clone(table),
             }
         };
--- a/crates/load/src/gate.rs
+++ b/crates/load/src/gate.rs
@@ -34,7 +34,7 @@
     /// let pool = Pool { revision: 1, hosts: vec![host; 2], classes: vec![class] };
     /// let mut rng = rand_pcg::Pcg64::seed_from_u64(1);
     /// let mut gate = Gate::new(&pool, Limits::default());
-    /// let plan = Plan::blind(&pool);
+    /// let plan = Plan::unrestricted(&pool);
     /// assert!(gate.admit(0, &plan, Duration::ZERO, &mut rng).is_ok());
     /// assert_eq!(gate.place(&[Server(1), Server(0)], &plan, &mut rng), Ok(0));
     /// assert_eq!(gate.drain().servers[1].opened, 1);
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -41,7 +41,7 @@
 impl Plan {
     /// The plan of a balancer that knows nothing: plain shares of the table, nothing refused.
     #[must_use]
-    pub fn blind(pool: &Pool) -> Self {
+    pub fn unrestricted(pool: &Pool) -> Self {
         Plan {
             number: 0,
             rates: None,
--- a/crates/load/tests/it/admit.rs
+++ b/crates/load/tests/it/admit.rs
@@ -219,7 +219,7 @@
 #[test]
 fn connections_are_not_lent_to_trial() {
     let pool = pool(4);
-    let mut plan = Plan::blind(&pool);
+    let mut plan = Plan::unrestricted(&pool);
     plan.number = 1;
     plan.connections = vec![None, Some(3)];
     let mut gate = Gate::new(&pool, Limits::default());
--- a/crates/load/tests/it/fake.rs
+++ b/crates/load/tests/it/fake.rs
@@ -92,7 +92,7 @@
         let balancer = || Balancer {
             gate: Gate::new(&pool, Limits::default()),
             controller: Controller::new(pool.clone(), Limits::default(), 1),
-            plan: Plan::blind(&pool),
+            plan: Plan::unrestricted(&pool),
             dead: false,
         };
         Fake {
--- a/crates/load/tests/it/fixture.rs
+++ b/crates/load/tests/it/fixture.rs
@@ -63,7 +63,7 @@
     };
     Plan {
         rates: Some(rates),
-        ..Plan::blind(pool)
+        ..Plan::unrestricted(pool)
     }
 }
 
--- a/crates/load/tests/it/place.rs
+++ b/crates/load/tests/it/place.rs
@@ -13,7 +13,7 @@
         seed: u64,
         standings in prop::collection::vec((0.0..1.0f64, any::<bool>()), 1..6),
     ) {
-        let mut plan = Plan::blind(&pool(standings.len()));
+        let mut plan = Plan::unrestricted(&pool(standings.len()));
         plan.standings =
             standings.iter().map(|(spill, ejected)| standing(*spill, *ejected)).collect();
         let ranked: Vec<Server> = (0..standings.len() as u16).map(Server).collect();
@@ -27,7 +27,7 @@
 /// moved all, the second choice would be next; they move a quarter.
 #[test]
 fn only_the_excess_moves() {
-    let mut plan = Plan::blind(&pool(2));
+    let mut plan = Plan::unrestricted(&pool(2));
     plan.standings = vec![standing(0.25, false), standing(0.0, false)];
     let mut rng = rng(1);
     let moved = (0..10_000)
@@ -39,7 +39,7 @@
 /// Every server is over its bound alike. Moving flows about would cost pins and help nobody.
 #[test]
 fn full_saturation_moves_nothing() {
-    let mut plan = Plan::blind(&pool(2));
+    let mut plan = Plan::unrestricted(&pool(2));
     plan.standings = vec![standing(0.5, false); 2];
     let mut rng = rng(1);
     let still = (0..100).all(|_| choose(&[Server(1), Server(0)], &plan, &mut rng) == Some(0));
@@ -48,5 +48,8 @@
 
 #[test]
 fn no_choice_is_no_placement() {
-    assert_eq!(choose(&[], &Plan::blind(&pool(0)), &mut rng(1)), None);
+    assert_eq!(
+        choose(&[], &Plan::unrestricted(&pool(0)), &mut rng(1)),
+        None
+    );
 }
--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -80,7 +80,7 @@
             classes: classes(&service.name, default, config),
         });
         let policy = Policy {
-            plan: Arc::new(Plan::blind(&pool)),
+            plan: Arc::new(Plan::unrestricted(&pool)),
             refuses: false,
             pool,
             index: Arc::new(index.collect()),
