--- a/crates/cookie/src/cold.rs
+++ b/crates/cookie/src/cold.rs
@@ -95,7 +95,7 @@
         let rate = self.rates.entry(Arc::clone(service));
         let rate = rate.or_insert_with(|| Rate::new(now));
         rate.add(now);
-        let rate = rate.a_second(now);
+        let rate = rate.per_second(now);
         uniform(mix(flow ^ SALT)) < ration.part(servers, rate)
     }
 
--- a/crates/cookie/src/resolver/urgency.rs
+++ b/crates/cookie/src/resolver/urgency.rs
@@ -55,7 +55,7 @@
             .map(|pool| pool.slots)
             .sum();
         let requests = self.requests.get(service);
-        let here = requests.map_or(0.0, |rate| rate.a_second(now));
+        let here = requests.map_or(0.0, |rate| rate.per_second(now));
         let pressure = Pressure {
             demand: here * f64::from(snapshot.balancers) * baseline / f64::from(slots.max(1)),
             wait: mean / baseline,
--- a/crates/cookie/src/speed.rs
+++ b/crates/cookie/src/speed.rs
@@ -115,7 +115,7 @@
 impl Entry {
     /// Requests a second that it answers with each slot; nothing before the first measurement.
     fn speed_a_slot(&self) -> Option<f64> {
-        Some(self.speed.questions()? / f64::from(self.slots.max(1)))
+        Some(self.speed.requests_per_second()? / f64::from(self.slots.max(1)))
     }
 }
 
--- a/crates/load/src/arrival.rs
+++ b/crates/load/src/arrival.rs
@@ -44,11 +44,11 @@
     /// for step in 1..=200 {
     ///     rate.add(Duration::from_millis(step * 10));
     /// }
-    /// let rate = rate.a_second(Duration::from_secs(2));
+    /// let rate = rate.per_second(Duration::from_secs(2));
     /// assert!((95.0..110.0).contains(&rate), "{rate}");
     /// ```
     #[must_use]
-    pub fn a_second(&self, now: Duration) -> f64 {
+    pub fn per_second(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.since).max(SHORTEST);
         let rates = self.sums.iter().zip(MEMORIES).map(|(sum, memory)| {
             let left = sum * faded(now.saturating_sub(self.at), memory);
--- a/crates/load/src/estimate.rs
+++ b/crates/load/src/estimate.rs
@@ -140,7 +140,7 @@
     #[must_use]
     pub fn capacity(&self, server: usize) -> Option<f64> {
         let own = self.servers.get(server)?;
-        let questions = own.speed.questions()? * (1.0 - own.shed);
+        let questions = own.speed.requests_per_second()? * (1.0 - own.shed);
         let flows = if self.common.asked > 0.0 {
             self.common.opened / self.common.asked
         } else {
--- a/crates/load/src/speed.rs
+++ b/crates/load/src/speed.rs
@@ -27,7 +27,7 @@
 impl Speed {
     /// Questions a second; nothing before the first measurement.
     #[must_use]
-    pub fn questions(&self) -> Option<f64> {
+    pub fn requests_per_second(&self) -> Option<f64> {
         self.mean
     }
 
--- a/crates/load/tests/it/throttle.rs
+++ b/crates/load/tests/it/throttle.rs
@@ -142,11 +142,11 @@
 fn a_burst_shows_in_the_rate_within_a_quarter_of_a_second() {
     let mut rate = Rate::new(ms(0));
     (0..500).for_each(|step| rate.add(ms(step * 20)));
-    let before = rate.a_second(ms(10_000));
+    let before = rate.per_second(ms(10_000));
 
     (0..125).for_each(|step| rate.add(ms(10_000 + step * 2)));
 
-    let after = rate.a_second(ms(10_250));
+    let after = rate.per_second(ms(10_250));
     assert!((45.0..60.0).contains(&before), "{before}");
     assert!(after > 300.0, "{after}");
 }
