--- a/crates/cookie/src/resolver.rs
+++ b/crates/cookie/src/resolver.rs
@@ -287,7 +287,11 @@
                 let server = Arc::clone(&server.id);
                 self.timings.push(Timing::Opening { server, took });
             }
-            Sign::Timed(took) if server.idle.is_some_and(|idle| idle.is_hasty(took)) => {
+            Sign::Timed(took)
+                if server
+                    .idle
+                    .is_some_and(|idle| idle.is_implausibly_fast(took)) =>
+            {
                 self.lives(&server.id, now);
                 self.failed(&server.id, now);
             }
@@ -307,7 +311,7 @@
     }
 
     fn lives(&mut self, server: &Arc<str>, now: Duration) {
-        self.delays.lives(server);
+        self.delays.responded(server);
         self.answered.insert(Arc::clone(server), now);
     }
 
--- a/crates/cookie/src/resolver/open.rs
+++ b/crates/cookie/src/resolver/open.rs
@@ -208,7 +208,7 @@
         if rank.yields {
             self.make_room(snapshot, service, flow, placed, now)?;
         }
-        let quiet = self.delays.quiet(service, now);
+        let quiet = self.delays.since_last_answer(service, now);
         let limit = self.limits.entry(Arc::clone(service)).or_default();
         if !rank.urgent {
             let mean = self.delays.usual(service, now) - quiet;
--- a/crates/cookie/src/resolver/urgency.rs
+++ b/crates/cookie/src/resolver/urgency.rs
@@ -47,7 +47,7 @@
         let Some(baseline) = self.delays.baseline(service) else {
             return Ok(());
         };
-        let quiet = self.delays.quiet(service, now);
+        let quiet = self.delays.since_last_answer(service, now);
         let mean = self.delays.usual(service, now) - quiet;
         let pools = snapshot.pools.iter();
         let slots: u32 = pools
--- a/crates/load/src/delay.rs
+++ b/crates/load/src/delay.rs
@@ -15,7 +15,7 @@
 const FORGIVEN: f64 = 0.7;
 /// Part of a server's usual work within which no request is done. By its answer times, a server that
 /// sheds or fails requests at once would be the fastest of all.
-const HASTY: f64 = 0.1;
+const IMPLAUSIBLY_FAST: f64 = 0.1;
 /// How long a server may leave everything unanswered before a new flow tries it again. Callers wait
 /// for some seconds at most, so nothing that was asked before is answered any more.
 const SILENCE: Duration = Duration::from_secs(2);
@@ -117,10 +117,10 @@
         self.network + self.work
     }
 
-    /// Whether an answer came too soon to have been worked for, see [`HASTY`].
+    /// Whether an answer came too soon to have been worked for, see [`IMPLAUSIBLY_FAST`].
     #[must_use]
-    pub fn is_hasty(&self, took: Duration) -> bool {
-        took.as_secs_f64() < self.network + HASTY * self.work
+    pub fn is_implausibly_fast(&self, took: Duration) -> bool {
+        took.as_secs_f64() < self.network + IMPLAUSIBLY_FAST * self.work
     }
 }
 
@@ -144,7 +144,7 @@
     }
 
     /// A server has answered something.
-    pub fn lives(&mut self, server: &str) {
+    pub fn responded(&mut self, server: &str) {
         if let Some(server) = self.servers.get_mut(server) {
             server.silent = None;
         }
@@ -220,7 +220,7 @@
     /// While all flows are refused, no answer shows how queues drain; they drain for as long as nothing new
     /// comes.
     #[must_use]
-    pub fn quiet(&self, service: &str, now: Duration) -> f64 {
+    pub fn since_last_answer(&self, service: &str, now: Duration) -> f64 {
         let service = self.services.get(service);
         service.map_or(0.0, |delay| now.saturating_sub(delay.at).as_secs_f64())
     }
--- a/crates/load/tests/it/delay.rs
+++ b/crates/load/tests/it/delay.rs
@@ -31,7 +31,7 @@
     delays.asked(&server, ms(10));
 
     assert!(delays.expected(&server, &service, ms(1_010)) >= 1.0);
-    delays.lives(&server);
+    delays.responded(&server);
     assert!(delays.expected(&server, &service, ms(1_010)) < 0.06);
 }
 
@@ -63,13 +63,13 @@
     delays.retain(|server| &**server == "i-7", |_| false);
 
     assert_eq!(delays.len(), 1);
-    assert_eq!(delays.quiet("live", ms(5_000)), 0.0);
+    assert_eq!(delays.since_last_answer("live", ms(5_000)), 0.0);
 }
 
 #[derive(Debug, Clone)]
 enum Event {
     Asked,
-    Lives,
+    Responded,
     Answered(u64),
     Unanswered,
 }
@@ -77,7 +77,7 @@
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         Just(Event::Asked),
-        Just(Event::Lives),
+        Just(Event::Responded),
         (0..100_000u64).prop_map(Event::Answered),
         Just(Event::Unanswered),
     ]
@@ -98,7 +98,7 @@
             latest = latest.max(at);
             match event {
                 Event::Asked => delays.asked(&server, ms(at)),
-                Event::Lives => delays.lives(&server),
+                Event::Responded => delays.responded(&server),
                 Event::Answered(took) => {
                     longest = longest.max(took as f64 / 1_000.0);
                     delays.answered(&server, &service, ms(took), ms(at));
