--- a/crates/load/src/admit.rs
+++ b/crates/load/src/admit.rs
@@ -89,7 +89,7 @@
         }
         let about = self
             .paying
-            .is_some_and(|last| now.saturating_sub(last) <= limits.about);
+            .is_some_and(|last| now.saturating_sub(last) <= limits.paying_window);
         let Some(own) = self.own.get_mut(class) else {
             return false;
         };
--- a/crates/load/src/eject.rs
+++ b/crates/load/src/eject.rs
@@ -120,10 +120,10 @@
             out += 1;
             // A relapse soon after coming back doubles the rest, so that a dead server costs a
             // shrinking number of callers; one that did well for a while starts anew.
-            let relapse = record.times > 0 && now < record.back + 4 * limits.rest;
+            let relapse = record.times > 0 && now < record.back + 4 * limits.ejection_time;
             record.times = if relapse { record.times + 1 } else { 1 };
-            let rest = limits.rest * (1 << (record.times - 1).min(16));
-            record.until = Some(now + rest.min(limits.rest_most));
+            let rest = limits.ejection_time * (1 << (record.times - 1).min(16));
+            record.until = Some(now + rest.min(limits.ejection_time_max));
         }
         back
     }
--- a/crates/load/src/estimate.rs
+++ b/crates/load/src/estimate.rs
@@ -115,7 +115,7 @@
     #[must_use]
     pub fn blind(&self, now: Duration, limits: &Limits) -> bool {
         self.sampled
-            .is_none_or(|sampled| now.saturating_sub(sampled) > limits.blind)
+            .is_none_or(|sampled| now.saturating_sub(sampled) > limits.sample_timeout)
     }
 
     /// Work in progress a slot over the servers that are `used`, from the last seconds.
@@ -260,7 +260,7 @@
     /// for full without being so would drown the others, while one that is full sheds and is
     /// noticed.
     pub fn learn_spill(&mut self, mean: Option<f64>, pool: &Pool, limits: &Limits) {
-        let mean = mean.unwrap_or(0.0).max(limits.calm);
+        let mean = mean.unwrap_or(0.0).max(limits.spill_min_progress);
         let fast = self.sum(|own| &own.fast);
         let usual = fast.answered / fast.asked.max(1.0);
         for (own, host) in self.servers.iter_mut().zip(&pool.hosts) {
--- a/crates/load/src/limits.rs
+++ b/crates/load/src/limits.rs
@@ -22,10 +22,10 @@
     pub change: f64,
     /// The counts of a peer that has not reported for this long are taken for missing, and what the
     /// others saw stands for them. One lost heartbeat in a row is borne.
-    pub stale: Duration,
+    pub report_timeout: Duration,
     /// Without any sample for this long, weights return to plain shares and nothing is refused
     /// for want of capacity: a missing signal costs fairness, not availability.
-    pub blind: Duration,
+    pub sample_timeout: Duration,
     /// Largest factor by which a weight rises at one step; recovery and cold starts are gradual.
     pub rise: f64,
     /// Largest factor by which a weight falls at one step.
@@ -42,9 +42,9 @@
     /// a service.
     pub eject: f64,
     /// How long a server is left alone the first time; doubles at each repetition.
-    pub rest: Duration,
+    pub ejection_time: Duration,
     /// Longest time that a server is left alone before it is tried again.
-    pub rest_most: Duration,
+    pub ejection_time_max: Duration,
     /// Answers (or completed openings) that must be expected before a server that gives next to none
     /// is left alone. Of 12 expected, one or none come by chance in 1 of 12,000 seconds; of 8, in 1
     /// of 330, which left fine servers alone.
@@ -63,12 +63,12 @@
     /// Work in progress over the pool's mean at which new flows begin to take their second choice.
     pub bound: f64,
     /// Work in progress a slot below which nothing spills: there is no wait to be saved.
-    pub calm: f64,
+    pub spill_min_progress: f64,
     /// Timed answers in the last second or so that spilling by their times needs.
     pub timed: f64,
     /// Part of the pool's connections that is shared out. The rest is for what all balancers open
     /// before they hear of each other.
-    pub full: f64,
+    pub connection_ceiling: f64,
     /// Part of the measured capacity that all admitted work may reach. Above it, waits grow
     /// faster than goodput.
     pub ceiling: f64,
@@ -81,7 +81,7 @@
     pub lent: f64,
     /// Paying callers are about if one came to this thread within this time. Without any, the
     /// headroom would keep nobody's wait short and is lent as well.
-    pub about: Duration,
+    pub paying_window: Duration,
     /// Work in progress a slot that the pool is steered to at saturation.
     pub target: f64,
     /// Largest relative change of the correction of the capacity at one tick.
@@ -98,11 +98,11 @@
     /// Smallest depth of the buckets from which is borrowed, in flows.
     pub least_lent: f64,
     /// Shortest time to come back that a refused caller is told.
-    pub back: Duration,
+    pub retry_after: Duration,
     /// Longest time to come back before jitter.
-    pub back_most: Duration,
+    pub retry_after_max: Duration,
     /// Time constant after which counts of open flows forget what was never seen to close.
-    pub forget: Duration,
+    pub open_flow_memory: Duration,
 }
 
 impl Default for Limits {
@@ -116,8 +116,8 @@
             samples_least: 15.0,
             memory: 400.0,
             change: 1.6,
-            stale: Duration::from_millis(2_500),
-            blind: seconds(30),
+            report_timeout: Duration::from_millis(2_500),
+            sample_timeout: seconds(30),
             rise: 1.5,
             fall: 2.0,
             period: seconds(2),
@@ -125,21 +125,21 @@
             start: 0.2,
             floor: 0.02,
             eject: 0.34,
-            rest: seconds(10),
-            rest_most: seconds(160),
+            ejection_time: seconds(10),
+            ejection_time_max: seconds(160),
             evidence: 12.0,
             silence: 0.15,
             shed: 0.15,
             certainty: 4.0,
             distrust: 0.9,
             bound: 1.5,
-            calm: 1.5,
+            spill_min_progress: 1.5,
             timed: 6.0,
-            full: 0.9,
+            connection_ceiling: 0.9,
             ceiling: 0.98,
             margin: 1.05,
             lent: 0.71,
-            about: seconds(1),
+            paying_window: seconds(1),
             target: 10.0,
             gain: 0.02,
             burst: Duration::from_millis(400),
@@ -147,9 +147,9 @@
             slack: Duration::from_millis(100),
             least: 20.0,
             least_lent: 4.0,
-            back: seconds(1),
-            back_most: seconds(30),
-            forget: seconds(600),
+            retry_after: seconds(1),
+            retry_after_max: seconds(30),
+            open_flow_memory: seconds(600),
         }
     }
 }
--- a/crates/load/src/peer.rs
+++ b/crates/load/src/peer.rs
@@ -163,7 +163,7 @@
     /// Balancers whose counts are fresh, this one included.
     #[must_use]
     pub fn fresh(&self, now: Duration, limits: &Limits) -> usize {
-        let fresh = |peer: &&Peer| now.saturating_sub(peer.heard) <= limits.stale;
+        let fresh = |peer: &&Peer| now.saturating_sub(peer.heard) <= limits.report_timeout;
         1 + self.peers.values().filter(fresh).count()
     }
 
@@ -190,7 +190,7 @@
     /// Open counts forget with a time constant, since a flow whose end nobody sees (a phone that
     /// lost its cell) would count for ever.
     pub fn turn(&mut self, revision: u64, passed: Duration, limits: &Limits) -> (Report, Tally) {
-        let keep = (-passed.as_secs_f64() / limits.forget.as_secs_f64()).exp();
+        let keep = (-passed.as_secs_f64() / limits.open_flow_memory.as_secs_f64()).exp();
         self.own.scale(keep);
         self.left.scale(keep);
         self.sequence = self.sequence.wrapping_add(1);
--- a/crates/load/src/rate.rs
+++ b/crates/load/src/rate.rs
@@ -105,7 +105,7 @@
 /// and a wrong one must not refuse them.
 #[must_use]
 pub fn connections(open: &Open, part: f64, pool: &Pool, limits: &Limits) -> Vec<Option<u32>> {
-    let all = pool.connections() * limits.full;
+    let all = pool.connections() * limits.connection_ceiling;
     let left = |(class, open): (usize, &f64)| {
         let trial = pool.classes[class].mark == Mark::Trial;
         let own = all * pool.fraction(class);
--- a/crates/load/src/refuse.rs
+++ b/crates/load/src/refuse.rs
@@ -55,8 +55,8 @@
     /// `back` times it, at most `back_most` so that a wrong figure doesn't send callers away for
     /// good.
     pub fn new(reason: Reason, pressure: f64, limits: &Limits, rng: &mut impl Rng) -> Self {
-        let mean = limits.back.as_secs_f64() * pressure.max(1.0);
-        let mean = mean.min(limits.back_most.as_secs_f64());
+        let mean = limits.retry_after.as_secs_f64() * pressure.max(1.0);
+        let mean = mean.min(limits.retry_after_max.as_secs_f64());
         let after = Duration::from_secs_f64(mean * rng.random_range(0.5..1.5));
         Refusal { reason, after }
     }
