--- a/crates/load/src/controller.rs
+++ b/crates/load/src/controller.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use crate::{
-    eject::Bench,
+    eject::Ejections,
     estimate::{Estimate, Estimates},
     limits::Limits,
     peer::Peers,
@@ -10,7 +10,7 @@
     rate::{Governor, connections},
     report::Report,
     tally::Tally,
-    weight::{self, Pace, Sight},
+    weight::{self, ProposalLimiter, ServerInput},
 };
 
 /// The control thread's part of the decisions on one pool.
@@ -22,8 +22,8 @@
     peers: Peers,
     estimates: Estimates,
     governor: Governor,
-    bench: Bench,
-    pace: Pace,
+    ejections: Ejections,
+    limiter: ProposalLimiter,
     in_force: Vec<f64>,
     plan: u64,
     last: Option<Duration>,
@@ -51,8 +51,8 @@
             peers: Peers::new(servers, classes),
             estimates: Estimates::new(servers),
             governor: Governor::new(classes),
-            bench: Bench::new(servers),
-            pace: Pace::default(),
+            ejections: Ejections::new(servers),
+            limiter: ProposalLimiter::default(),
             in_force: vec![1.0; servers],
             plan: 0,
             last: None,
@@ -78,7 +78,7 @@
         Controller {
             peers: self.peers.remap(servers, classes),
             estimates: self.estimates.remap(servers),
-            bench: self.bench.remap(servers),
+            ejections: self.ejections.remap(servers),
             in_force: servers.iter().map(weight).collect(),
             plan: self.plan,
             last: self.last,
@@ -160,8 +160,10 @@
         let members = members.max(1);
         let fresh = self.peers.fresh(now, &self.limits).min(members);
         let shed: Vec<f64> = self.estimates.servers.iter().map(|own| own.shed).collect();
-        self.peers.uncount(&shed);
-        let (report, seen) = self.peers.turn(self.pool.revision, passed, &self.limits);
+        self.peers.subtract_shed(&shed);
+        let (report, seen) = self
+            .peers
+            .end_tick(self.pool.revision, passed, &self.limits);
         // Counts of silent peers are missing: what the others saw stands for them, as the fabric
         // spreads packets evenly.
         let scale = members as f64 / fresh as f64;
@@ -177,31 +179,31 @@
     /// Better weights for the table of new flows, by index of server with a mean of 1, if they are
     /// worth a change. Only the balancer that may write the table asks.
     pub fn weights(&mut self, now: Duration) -> Option<Vec<f64>> {
-        let blind = self.estimates.blind(now, &self.limits);
-        let sight = |(server, own): (usize, &Estimate)| Sight {
-            capacity: self.estimates.capacity(server).filter(|_| !blind),
+        let lacks_samples = self.estimates.lacks_samples(now, &self.limits);
+        let input = |(server, own): (usize, &Estimate)| ServerInput {
+            capacity: self.estimates.capacity(server).filter(|_| !lacks_samples),
             ejected: self.out(server),
             trusted: !own.distrusted,
         };
-        let sights: Vec<Sight> = self
+        let inputs: Vec<ServerInput> = self
             .estimates
             .servers
             .iter()
             .enumerate()
-            .map(sight)
+            .map(input)
             .collect();
-        let new = weight::next(&self.in_force, &sights, &self.limits);
-        let due = self.pace.due(&self.in_force, &new, now, &self.limits);
+        let new = weight::next(&self.in_force, &inputs, &self.limits);
+        let due = self.limiter.due(&self.in_force, &new, now, &self.limits);
         due.then_some(new)
     }
 
     fn out(&self, server: usize) -> bool {
-        self.estimates.servers[server].leaving || self.bench.ejected(server)
+        self.estimates.servers[server].leaving || self.ejections.ejected(server)
     }
 
     fn judge(&mut self, now: Duration) {
         let silent = self.estimates.silent(&self.limits);
-        for server in self.bench.step(&silent, now, &self.limits) {
+        for server in self.ejections.step(&silent, now, &self.limits) {
             self.estimates.restart(server);
         }
         self.estimates.learn_shed(&self.limits);
@@ -223,14 +225,14 @@
         let capacity = |server| self.estimates.capacity(server);
         let known: Vec<f64> = usable.clone().filter_map(capacity).collect();
         let (pool, limits) = (&self.pool, &self.limits);
-        let blind = self.estimates.blind(now, limits);
+        let lacks_samples = self.estimates.lacks_samples(now, limits);
         let rates = || {
             self.governor
                 .rates(&known, usable.count(), part, pool, limits)
         };
         Plan {
             number: self.plan,
-            rates: if blind { None } else { rates() },
+            rates: if lacks_samples { None } else { rates() },
             standings: self
                 .estimates
                 .servers
--- a/crates/load/src/eject.rs
+++ b/crates/load/src/eject.rs
@@ -62,15 +62,15 @@
 /// Ejection is capped: if more than a set part of the pool looks silent, then the signal is more
 /// likely wrong than the servers, and the rest keep their places in the table.
 #[derive(Debug, Clone, Default)]
-pub struct Bench {
+pub struct Ejections {
     records: Vec<Record>,
 }
 
-impl Bench {
+impl Ejections {
     /// Nobody is left alone.
     #[must_use]
     pub fn new(servers: usize) -> Self {
-        Bench {
+        Ejections {
             records: vec![Record::default(); servers],
         }
     }
@@ -80,7 +80,7 @@
     #[must_use]
     pub fn remap(&self, from: &[Option<usize>]) -> Self {
         let old = |index: &Option<usize>| index.and_then(|index| self.records.get(index).copied());
-        Bench {
+        Ejections {
             records: from
                 .iter()
                 .map(|index| old(index).unwrap_or_default())
--- a/crates/load/src/estimate.rs
+++ b/crates/load/src/estimate.rs
@@ -113,7 +113,7 @@
 
     /// Whether no sample has come for so long that the estimates mean nothing.
     #[must_use]
-    pub fn blind(&self, now: Duration, limits: &Limits) -> bool {
+    pub fn lacks_samples(&self, now: Duration, limits: &Limits) -> bool {
         self.sampled
             .is_none_or(|sampled| now.saturating_sub(sampled) > limits.sample_timeout)
     }
--- a/crates/load/src/peer.rs
+++ b/crates/load/src/peer.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     limits::Limits,
-    report::{Line, Part, Report},
+    report::{ClassReport, Report, ServerReport},
     tally::Tally,
 };
 
@@ -19,16 +19,16 @@
 /// Flows opened less flows closed. As a flow may open at one balancer and close at another, only
 /// the sum over all balancers means anything.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Open {
+pub struct OpenFlows {
     /// By index of server.
     pub servers: Vec<f64>,
     /// By index of class.
     pub classes: Vec<f64>,
 }
 
-impl Open {
+impl OpenFlows {
     fn new(servers: usize, classes: usize) -> Self {
-        Open {
+        OpenFlows {
             servers: vec![0.0; servers],
             classes: vec![0.0; classes],
         }
@@ -58,9 +58,9 @@
     /// Reported by peers since the last tick.
     there: Tally,
     /// Opened less closed here.
-    own: Open,
+    own: OpenFlows,
     /// The same of peers that are gone: the flows they opened may well live on.
-    left: Open,
+    left: OpenFlows,
     sequence: u32,
 }
 
@@ -72,8 +72,8 @@
             peers: Map::default(),
             here: Tally::new(servers, classes),
             there: Tally::new(servers, classes),
-            own: Open::new(servers, classes),
-            left: Open::new(servers, classes),
+            own: OpenFlows::new(servers, classes),
+            left: OpenFlows::new(servers, classes),
             sequence: 0,
         }
     }
@@ -87,7 +87,7 @@
                 .and_then(|index| from.get(index).copied())
                 .unwrap_or(0.0)
         };
-        let open = |open: &Open| Open {
+        let open = |open: &OpenFlows| OpenFlows {
             servers: servers
                 .iter()
                 .map(|index| pick(&open.servers, index))
@@ -118,7 +118,7 @@
 
     /// Takes back flows counted as open of which `parts`, by server, were never completed: a server
     /// that sheds would look full for long after it has stopped.
-    pub fn uncount(&mut self, parts: &[f64]) {
+    pub fn subtract_shed(&mut self, parts: &[f64]) {
         let mut lost = 0.0;
         let counts = self.here.servers.iter().zip(parts);
         for (open, (count, part)) in self.own.servers.iter_mut().zip(counts) {
@@ -169,7 +169,7 @@
 
     /// Open flows by everybody's latest count, none below zero.
     #[must_use]
-    pub fn open(&self) -> Open {
+    pub fn open(&self) -> OpenFlows {
         let mut sum = self.left.clone();
         for peer in self.peers.values() {
             sum.add(&peer.servers, &peer.classes);
@@ -189,7 +189,12 @@
     ///
     /// Open counts forget with a time constant, since a flow whose end nobody sees (a phone that
     /// lost its cell) would count for ever.
-    pub fn turn(&mut self, revision: u64, passed: Duration, limits: &Limits) -> (Report, Tally) {
+    pub fn end_tick(
+        &mut self,
+        revision: u64,
+        passed: Duration,
+        limits: &Limits,
+    ) -> (Report, Tally) {
         let keep = (-passed.as_secs_f64() / limits.open_flow_memory.as_secs_f64()).exp();
         self.own.scale(keep);
         self.left.scale(keep);
@@ -200,10 +205,10 @@
             revision,
             sequence: self.sequence,
             servers: lines
-                .map(|(count, open)| Line::new(count, open.round() as i32))
+                .map(|(count, open)| ServerReport::new(count, open.round() as i32))
                 .collect(),
             classes: parts
-                .map(|(demand, open)| Part {
+                .map(|(demand, open)| ClassReport {
                     admitted: demand.admitted,
                     refused: demand.refused,
                     open: open.round() as i32,
--- a/crates/load/src/rate.rs
+++ b/crates/load/src/rate.rs
@@ -2,10 +2,10 @@
 
 use crate::{
     limits::Limits,
-    peer::Open,
+    peer::OpenFlows,
     plan::Rates,
     pool::{Class, Mark, Pool},
-    tally::Demand,
+    tally::ClassCount,
 };
 
 /// Lowest and highest correction of the measured capacity; beyond them the estimate is wrong in a
@@ -37,7 +37,7 @@
     }
 
     /// Adds the demand that was seen in `passed`; `scale` is all flows over those counted.
-    pub fn learn(&mut self, seen: &[Demand], scale: f64, passed: Duration, limits: &Limits) {
+    pub fn learn(&mut self, seen: &[ClassCount], scale: f64, passed: Duration, limits: &Limits) {
         let keep = (-passed.as_secs_f64() / limits.fast.as_secs_f64()).exp();
         for (flow, demand) in self.demand.iter_mut().zip(seen) {
             flow.admitted = flow.admitted * keep + f64::from(demand.admitted) * scale;
@@ -104,7 +104,7 @@
 /// when paying callers return. Paying callers have no limit here, because the count is an estimate
 /// and a wrong one must not refuse them.
 #[must_use]
-pub fn connections(open: &Open, part: f64, pool: &Pool, limits: &Limits) -> Vec<Option<u32>> {
+pub fn connections(open: &OpenFlows, part: f64, pool: &Pool, limits: &Limits) -> Vec<Option<u32>> {
     let all = pool.connections() * limits.connection_ceiling;
     let left = |(class, open): (usize, &f64)| {
         let trial = pool.classes[class].mark == Mark::Trial;
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -9,7 +9,7 @@
 
 /// One server in a report: about 10 bytes with variable-length integers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct ServerReport {
     /// See [`Count`]; all but `open` are since the last report.
     pub opened: u32,
     /// See [`Count`].
@@ -29,7 +29,7 @@
     pub open: i32,
 }
 
-impl Line {
+impl ServerReport {
     /// Rounds a count into a line.
     #[must_use]
     pub fn new(count: &Count, open: i32) -> Self {
@@ -37,7 +37,7 @@
             let ticks = time.as_nanos() / TICK.as_nanos();
             u32::try_from(ticks).unwrap_or(u32::MAX)
         };
-        Line {
+        ServerReport {
             opened: count.opened,
             completed: count.completed,
             opening: ticks(count.opening),
@@ -68,7 +68,7 @@
 
 /// One class in a report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct ClassReport {
     /// Since the last report.
     pub admitted: u32,
     /// Since the last report.
@@ -85,9 +85,9 @@
     /// Rises by one with each report; a repeated one isn't merged twice.
     pub sequence: u32,
     /// By index of server.
-    pub servers: Vec<Line>,
+    pub servers: Vec<ServerReport>,
     /// By index of class.
-    pub classes: Vec<Part>,
+    pub classes: Vec<ClassReport>,
 }
 
 impl Report {
@@ -95,7 +95,9 @@
     #[must_use]
     pub fn tally(&self) -> Tally {
         let mut tally = Tally::new(0, self.classes.len());
-        tally.servers.extend(self.servers.iter().map(Line::count));
+        tally
+            .servers
+            .extend(self.servers.iter().map(ServerReport::count));
         for (to, from) in tally.classes.iter_mut().zip(&self.classes) {
             to.admitted = from.admitted;
             to.refused = from.refused;
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -50,7 +50,7 @@
 
 /// Counts of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Demand {
+pub struct ClassCount {
     /// New flows admitted.
     pub admitted: u32,
     /// New flows refused.
@@ -68,7 +68,7 @@
     /// By [`Server::index`].
     pub servers: Vec<Count>,
     /// By index of class.
-    pub classes: Vec<Demand>,
+    pub classes: Vec<ClassCount>,
 }
 
 impl Tally {
@@ -77,7 +77,7 @@
     pub fn new(servers: usize, classes: usize) -> Self {
         Tally {
             servers: vec![Count::default(); servers],
-            classes: vec![Demand::default(); classes],
+            classes: vec![ClassCount::default(); classes],
         }
     }
 
--- a/crates/load/src/weight.rs
+++ b/crates/load/src/weight.rs
@@ -4,7 +4,7 @@
 
 /// What is known of a server when weights are made.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Sight {
+pub struct ServerInput {
     /// Measured capacity, in any unit that all servers have in common; nothing without samples.
     pub capacity: Option<f64>,
     /// Left alone: its weight is 0.
@@ -22,33 +22,33 @@
 /// figure goes towards the mean of the others. With no figure at all every weight goes to 1: plain
 /// shares.
 #[must_use]
-pub fn next(in_force: &[f64], sights: &[Sight], limits: &Limits) -> Vec<f64> {
-    let target = targets(sights, limits);
+pub fn next(in_force: &[f64], inputs: &[ServerInput], limits: &Limits) -> Vec<f64> {
+    let target = targets(inputs, limits);
     let stepped: Vec<f64> = in_force
         .iter()
-        .zip(sights)
+        .zip(inputs)
         .zip(&target)
-        .map(|((old, sight), target)| step(*old, *target, sight, limits))
+        .map(|((old, input), target)| step(*old, *target, input, limits))
         .collect();
     level(&stepped, in_force, limits)
 }
 
-fn targets(sights: &[Sight], limits: &Limits) -> Vec<f64> {
-    let known: Vec<f64> = sights.iter().filter_map(|sight| sight.capacity).collect();
+fn targets(inputs: &[ServerInput], limits: &Limits) -> Vec<f64> {
+    let known: Vec<f64> = inputs.iter().filter_map(|input| input.capacity).collect();
     let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
-    let relative = |sight: &Sight| match sight.capacity {
+    let relative = |input: &ServerInput| match input.capacity {
         Some(capacity) if mean > 0.0 => capacity / mean,
         _ => 1.0,
     };
-    sights
+    inputs
         .iter()
-        .map(|sight| relative(sight) * if sight.trusted { 1.0 } else { limits.distrust })
+        .map(|input| relative(input) * if input.trusted { 1.0 } else { limits.distrust })
         .map(|target| target.max(limits.floor))
         .collect()
 }
 
-fn step(old: f64, target: f64, sight: &Sight, limits: &Limits) -> f64 {
-    if sight.ejected {
+fn step(old: f64, target: f64, input: &ServerInput, limits: &Limits) -> f64 {
+    if input.ejected {
         return 0.0;
     }
     if old <= 0.0 {
@@ -105,11 +105,11 @@
 /// Decides when weights are worth proposing: each proposal moves new flows off their base, which
 /// costs a pin for each of them.
 #[derive(Debug, Clone, Default)]
-pub struct Pace {
+pub struct ProposalLimiter {
     last: Option<Duration>,
 }
 
-impl Pace {
+impl ProposalLimiter {
     /// Whether `new` should replace `in_force` at `now`. Differences below the hysteresis are
     /// noise; an ejection is always worth it, and at once.
     pub fn due(&mut self, in_force: &[f64], new: &[f64], now: Duration, limits: &Limits) -> bool {
--- a/crates/load/tests/it/eject.rs
+++ b/crates/load/tests/it/eject.rs
@@ -1,5 +1,5 @@
 use acacia_load::{
-    eject::{Bench, silent},
+    eject::{Ejections, silent},
     limits::Limits,
     signal::Window,
 };
@@ -27,10 +27,10 @@
         rounds in prop::collection::vec(prop::collection::vec(any::<bool>(), 24), 1..40),
     ) {
         let limits = Limits::default();
-        let mut bench = Bench::new(servers);
+        let mut ejections = Ejections::new(servers);
         for (second, silent) in rounds.iter().enumerate() {
-            bench.step(&silent[..servers], seconds(second as f64 * 3.0), &limits);
-            let out = (0..servers).filter(|server| bench.ejected(*server)).count();
+            ejections.step(&silent[..servers], seconds(second as f64 * 3.0), &limits);
+            let out = (0..servers).filter(|server| ejections.ejected(*server)).count();
             prop_assert!(out as f64 <= limits.eject * servers as f64);
         }
     }
@@ -52,16 +52,18 @@
 #[test]
 fn a_relapse_doubles_the_rest() {
     let limits = Limits::default();
-    let mut bench = Bench::new(4);
+    let mut ejections = Ejections::new(4);
     let hung = [true, false, false, false];
     let mut rests = Vec::new();
     let mut out = None;
     for second in 0..400u32 {
         let now = f64::from(second);
-        bench.step(&hung, seconds(now), &limits);
-        let back = bench.step(&[false; 4], seconds(now), &limits);
+        ejections.step(&hung, seconds(now), &limits);
+        let back = ejections.step(&[false; 4], seconds(now), &limits);
         assert!(back.is_empty());
-        let returns = bench.clone().step(&[false; 4], seconds(now + 1.0), &limits);
+        let returns = ejections
+            .clone()
+            .step(&[false; 4], seconds(now + 1.0), &limits);
         if out.is_none() {
             out = Some(now);
         }
--- a/crates/load/tests/it/report.rs
+++ b/crates/load/tests/it/report.rs
@@ -3,8 +3,8 @@
 
 use crate::fixture::seconds;
 
-fn turn(peers: &mut Peers) -> Report {
-    peers.turn(1, seconds(1.0), &Limits::default()).0
+fn end_tick(peers: &mut Peers) -> Report {
+    peers.end_tick(1, seconds(1.0), &Limits::default()).0
 }
 
 proptest! {
@@ -29,14 +29,14 @@
                 open -= 1;
             }
             all[at].absorb(&tally);
-            let report = turn(&mut all[at]);
+            let report = end_tick(&mut all[at]);
             if delivered && at != 0 {
                 all[0].merge(at as u16, &report, seconds(1.0));
                 all[0].merge(at as u16, &report, seconds(1.0));
             }
         }
         for at in 1..3 {
-            let report = turn(&mut all[at]);
+            let report = end_tick(&mut all[at]);
             all[0].merge(at as u16, &report, seconds(2.0));
         }
         all[0].forget(2);
@@ -64,7 +64,7 @@
         }
     }
     peers.absorb(&tally);
-    let bytes = postcard::to_stdvec(&turn(&mut peers)).expect("a report can be encoded");
+    let bytes = postcard::to_stdvec(&end_tick(&mut peers)).expect("a report can be encoded");
     assert!(bytes.len() < 320, "{}", bytes.len());
 }
 
