--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,64 +1,64 @@
-//! Admission, placement and weights: the decisions made under load.
+//! Admission control, server selection and weights under load.
 //!
-//! Nothing here opens a socket, reads a clock or draws randomness of its own. The parts, in the
-//! order in which a balancer calls them:
+//! The crate opens no sockets, reads no clock and has no random source of its own: callers pass in
+//! the time and a random number generator. A balancer uses the parts in this order:
 //!
-//! 1. Each traffic thread owns a [`gate::Gate`]. For a new flow it asks [`gate::Gate::admit`],
-//!    then [`gate::Gate::place`], both against the [`plan::Plan`] in force, an immutable snapshot.
-//!    It feeds what it sees of flows into the gate's [`tally::Tally`]; [`track::Tracker`] turns
-//!    decoded packets into those events.
-//! 2. The control thread owns one [`controller::Controller`] a [`pool::Pool`]. Once a second it
-//!    absorbs the gates' tallies and calls [`controller::Controller::tick`], which gives the
-//!    [`report::Report`] for the heartbeats to peers and the next plan for the gates. Peers'
-//!    reports go into [`controller::Controller::merge`].
-//! 3. The balancer that may write the table of new flows asks
-//!    [`controller::Controller::weights`] for a better set of weights.
+//! 1. Each traffic thread owns a [`gate::Gate`]. For a new flow it calls [`gate::Gate::admit`],
+//!    then [`gate::Gate::place`], both with the current [`plan::Plan`], an immutable snapshot.
+//!    Events of flows are counted in the gate's [`tally::Tally`]; [`track::Tracker`] derives them
+//!    from decoded packets.
+//! 2. The control thread owns one [`controller::Controller`] per [`pool::Pool`]. Once a second it
+//!    absorbs the gates' tallies and calls [`controller::Controller::tick`], which returns the
+//!    [`report::Report`] for the heartbeats to peers and the next plan for the gates. Reports from
+//!    peers go into [`controller::Controller::merge`].
+//! 3. The balancer that may write the table of new flows calls
+//!    [`controller::Controller::weights`] for new weights.
 
-/// Token buckets of work: shares guaranteed under contention and lent when idle.
+/// Token buckets for new flows: shares guaranteed under contention and lent when idle.
 pub mod admit;
-/// How many requests or flows come a second.
+/// Arrival rates of requests and flows.
 pub mod arrival;
-/// What the answers of a service take when nothing waits.
+/// Answer time of a service without queueing.
 pub mod baseline;
-/// The control thread's part: merges reports, estimates, makes plans and weights.
+/// State of the control thread: merges reports, estimates servers, and makes plans and weights.
 pub mod controller;
-/// How long answers take at present.
+/// Recent answer times of servers and services.
 pub mod delay;
-/// Which servers are left alone, for how long, and at most how many of them.
+/// Ejection of servers that don't answer, with a cap and an increasing duration.
 pub mod eject;
-/// Estimates of all servers, and what follows for new flows.
+/// Estimates for all servers of a pool, and the parts of new flows that they shed and spill.
 pub mod estimate;
-/// The traffic thread's part: decides on each new flow.
+/// State of a traffic thread: admits and places each new flow.
 pub mod gate;
-/// Every number that a decision depends on.
+/// Parameters of all decisions.
 pub mod limits;
-/// When a new flow is refused as no server would answer it in time.
+/// Refusal of new flows that no server would answer in time.
 pub mod overload;
-/// Peers' reports: whose are fresh, and what they add up to.
+/// Reports of peers: which are recent, and their sums.
 pub mod peer;
-/// First or second choice for a new flow.
+/// Choice between the first and second server for a new flow.
 pub mod place;
-/// What the traffic threads decide by until the next tick.
+/// Snapshot that traffic threads decide by until the next tick.
 pub mod plan;
-/// What is configured: services and marks with their shares, and backend servers.
+/// Configured services and marks with their shares, and backend servers.
 pub mod pool;
-/// From measured capacity to rates of admission.
+/// Admission rates from the measured capacity.
 pub mod rate;
-/// What a caller is told whose work will not run.
+/// Refusals and the time after which a caller may retry.
 pub mod refuse;
-/// What balancers tell each other.
+/// Load reports that balancers send each other.
 pub mod report;
-/// Estimates for each server from merged counts.
+/// Decaying counts of a server, and the means and utilization that follow from them.
 pub mod signal;
-/// How fast a server is.
+/// Estimates of a server's speed.
 pub mod speed;
-/// Counts of what one traffic thread has seen since the last tick.
+/// Counts of one traffic thread since the last tick.
 pub mod tally;
-/// How many of the less urgent are refused where servers are busy all the time.
+/// Share of less urgent flows to refuse while servers are saturated.
 pub mod throttle;
-/// Sampled sight of flows: from decoded packets to events.
+/// Sampling of TCP flows: turns decoded packets into events.
 pub mod track;
-/// Which new flows are more urgent than others that use the same servers.
+/// Relative urgency of new flows that use the same servers.
 pub mod urgency;
 /// Weights of the table of new flows.
 pub mod weight;
