--- a/crates/load/src/baseline.rs
+++ b/crates/load/src/baseline.rs
@@ -1,16 +1,16 @@
 use std::time::Duration;
 
-/// Time constant of the baseline.
-const MEMORY: Duration = Duration::from_secs(5);
-/// The same where answers take more than [`LONG`] times as long: they wait in queues, and only if that
-/// lasts for minutes has the work itself become longer.
-const MEMORY_LONG: Duration = Duration::from_secs(300);
-/// See [`MEMORY_LONG`].
-const LONG: f64 = 2.0;
-/// Longest time for which one answer counts.
-const STEP_MOST: Duration = Duration::from_millis(500);
+/// Time constant of the mean.
+const TIME_CONSTANT: Duration = Duration::from_secs(5);
+/// Time constant for answers that take more than [`SLOW_FACTOR`] times the mean. They have usually
+/// waited in a queue; only if they stay slow for minutes has the work itself become longer.
+const SLOW_TIME_CONSTANT: Duration = Duration::from_secs(300);
+/// See [`SLOW_TIME_CONSTANT`].
+const SLOW_FACTOR: f64 = 2.0;
+/// Upper bound on the time since the previous answer, and so on the weight of a single answer.
+const MAX_STEP: Duration = Duration::from_millis(500);
 
-/// What the answers of a service take when nothing waits: a mean that hardly follows long answers.
+/// Answer time of a service without queueing: a moving mean that slow answers barely raise.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Baseline {
     mean: Option<f64>,
@@ -18,22 +18,22 @@
 }
 
 impl Baseline {
-    /// Takes in an answer that took so long.
+    /// Records an answer that took `took`.
     pub fn add(&mut self, took: Duration, now: Duration) {
         let took = took.as_secs_f64();
-        let passed = now.saturating_sub(self.at).min(STEP_MOST);
+        let passed = now.saturating_sub(self.at).min(MAX_STEP);
         self.at = self.at.max(now);
         let mean = self.mean.get_or_insert(took);
-        let memory = if took > LONG * *mean {
-            MEMORY_LONG
+        let time_constant = if took > SLOW_FACTOR * *mean {
+            SLOW_TIME_CONSTANT
         } else {
-            MEMORY
+            TIME_CONSTANT
         };
-        let gain = 1.0 - (-passed.as_secs_f64() / memory.as_secs_f64()).exp();
+        let gain = 1.0 - (-passed.as_secs_f64() / time_constant.as_secs_f64()).exp();
         *mean += gain * (took - *mean);
     }
 
-    /// The time in seconds; nothing before the first answer.
+    /// Returns the mean in seconds, or `None` before the first answer.
     ///
     /// ```
     /// use std::time::Duration;
