--- a/crates/load/src/speed.rs
+++ b/crates/load/src/speed.rs
@@ -6,33 +6,34 @@
     tally::Count,
 };
 
-/// How many questions a second a server can answer, learned from many short measurements.
+/// How many requests per second a server can answer, estimated from many short measurements.
 ///
-/// Load: servers of unequal, untold speed, sometimes with deep queues. Harm: a server that is only
-/// busy taken for a slow one gets less, answers less, and looks slower still; all of them together
-/// spiral down to refusing everything. So each measurement takes the answers a second of one
-/// stretch of time and divides them by the server's use in the same stretch, which follows from
-/// the work in progress (answers a second times time of each) and not from time alone. A server
-/// with a deep queue has a use of nearly 1, and then its answers a second are its capacity.
+/// The speeds of servers differ, aren't configured, and some servers have deep queues. If a busy
+/// server were taken for a slow one, it would get fewer requests, answer fewer and look slower
+/// still, until the whole pool refuses everything. So each measurement divides the answers per
+/// second of an interval by the server's utilization in the same interval. The utilization follows
+/// from the work in progress (answers per second times the time of each), not from the time alone.
+/// A server with a deep queue has a utilization of nearly 1, so its answers per second are its
+/// capacity.
 #[derive(Debug, Clone, Default)]
 pub struct Speed {
-    stretch: Window,
+    interval: Window,
     mean: Option<f64>,
-    /// Seconds that the mean stands for.
+    /// Length in seconds of the intervals behind the mean.
     span: f64,
-    /// The last measurement, if it was far off the mean.
-    odd: Option<f64>,
+    /// The previous measurement, if it was far off the mean.
+    outlier: Option<f64>,
 }
 
 impl Speed {
-    /// Questions a second; nothing before the first measurement.
+    /// Returns the requests per second, or `None` before the first measurement.
     #[must_use]
     pub fn requests_per_second(&self) -> Option<f64> {
         self.mean
     }
 
-    /// Adds what was counted in `passed`. `network` is the network's part of an answer's time in
-    /// seconds; `visible` is the part of all answers whose times some balancer sees.
+    /// Adds the counts of the last `passed`. `network` is the network's part of an answer time, in
+    /// seconds; `visible` is the fraction of all answers that some balancer sees.
     pub fn learn(
         &mut self,
         count: &Count,
@@ -42,43 +43,43 @@
         slots: u32,
         limits: &Limits,
     ) {
-        self.stretch.add(count, passed, Duration::MAX);
-        let enough = match self.stretch.span < limits.patience.as_secs_f64() {
+        self.interval.add(count, passed, Duration::MAX);
+        let enough = match self.interval.span < limits.patience.as_secs_f64() {
             true => limits.samples,
             false => limits.samples_least,
         };
-        if self.stretch.timed < enough || visible <= 0.0 {
+        if self.interval.timed < enough || visible <= 0.0 {
             return;
         }
-        let stretch = std::mem::take(&mut self.stretch);
-        let Some(work) = stretch.work(network) else {
+        let interval = std::mem::take(&mut self.interval);
+        let Some(work) = interval.work(network) else {
             return;
         };
-        let answers = stretch.answered / visible / stretch.span;
+        let answers = interval.answered / visible / interval.span;
         let progress = answers * work / f64::from(slots.max(1));
-        self.take(answers / utilization(progress, slots), &stretch, limits);
+        self.record(answers / utilization(progress, slots), &interval, limits);
     }
 
-    fn take(&mut self, value: f64, stretch: &Window, limits: &Limits) {
+    fn record(&mut self, value: f64, interval: &Window, limits: &Limits) {
         let Some(mean) = self.mean else {
-            (self.mean, self.span) = (Some(value), stretch.span);
+            (self.mean, self.span) = (Some(value), interval.span);
             return;
         };
-        // The fewer answers, the more a measurement scatters, and the less it proves.
-        let scatter = (limits.samples / stretch.timed).sqrt().max(1.0);
+        // The variance of a measurement grows as its number of answers falls.
+        let scatter = (limits.samples / interval.timed).sqrt().max(1.0);
         let factor = 1.0 + (limits.change - 1.0) * scatter;
-        let odd = self.odd.take();
+        let outlier = self.outlier.take();
         if value > mean * factor || mean > value * factor {
-            if odd.is_some_and(|odd| (odd > mean) == (value > mean)) {
-                (self.mean, self.span) = (Some(value), stretch.span);
+            if outlier.is_some_and(|outlier| (outlier > mean) == (value > mean)) {
+                (self.mean, self.span) = (Some(value), interval.span);
                 return;
             }
-            self.odd = Some(value);
+            self.outlier = Some(value);
         }
-        let memory = stretch.span * limits.memory / stretch.timed;
-        let memory = memory.max(limits.slow.as_secs_f64());
-        self.span = (self.span + stretch.span).min(memory);
-        let part = (stretch.span / self.span).min(1.0);
+        let span_max = interval.span * limits.memory / interval.timed;
+        let span_max = span_max.max(limits.slow.as_secs_f64());
+        self.span = (self.span + interval.span).min(span_max);
+        let part = (interval.span / self.span).min(1.0);
         self.mean = Some(mean + part * (value - mean));
     }
 }
