--- a/crates/load/src/weight.rs
+++ b/crates/load/src/weight.rs
@@ -2,25 +2,25 @@
 
 use crate::limits::Limits;
 
-/// What is known of a server when weights are made.
+/// State of a server from which its next weight is computed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerInput {
-    /// Measured capacity, in any unit that all servers have in common; nothing without samples.
+    /// Measured capacity, in a unit common to all servers; `None` without samples.
     pub capacity: Option<f64>,
-    /// Left alone: its weight is 0.
+    /// Whether the server gets no new flows; its weight is then 0.
     pub ejected: bool,
-    /// Its health endpoint says nothing bad.
+    /// Whether its health endpoint reports no failure.
     pub trusted: bool,
 }
 
-/// Makes the next weights, relative to a mean of 1 over the servers, from those `in_force`.
+/// Computes the next weights, with a mean of 1 over the servers, from the weights `in_force`.
 ///
-/// Load: servers whose speeds differ 4:1 and that nobody tells us; cold starts; one that slows
-/// down. Harm: equal shares drown the slow ones. Weights follow measured capacity, down by at most
-/// `fall` and up by at most `rise` a step, so that one wrong figure moves little, recovery is
-/// gradual and a cold server, which starts at `start`, is filled as it warms up. A server without a
-/// figure goes towards the mean of the others. With no figure at all every weight goes to 1: plain
-/// shares.
+/// The speeds of servers differ by up to 4:1 and aren't configured, servers start cold, and some
+/// slow down; with equal weights the slow ones would be overloaded. Weights follow the measured
+/// capacity, and each step changes one by at most the factors `fall` and `rise`. So a single wrong
+/// measurement has little effect, recovery is gradual, and a cold server, which begins at `start`,
+/// gets more flows as it warms up. The weight of a server without a measurement moves towards the
+/// mean of the others. Without any measurement all weights move to 1.
 #[must_use]
 pub fn next(in_force: &[f64], inputs: &[ServerInput], limits: &Limits) -> Vec<f64> {
     let target = targets(inputs, limits);
@@ -30,7 +30,7 @@
         .zip(&target)
         .map(|((old, input), target)| step(*old, *target, input, limits))
         .collect();
-    level(&stepped, in_force, limits)
+    normalize(&stepped, in_force, limits)
 }
 
 fn targets(inputs: &[ServerInput], limits: &Limits) -> Vec<f64> {
@@ -57,13 +57,13 @@
     target.clamp(old / limits.fall, old * limits.rise)
 }
 
-/// Brings the mean to 1 without lifting any server above its largest step: what an ejected or slow
-/// one gives up goes to those that may take it. Only if nobody may, all are lifted, since somebody
-/// has to take the flows.
-fn level(stepped: &[f64], in_force: &[f64], limits: &Limits) -> Vec<f64> {
-    /// Rounds of handing on what capped servers don't take.
+/// Brings the mean to 1 without raising any server above its largest step: the weight that an
+/// ejected or slow server loses goes to servers below their largest step. If all of them are at it,
+/// all are raised alike, since the flows have to go somewhere.
+fn normalize(stepped: &[f64], in_force: &[f64], limits: &Limits) -> Vec<f64> {
+    /// Iterations that redistribute the weight above the servers' caps.
     const ROUNDS: usize = 8;
-    let whole = stepped.len() as f64;
+    let total = stepped.len() as f64;
     let highest = |old: f64| {
         if old > 0.0 {
             old * limits.rise
@@ -81,10 +81,10 @@
             .map(|pair| *pair.0)
             .sum();
         let free: f64 = weights.iter().sum::<f64>() - held;
-        if free <= 0.0 || whole <= held {
+        if free <= 0.0 || total <= held {
             break;
         }
-        let factor = (whole - held) / free;
+        let factor = (total - held) / free;
         let next: Vec<f64> = weights
             .iter()
             .zip(in_force)
@@ -99,28 +99,28 @@
     if sum <= 0.0 {
         return vec![1.0; weights.len()];
     }
-    weights.iter().map(|weight| weight * whole / sum).collect()
+    weights.iter().map(|weight| weight * total / sum).collect()
 }
 
-/// Decides when weights are worth proposing: each proposal moves new flows off their base, which
-/// costs a pin for each of them.
+/// Limits how often weights are proposed: each proposal moves new flows off the server that the
+/// base table gives them, and each of these flows needs a pin.
 #[derive(Debug, Clone, Default)]
 pub struct ProposalLimiter {
     last: Option<Duration>,
 }
 
 impl ProposalLimiter {
-    /// Whether `new` should replace `in_force` at `now`. Differences below the hysteresis are
-    /// noise; an ejection is always worth it, and at once.
+    /// Returns whether `new` should replace `in_force` at `now`. Differences below the hysteresis
+    /// are taken for noise; an ejection is proposed at once.
     pub fn due(&mut self, in_force: &[f64], new: &[f64], now: Duration, limits: &Limits) -> bool {
         let pairs = || in_force.iter().zip(new);
-        let emptied = pairs().any(|(old, new)| *old > 0.0 && *new == 0.0);
+        let ejects = pairs().any(|(old, new)| *old > 0.0 && *new == 0.0);
         let differs =
             pairs().any(|(old, new)| (new - old).abs() > limits.hysteresis * old.max(limits.floor));
         let waited = self
             .last
             .is_none_or(|last| now.saturating_sub(last) >= limits.period);
-        let due = emptied || (differs && waited);
+        let due = ejects || (differs && waited);
         if due {
             self.last = Some(now);
         }
