--- a/crates/load/src/admit.rs
+++ b/crates/load/src/admit.rs
@@ -6,7 +6,7 @@
     pool::{Mark, Pool},
 };
 
-/// A bucket of work, in flows.
+/// Token bucket; a token is one flow.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     tokens: f64,
@@ -19,48 +19,48 @@
         self.tokens = (self.tokens + rate * passed).min(self.depth);
     }
 
-    /// Takes one, if need be from the future, but never more of it than the depth: work that was
-    /// guaranteed to others is paid back by borrowers, for a bounded time.
-    fn drain(&mut self) {
+    /// Takes a token. The balance may go negative, down to minus the depth: borrowers pay back work
+    /// that was guaranteed to others, but only for a bounded time.
+    fn take(&mut self) {
         self.tokens = (self.tokens - 1.0).max(-self.depth);
     }
 
-    fn has(&self) -> bool {
+    fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 }
 
 /// Decides whether new flows of one traffic thread are within their shares.
 ///
-/// Load: demand far beyond capacity, mostly trial (ten times the usual), while paying callers come
-/// at their usual rate or return after a quiet hour. Harm: paying callers refused, or kept waiting
-/// behind trial work. Three kinds of bucket prevent it:
+/// Demand may be far beyond capacity, most of it from trial callers (ten times the usual), while
+/// paying callers arrive at their usual rate or return after an idle hour. Paying callers must then
+/// neither be refused nor wait behind trial work. Three kinds of bucket ensure that:
 ///
-/// - A class's own bucket fills at its share of the capacity. A flow that finds a token there is
-///   let in whatever the others do: that is the guarantee.
-/// - `total` fills at the whole capacity, and every flow let in drains it. What is left there is
-///   idle share, and any class may borrow it. There is nothing to be taken back, since what an
-///   owner uses is never left over in the first place.
-/// - `lent` does the same at a lower rate and binds trial only, while paying callers are about. The
-///   difference is headroom: work already lent can't be recalled from a server, but with headroom
-///   paying callers wait for little of it. The first of them to return ends the lending of it at
-///   once, without any plan or peer.
+/// - The bucket of a class fills at its share of the capacity. A flow that finds a token there is
+///   admitted whatever the other classes do; this is the guarantee.
+/// - `total` fills at the whole capacity, and every admitted flow drains it. Tokens left there are
+///   idle share, which any class may borrow. Nothing has to be reclaimed, since work that the owner
+///   of a share uses never counts as idle.
+/// - `lent` works like `total` at a lower rate, and applies to trial callers only, while paying
+///   callers are active. The difference is headroom: admitted work can't be recalled from a server,
+///   but with headroom paying callers wait for little of it. The first paying caller that returns
+///   ends the lending of the headroom at once, without a new plan or a message from a peer.
 ///
-/// Each thread of each balancer enforces its part by its own arrivals, which the fabric and the
-/// kernel spread evenly. Counts from peers only set the rates, so old ones can't let in more than
-/// the rates they set.
+/// Each thread of each balancer enforces its part of the rates on its own arrivals, which the fabric
+/// and the kernel spread evenly. Counts from peers only set the rates, so outdated counts can't
+/// admit more than those rates.
 #[derive(Debug, Clone)]
 pub struct Shares {
     own: Vec<Bucket>,
     marks: Vec<Mark>,
     total: Bucket,
     lent: Bucket,
-    last: Option<Duration>,
-    paying: Option<Duration>,
+    last_refill: Option<Duration>,
+    last_paying: Option<Duration>,
 }
 
 impl Shares {
-    /// Full buckets for each class of the pool.
+    /// Creates full buckets for the classes of the pool.
     #[must_use]
     pub fn new(pool: &Pool, limits: &Limits) -> Self {
         let full = |depth| Bucket {
@@ -72,39 +72,41 @@
             marks: pool.classes.iter().map(|class| class.mark).collect(),
             total: full(limits.least_lent),
             lent: full(limits.least_lent),
-            last: None,
-            paying: None,
+            last_refill: None,
+            last_paying: None,
         }
     }
 
-    /// Whether a new flow of `class` may run; takes the tokens if it may. `now` is the time since
-    /// any fixed origin; if it goes back, no tokens are added.
+    /// Returns whether a new flow of `class` is admitted, and takes its tokens if it is. `now` is
+    /// the time since any fixed origin; if it goes backwards, no tokens are added.
     pub fn take(&mut self, class: usize, rates: &Rates, limits: &Limits, now: Duration) -> bool {
         self.refill(rates, limits, now);
         let Some(mark) = self.marks.get(class).copied() else {
             return false;
         };
         if mark == Mark::Paying {
-            self.paying = Some(now);
+            self.last_paying = Some(now);
         }
-        let about = self
-            .paying
+        let paying_active = self
+            .last_paying
             .is_some_and(|last| now.saturating_sub(last) <= limits.paying_window);
         let Some(own) = self.own.get_mut(class) else {
             return false;
         };
-        if own.has() {
-            own.drain();
-        } else if !self.total.has() || (mark == Mark::Trial && about && !self.lent.has()) {
+        if own.has_token() {
+            own.take();
+        } else if !self.total.has_token()
+            || (mark == Mark::Trial && paying_active && !self.lent.has_token())
+        {
             return false;
         }
-        self.total.drain();
-        self.lent.drain();
+        self.total.take();
+        self.lent.take();
         true
     }
 
     fn refill(&mut self, rates: &Rates, limits: &Limits, now: Duration) {
-        let last = self.last.replace(now).unwrap_or(now);
+        let last = self.last_refill.replace(now).unwrap_or(now);
         let passed = now.saturating_sub(last).as_secs_f64();
         let rates_by_mark = self.marks.iter().zip(&rates.own);
         for (bucket, (mark, rate)) in self.own.iter_mut().zip(rates_by_mark) {
