--- a/crates/load/src/signal.rs
+++ b/crates/load/src/signal.rs
@@ -2,10 +2,10 @@
 
 use crate::tally::Count;
 
-/// Counts that forget with a time constant, so that their ratios are recent means.
+/// Exponentially decaying counts, whose ratios are recent means.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Window {
-    /// Seconds that the counts stand for.
+    /// Time that the counts cover, in seconds.
     pub span: f64,
     /// See [`Count`].
     pub opened: f64,
@@ -24,7 +24,7 @@
 }
 
 impl Window {
-    /// Forgets for `passed`, then adds what was counted in that time.
+    /// Decays the counts by `passed`, then adds those of that time.
     pub fn add(&mut self, count: &Count, passed: Duration, constant: Duration) {
         let seconds = passed.as_secs_f64();
         let keep = (-seconds / constant.as_secs_f64()).exp();
@@ -39,23 +39,23 @@
         step(&mut self.answering, count.answering.as_secs_f64());
     }
 
-    /// Mean time that an opening takes, in seconds. The server's kernel answers it, so it is the
-    /// network's part of any answer. Nothing without samples.
+    /// Returns the mean time of an opening, in seconds, or `None` without samples. The server's
+    /// kernel answers openings, so this is the network's part of any answer time.
     #[must_use]
     pub fn network(&self) -> Option<f64> {
         (self.completed >= 1.0).then(|| self.opening / self.completed)
     }
 
-    /// Mean time that the server takes for a question, in seconds: from data to the moving
-    /// acknowledgement, less the network's part. Nothing without samples.
+    /// Returns the mean time of a request at the server, in seconds, or `None` without samples: from
+    /// the caller's data to the acknowledgement of the answer, less the network's part.
     #[must_use]
     pub fn work(&self, network: f64) -> Option<f64> {
-        /// What the subtraction of two means leaves at least, in seconds.
-        const LEAST: f64 = 1e-4;
-        (self.timed >= 1.0).then(|| (self.answering / self.timed - network).max(LEAST))
+        /// Lower bound on the difference of the two means, in seconds.
+        const MIN_WORK: f64 = 1e-4;
+        (self.timed >= 1.0).then(|| (self.answering / self.timed - network).max(MIN_WORK))
     }
 
-    /// Questions a second.
+    /// Returns the requests per second.
     #[must_use]
     pub fn rate(&self) -> f64 {
         if self.span > 0.0 {
@@ -66,11 +66,12 @@
     }
 }
 
-/// The use of a server (0 to 1) whose `slots` have `progress` questions each in progress.
+/// Returns the utilization (0 to 1) of a server with `progress` requests in progress per slot.
 ///
-/// Inverts the approximation of Sakasegawa (1977) for the mean number in a queue with several
-/// servers: progress = use + use^sqrt(2 (slots + 1)) / (slots (1 - use)). It depends on no speed,
-/// and that is why work in progress, not time, tells a loaded server from a slow one.
+/// Inverts Sakasegawa's approximation (1977) of the mean queue length with several servers, where
+/// `u` is the utilization: progress = u + u^sqrt(2 (slots + 1)) / (slots (1 - u)). The formula
+/// doesn't contain the server's speed, so work in progress tells a loaded server from a slow one,
+/// which times don't.
 ///
 /// ```
 /// use acacia_load::signal::utilization;
@@ -79,7 +80,7 @@
 /// ```
 #[must_use]
 pub fn utilization(progress: f64, slots: u32) -> f64 {
-    /// Halvings of the interval: an error below a thousandth.
+    /// Number of bisections; the error is then below a thousandth.
     const STEPS: usize = 12;
     let slots = f64::from(slots.max(1));
     let exponent = (2.0 * (slots + 1.0)).sqrt();
