--- a/crates/load/src/place.rs
+++ b/crates/load/src/place.rs
@@ -2,17 +2,17 @@
 
 use crate::{plan::Plan, pool::Server};
 
-/// Picks the position in `ranked` of the server for a new flow; nothing if `ranked` is empty.
-/// Anything but 0 is a placement off the flow's first choice and costs a pin.
+/// Returns the position in `ranked` of the server for a new flow, or `None` if `ranked` is empty.
+/// Any position but 0 is not the flow's first choice and needs a pin.
 ///
-/// Load: one server slows down or hangs, or a burst fills it, within the seconds before weights
-/// follow. Harm: its part of the flows waits. A flow moves on from a server that is left alone,
-/// and from one that is over its bound with the probability `spill`, which the plan sets so that
-/// just the excess moves: all balancers act alike on the same old numbers, and a fixed threshold
-/// would send everything to the second choice at once, then everything back. It only moves to one
-/// that spills less, so full saturation moves nothing.
+/// A server may slow down, hang or be filled by a burst, and weights react only seconds later.
+/// Until then new flows move off an ejected server, and off a server above its bound with the
+/// probability `spill`. The plan sets `spill` so that only the excess moves: all balancers act on
+/// the same outdated figures, and with a fixed threshold all flows would move to the second choice
+/// at once and then all back. A flow moves only to a server that spills less, so nothing moves when
+/// all servers are saturated alike.
 ///
-/// If every choice is left alone the first takes it: a wrong signal must not turn into a refusal.
+/// If every choice is ejected, the first one gets the flow: a wrong signal must not cause a refusal.
 #[must_use]
 pub fn choose(ranked: &[Server], plan: &Plan, rng: &mut impl Rng) -> Option<usize> {
     let usable = |position: &usize| !plan.standing(ranked[*position]).ejected;
