--- a/crates/load/src/pool.rs
+++ b/crates/load/src/pool.rs
@@ -4,12 +4,13 @@
 
 /// Index of a backend server within its pool, in the order of the configuration.
 ///
-/// All balancers must agree on it, so reports name the revision of the configuration.
+/// Reports contain the revision of the configuration, since balancers can only merge them if they
+/// number the servers alike.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Server(pub u16);
 
 impl Server {
-    /// The index into slices that hold an element for each server.
+    /// Returns the index into slices with one element per server.
     #[must_use]
     pub fn index(self) -> usize {
         usize::from(self.0)
@@ -19,47 +20,48 @@
 /// Whether a caller pays or is on trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Mark {
-    /// On trial: may borrow, but never the headroom.
+    /// May borrow idle share, but not the headroom while paying callers are active.
     Trial,
-    /// Paying: takes its share back at once, whoever has borrowed it.
+    /// Gets its share at once, even if other callers have borrowed it.
     Paying,
 }
 
-/// Callers that share one guarantee: a service, a customer or class of callers, and a mark.
+/// Callers that share one guarantee: those of a service or customer with the same mark.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// For logs and metrics, such as `talkoo-live/paying`.
+    /// Name in logs and metrics, such as `talkoo-live/paying`.
     pub name: Arc<str>,
     /// The mark of its callers.
     pub mark: Mark,
-    /// Relative size of its guarantee; the shares of a pool needn't add up to any number.
+    /// Relative size of the guarantee; the shares of a pool needn't have a particular sum.
     pub share: f64,
 }
 
-/// A backend server as it is configured.
+/// Configured sizes of a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Host {
-    /// Requests it works on at a time.
+    /// Number of requests that it processes at a time.
     pub slots: u32,
-    /// Connections it can hold open.
+    /// Number of connections that it can hold open.
     pub connections: u32,
 }
 
 /// The backend servers that one or more services have in common, and the classes that share them.
 ///
-/// Services without a server in common belong to different pools and can't harm each other.
+/// Services without a common server belong to different pools, so that load on one doesn't affect
+/// the other.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pool {
-    /// Revision of the configuration; reports made under another one are not merged.
+    /// Revision of the configuration; reports with another revision aren't merged.
     pub revision: u64,
     /// Backend servers by [`Server::index`].
     pub hosts: Vec<Host>,
-    /// Classes; a decision names one by its index.
+    /// Classes, which decisions refer to by index.
     pub classes: Vec<Class>,
 }
 
 impl Pool {
-    /// The fraction of the pool that is guaranteed to `class`; 0 if nothing is.
+    /// Returns the fraction of the pool that is guaranteed to `class`, which may be 0.
     ///
     /// ```
     /// use acacia_load::pool::{Class, Mark, Pool};
@@ -78,13 +80,13 @@
         if total > 0.0 { own / total } else { 0.0 }
     }
 
-    /// Requests that the whole pool works on at a time.
+    /// Returns the number of requests that the whole pool processes at a time.
     #[must_use]
     pub fn slots(&self) -> f64 {
         self.hosts.iter().map(|host| f64::from(host.slots)).sum()
     }
 
-    /// Connections that the whole pool can hold open.
+    /// Returns the number of connections that the whole pool can hold open.
     #[must_use]
     pub fn connections(&self) -> f64 {
         self.hosts
