--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -5,29 +5,28 @@
 /// Counts of one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Count {
-    /// Flows placed there.
+    /// Flows placed at the server.
     pub opened: u32,
-    /// Openings seen here that a later packet of the caller showed to be completed.
+    /// Openings seen here that were completed, as the caller's next packet showed.
     pub completed: u32,
     /// Time from the opening to the caller's next packet, summed over `completed`.
     pub opening: Duration,
-    /// Data of callers seen here.
+    /// Requests seen here, which are packets of callers with data.
     pub asked: u32,
-    /// Data seen here beyond which an acknowledgement then moved.
+    /// Requests seen here for which an acknowledgement of an answer followed here.
     pub answered: u32,
-    /// Those of them whose time is known.
+    /// Those of `answered` whose time is known.
     pub timed: u32,
-    /// Time from the data to that acknowledgement, summed over `timed`.
+    /// Time from the request to that acknowledgement, summed over `timed`.
     pub answering: Duration,
-    /// Flows seen to end, whoever saw them open.
+    /// Flows whose end was seen here, whichever balancer saw them open.
     pub closed: u32,
-    /// Requests that were given up, or answered too soon to have been worked on.
+    /// Requests that callers gave up, or that were answered too fast to have been processed.
     pub failed: u32,
 }
 
 impl Count {
-    /// Adds what was counted elsewhere, which may come from a peer: an absurd number must not
-    /// overflow.
+    /// Adds other counts. The sums saturate, since counts from a peer may be absurdly large.
     ///
     /// ```
     /// use acacia_load::tally::Count;
@@ -51,28 +50,28 @@
 /// Counts of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClassCount {
-    /// New flows admitted.
+    /// Admitted new flows.
     pub admitted: u32,
-    /// New flows refused.
+    /// Refused new flows.
     pub refused: u32,
-    /// Flows seen to end.
+    /// Flows whose end was seen here.
     pub closed: u32,
 }
 
-/// What one traffic thread has seen since the last tick.
+/// Counts of one traffic thread since the last tick.
 ///
-/// Each event is fed exactly once in the whole fleet, by the balancer named here, whatever number
-/// of balancers the packet passes through.
+/// Each event is counted exactly once in the whole fleet, however many balancers the packet passes
+/// through. The methods say which balancer counts it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tally {
-    /// By [`Server::index`].
+    /// Counts by [`Server::index`].
     pub servers: Vec<Count>,
-    /// By index of class.
+    /// Counts by index of class.
     pub classes: Vec<ClassCount>,
 }
 
 impl Tally {
-    /// Zeroes for a pool of that many servers and classes.
+    /// Creates zero counts for a pool with these numbers of servers and classes.
     #[must_use]
     pub fn new(servers: usize, classes: usize) -> Self {
         Tally {
@@ -81,44 +80,46 @@
         }
     }
 
-    /// A flow was placed: from the balancer that decided on its opening packet, when it sends the
-    /// packet on. A retransmitted opening isn't a new one where the balancer can tell.
+    /// Counts a placed flow. The balancer that decides on the opening packet calls this when it
+    /// forwards the packet, and leaves out retransmitted openings where it can recognize them.
     pub fn opened(&mut self, server: Server) {
-        self.with(server, |count| count.opened += 1);
+        self.update(server, |count| count.opened += 1);
     }
 
-    /// A flow whose opening this balancer saw has shown a second packet after `took`.
+    /// Counts a completed opening: this balancer saw the flow's opening and, `took` later, its next
+    /// packet.
     pub fn completed(&mut self, server: Server, took: Duration) {
-        self.with(server, |count| {
+        self.update(server, |count| {
             count.completed += 1;
             count.opening += took;
         });
     }
 
-    /// The caller sent data: from the balancer that the fabric gave the packet to (ingress).
+    /// Counts a request. The balancer that got the packet from the fabric (the ingress) calls this.
     pub fn asked(&mut self, server: Server) {
-        self.with(server, |count| count.asked += 1);
+        self.update(server, |count| count.asked += 1);
     }
 
-    /// An acknowledgement beyond data that this balancer saw came by here, after `took` if that
-    /// says anything of the server; see [`crate::track`].
+    /// Counts an answer: the acknowledgement of an answer to a request seen here came through this
+    /// balancer. `took` is the time since the request, or `None` if it says nothing about the
+    /// server; see [`crate::track`].
     pub fn answered(&mut self, server: Server, took: Option<Duration>) {
-        self.with(server, |count| {
+        self.update(server, |count| {
             count.answered += 1;
             count.timed += u32::from(took.is_some());
             count.answering += took.unwrap_or_default();
         });
     }
 
-    /// The caller's FIN or RST came by: from the ingress.
+    /// Counts the end of a flow, by a FIN or RST of the caller. The ingress calls this.
     pub fn closed(&mut self, server: Server, class: usize) {
-        self.with(server, |count| count.closed += 1);
-        if let Some(demand) = self.classes.get_mut(class) {
-            demand.closed += 1;
+        self.update(server, |count| count.closed += 1);
+        if let Some(count) = self.classes.get_mut(class) {
+            count.closed += 1;
         }
     }
 
-    /// Adds the counts of another thread.
+    /// Adds the counts of another thread or balancer.
     pub fn add(&mut self, other: &Tally) {
         for (to, from) in self.servers.iter_mut().zip(&other.servers) {
             to.add(from);
@@ -130,7 +131,7 @@
         }
     }
 
-    fn with(&mut self, server: Server, change: impl FnOnce(&mut Count)) {
+    fn update(&mut self, server: Server, change: impl FnOnce(&mut Count)) {
         if let Some(count) = self.servers.get_mut(server.index()) {
             change(count);
         }
