--- a/crates/load/src/track.rs
+++ b/crates/load/src/track.rs
@@ -8,82 +8,83 @@
 
 use crate::{pool::Server, tally::Tally};
 
-/// Bytes of an answer from which on its acknowledgement can't be a delayed one: two full segments
-/// of a path with little room (RFC 9293, 3.8.6.3).
-const PROMPT: u32 = 2_400;
-/// Bytes that a server sends before the first acknowledgement reaches it (RFC 6928). One beyond
-/// them is of a later part of the answer.
-const FIRST_WINDOW: u32 = 14_600;
+/// Number of acknowledged bytes from which the acknowledgement is immediate and not delayed: two
+/// full segments on a path with a small MTU (RFC 9293, 3.8.6.3).
+const PROMPT_BYTES: u32 = 2_400;
+/// Number of bytes that a server sends before it gets the first acknowledgement (the initial window
+/// of RFC 6928). An acknowledgement of more bytes is for a later part of the answer.
+const INITIAL_WINDOW: u32 = 14_600;
 /// Longest time by which a caller may delay an acknowledgement (RFC 9293, 3.8.6.3).
-const DELAYED: Duration = Duration::from_millis(500);
-/// If a smaller part of the answers than this is known to be acknowledged promptly, the others are
-/// timed as well: a biased figure is better than none.
-const RARE: f64 = 0.05;
-/// Answers over which that part is learned.
-const MEMORY: f64 = 256.0;
+const MAX_ACK_DELAY: Duration = Duration::from_millis(500);
+/// If the fraction of immediately acknowledged answers is below this, the other answers are timed
+/// as well: a biased time is better than none.
+const MIN_PROMPT: f64 = 0.05;
+/// Number of answers over which that fraction is averaged.
+const PROMPT_SAMPLES: f64 = 256.0;
 
 #[derive(Debug, Clone, Copy)]
 enum Sample {
-    /// The opening was seen; waiting for the first packet after it.
+    /// The opening was seen; the first packet after it completes the sample.
     Opening { at: Duration, isn: u32 },
-    /// Data was seen with this acknowledgement number; waiting for one beyond it.
+    /// Data was seen with this acknowledgement number; a higher number completes the sample.
     Data { at: Duration, acknowledged: u32 },
 }
 
-/// Sampled sight of TCP flows at one traffic thread.
+/// Samples TCP flows at one traffic thread.
 ///
 /// Answers go straight from the backend server to the caller, so a balancer sees only the caller's
-/// packets, and of those only the part that the fabric gives it. A sample is a pair of packets of
-/// one flow that both come by here: the opening and the next one, or data and an acknowledgement
-/// beyond it. With 8 balancers about an eighth of the first packets find their second here. That
-/// part is the same for every server, so means and comparisons hold; absolute counts of answers
-/// mean nothing.
+/// packets, and of those only the part that the fabric sends to it. A sample is a pair of packets of
+/// one flow that both pass here: the opening and the packet after it, or data and the
+/// acknowledgement of an answer. With 8 balancers, about an eighth of the first packets is followed
+/// by the second one at the same balancer. That fraction is the same for every server, so means and
+/// comparisons hold, but absolute counts of answers mean nothing.
 ///
-/// The service needs a tracker of its own, as what callers' acknowledgements tell depends on the
-/// size of its answers.
+/// Each service needs its own tracker, since it depends on the size of the answers which
+/// acknowledgements can be timed.
 ///
-/// The memory is bounded: a thread keeps at most `capacity` open samples and none older than
-/// `patience`. A pair that takes longer isn't an answer time any more but a caller's pause.
+/// Memory is bounded: a thread keeps at most `capacity` open samples. A pair that takes longer than
+/// `patience` isn't counted, as it contains a pause of the caller; such samples are dropped when
+/// there is no room.
 #[derive(Debug)]
 pub struct Tracker {
     samples: Map<Key, Sample>,
     capacity: usize,
     patience: Duration,
-    swept: Duration,
-    /// Part of the first acknowledgements that were prompt.
+    last_sweep: Duration,
+    /// Fraction of the first acknowledgements that were immediate.
     prompt: f64,
 }
 
 impl Tracker {
-    /// No samples yet.
+    /// Creates a tracker without samples.
     #[must_use]
     pub fn new(capacity: usize, patience: Duration) -> Self {
         Tracker {
             samples: Map::default(),
             capacity,
             patience,
-            swept: Duration::ZERO,
+            last_sweep: Duration::ZERO,
             prompt: 0.0,
         }
     }
 
-    /// Open samples.
+    /// Returns the number of open samples.
     #[must_use]
     pub fn len(&self) -> usize {
         self.samples.len()
     }
 
-    /// Whether there are no open samples.
+    /// Returns whether there are no open samples.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.samples.is_empty()
     }
 
-    /// Feeds a packet that the fabric gave to this balancer (not one that a peer passed on) and
-    /// that goes to `server`, of a flow of `class`.
+    /// Observes a packet to `server` of a flow of `class`. Only packets that this balancer got from
+    /// the fabric count, not those that a peer forwarded.
     ///
-    /// [`Tally::opened`] isn't among the events it feeds: [`crate::gate::Gate::place`] does that
-    /// at the balancer that decides.
+    /// This doesn't call [`Tally::opened`]; [`crate::gate::Gate::place`] does, at the balancer that
+    /// places the flow.
     pub fn observe(
         &mut self,
         packet: &Packet,
@@ -134,8 +135,8 @@
         let took = |at: Duration| now.saturating_sub(at);
         match sample {
             Sample::Opening { at, isn } => {
-                // Only the handshake's last packet and the first data carry this number. A later
-                // packet would add the time of the answer to what passes for the network's.
+                // Only the handshake's last packet and the first data carry this sequence number.
+                // With a later packet, the network time would include the time of the answer.
                 if packet.sequence == isn.wrapping_add(1) && took(at) <= self.patience {
                     tally.completed(server, took(at));
                 }
@@ -147,7 +148,7 @@
                 }
                 if beyond && took(at) <= self.patience {
                     let advance = packet.acknowledgement.wrapping_sub(acknowledged);
-                    let timed = self.tells(packet, advance, took(at));
+                    let timed = self.is_server_time(packet, advance, took(at));
                     tally.answered(server, timed.then(|| took(at)));
                 }
             }
@@ -155,30 +156,34 @@
         self.samples.remove(&packet.key);
     }
 
-    /// Whether the time of an acknowledgement that moved by `advance` is the server's.
+    /// Returns whether `took`, the time until an acknowledgement that advanced by `advance` bytes,
+    /// is the server's answer time.
     ///
-    /// Callers delay the acknowledgement of a single segment by tens of milliseconds, more than
-    /// most requests take; counted in, it would make fast servers look as slow as slow ones.
-    /// Packets with data or FIN come when the caller pleases.
+    /// Callers delay the acknowledgement of a single segment by tens of milliseconds, which is more
+    /// than most requests take; with that delay counted, fast servers would look as slow as slow
+    /// ones. Packets with data or FIN come at a time that the caller chooses.
     ///
-    /// An acknowledgement of little that comes later than callers may delay one is of something that
-    /// the server sent long after its answer: the lines of a live feed, of which most are acknowledged
-    /// through other balancers. Taken for an answer's time, the seconds between two lines make idle
-    /// servers look busy (`event=refusing` with a capacity below one flow a second), and callers are
-    /// refused by them. An answer that really took so long isn't timed either.
-    fn tells(&mut self, packet: &Packet, advance: u32, took: Duration) -> bool {
-        if packet.payload > 0 || packet.kind != Kind::Middle || advance > FIRST_WINDOW {
+    /// An acknowledgement of few bytes that comes later than the longest delay is for data that the
+    /// server sent long after its answer, such as the lines of a live feed, most of which are
+    /// acknowledged through other balancers. If the seconds between two lines were taken for an
+    /// answer time, idle servers would look busy (`event=refusing` with a capacity below one flow a
+    /// second) and new flows would be refused. An answer that really took that long isn't timed
+    /// either.
+    fn is_server_time(&mut self, packet: &Packet, advance: u32, took: Duration) -> bool {
+        if packet.payload > 0 || packet.kind != Kind::Middle || advance > INITIAL_WINDOW {
             return false;
         }
-        let prompt = advance >= PROMPT;
-        self.prompt += (f64::from(u8::from(prompt)) - self.prompt) / MEMORY;
-        prompt || (self.prompt < RARE && took <= DELAYED)
+        let prompt = advance >= PROMPT_BYTES;
+        self.prompt += (f64::from(u8::from(prompt)) - self.prompt) / PROMPT_SAMPLES;
+        prompt || (self.prompt < MIN_PROMPT && took <= MAX_ACK_DELAY)
     }
 
     fn keep(&mut self, key: Key, sample: Sample, now: Duration) {
-        if self.samples.len() >= self.capacity && now.saturating_sub(self.swept) >= self.patience {
-            // Once in a while only: a sweep walks the whole map.
-            self.swept = now;
+        if self.samples.len() >= self.capacity
+            && now.saturating_sub(self.last_sweep) >= self.patience
+        {
+            // A sweep visits the whole map, so it runs at most once per `patience`.
+            self.last_sweep = now;
             let patience = self.patience;
             self.samples.retain(|_, sample| {
                 let (Sample::Opening { at, .. } | Sample::Data { at, .. }) = *sample;
