--- a/crates/load/src/peer.rs
+++ b/crates/load/src/peer.rs
@@ -11,18 +11,18 @@
 #[derive(Debug, Clone)]
 struct Peer {
     sequence: u32,
-    heard: Duration,
+    last_report: Duration,
     servers: Vec<i32>,
     classes: Vec<i32>,
 }
 
-/// Flows opened less flows closed. As a flow may open at one balancer and close at another, only
-/// the sum over all balancers means anything.
+/// Numbers of opened minus closed flows. A flow may open at one balancer and close at another, so
+/// only the sum over all balancers is meaningful.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct OpenFlows {
-    /// By index of server.
+    /// Numbers by index of server.
     pub servers: Vec<f64>,
-    /// By index of class.
+    /// Numbers by index of class.
     pub classes: Vec<f64>,
 }
 
@@ -49,37 +49,38 @@
     }
 }
 
-/// What this balancer and its peers have counted.
+/// Counts of this balancer and of its peers.
 #[derive(Debug, Clone)]
 pub struct Peers {
     peers: Map<u16, Peer>,
-    /// Counted here since the last tick.
-    here: Tally,
-    /// Reported by peers since the last tick.
-    there: Tally,
-    /// Opened less closed here.
+    /// Counts of this balancer since the last tick.
+    local: Tally,
+    /// Counts that peers have reported since the last tick.
+    remote: Tally,
+    /// Open flows by the counts of this balancer.
     own: OpenFlows,
-    /// The same of peers that are gone: the flows they opened may well live on.
-    left: OpenFlows,
+    /// Open flows by the last counts of peers that are gone; many of these flows are still open.
+    departed: OpenFlows,
     sequence: u32,
 }
 
 impl Peers {
-    /// Nothing counted, nobody heard.
+    /// Creates zero counts without peers.
     #[must_use]
     pub fn new(servers: usize, classes: usize) -> Self {
         Peers {
             peers: Map::default(),
-            here: Tally::new(servers, classes),
-            there: Tally::new(servers, classes),
+            local: Tally::new(servers, classes),
+            remote: Tally::new(servers, classes),
             own: OpenFlows::new(servers, classes),
-            left: OpenFlows::new(servers, classes),
+            departed: OpenFlows::new(servers, classes),
             sequence: 0,
         }
     }
 
-    /// The open flows of this balancer under a changed configuration: `servers` and `classes` give
-    /// the old index of each new one. Peers count again when they report under it.
+    /// Returns the counts of open flows for a changed configuration. `servers` and `classes` contain
+    /// the old index of each new server and class. Counts of peers are dropped until they report
+    /// with the new configuration.
     #[must_use]
     pub fn remap(&self, servers: &[Option<usize>], classes: &[Option<usize>]) -> Self {
         let pick = |from: &[f64], index: &Option<usize>| {
@@ -99,15 +100,15 @@
         };
         Peers {
             own: open(&self.own),
-            left: open(&self.left),
+            departed: open(&self.departed),
             sequence: self.sequence,
             ..Peers::new(servers.len(), classes.len())
         }
     }
 
-    /// Adds counts of a thread of this balancer.
+    /// Adds the counts of a thread of this balancer.
     pub fn absorb(&mut self, tally: &Tally) {
-        self.here.add(tally);
+        self.local.add(tally);
         for (open, count) in self.own.servers.iter_mut().zip(&tally.servers) {
             *open += f64::from(count.opened) - f64::from(count.closed);
         }
@@ -116,36 +117,38 @@
         }
     }
 
-    /// Takes back flows counted as open of which `parts`, by server, were never completed: a server
-    /// that sheds would look full for long after it has stopped.
+    /// Subtracts the flows that servers have shed from the open flows; `parts` contains the shed
+    /// fraction of each server's new flows. Otherwise a server would look full long after it has
+    /// stopped shedding.
     pub fn subtract_shed(&mut self, parts: &[f64]) {
-        let mut lost = 0.0;
-        let counts = self.here.servers.iter().zip(parts);
+        let mut shed = 0.0;
+        let counts = self.local.servers.iter().zip(parts);
         for (open, (count, part)) in self.own.servers.iter_mut().zip(counts) {
             let own = f64::from(count.opened) * part;
             *open -= own;
-            lost += own;
+            shed += own;
         }
-        let demands = &self.here.classes;
+        let demands = &self.local.classes;
         let admitted: f64 = demands
             .iter()
             .map(|demand| f64::from(demand.admitted))
             .sum();
         for (open, demand) in self.own.classes.iter_mut().zip(demands) {
-            *open -= lost * f64::from(demand.admitted) / admitted.max(1.0);
+            *open -= shed * f64::from(demand.admitted) / admitted.max(1.0);
         }
     }
 
-    /// Adds a peer's report; false if it is a repeated or older one.
+    /// Adds a peer's report. Returns `false`, without any change, if the report is a duplicate or
+    /// older than the last one.
     pub fn merge(&mut self, peer: u16, report: &Report, now: Duration) -> bool {
         let newer = |known: &Peer| report.sequence.wrapping_sub(known.sequence) as i32 > 0;
         if !self.peers.get(&peer).is_none_or(newer) {
             return false;
         }
-        self.there.add(&report.tally());
+        self.remote.add(&report.tally());
         let entry = Peer {
             sequence: report.sequence,
-            heard: now,
+            last_report: now,
             servers: report.servers.iter().map(|line| line.open).collect(),
             classes: report.classes.iter().map(|part| part.open).collect(),
         };
@@ -153,24 +156,24 @@
         true
     }
 
-    /// Drops a peer that has left, died or been started anew, but keeps its count of open flows.
+    /// Removes a peer that has left, died or restarted, but keeps its count of open flows.
     pub fn forget(&mut self, peer: u16) {
         if let Some(gone) = self.peers.remove(&peer) {
-            self.left.add(&gone.servers, &gone.classes);
+            self.departed.add(&gone.servers, &gone.classes);
         }
     }
 
-    /// Balancers whose counts are fresh, this one included.
+    /// Returns the number of balancers with a recent report, including this one.
     #[must_use]
     pub fn fresh(&self, now: Duration, limits: &Limits) -> usize {
-        let fresh = |peer: &&Peer| now.saturating_sub(peer.heard) <= limits.report_timeout;
+        let fresh = |peer: &&Peer| now.saturating_sub(peer.last_report) <= limits.report_timeout;
         1 + self.peers.values().filter(fresh).count()
     }
 
-    /// Open flows by everybody's latest count, none below zero.
+    /// Returns the open flows by the latest counts of all balancers, each number at least zero.
     #[must_use]
     pub fn open(&self) -> OpenFlows {
-        let mut sum = self.left.clone();
+        let mut sum = self.departed.clone();
         for peer in self.peers.values() {
             sum.add(&peer.servers, &peer.classes);
         }
@@ -184,11 +187,11 @@
         sum
     }
 
-    /// Ends a tick of length `passed`: gives the report for the peers and all that was counted by
-    /// anybody since the last tick.
+    /// Ends a tick of length `passed`. Returns the report for the peers and the counts of all
+    /// balancers since the last tick.
     ///
-    /// Open counts forget with a time constant, since a flow whose end nobody sees (a phone that
-    /// lost its cell) would count for ever.
+    /// Counts of open flows decay with a time constant, since a flow whose end no balancer sees
+    /// (such as that of a phone that lost its network) would otherwise count forever.
     pub fn end_tick(
         &mut self,
         revision: u64,
@@ -197,10 +200,10 @@
     ) -> (Report, Tally) {
         let keep = (-passed.as_secs_f64() / limits.open_flow_memory.as_secs_f64()).exp();
         self.own.scale(keep);
-        self.left.scale(keep);
+        self.departed.scale(keep);
         self.sequence = self.sequence.wrapping_add(1);
-        let lines = self.here.servers.iter().zip(&self.own.servers);
-        let parts = self.here.classes.iter().zip(&self.own.classes);
+        let lines = self.local.servers.iter().zip(&self.own.servers);
+        let parts = self.local.classes.iter().zip(&self.own.classes);
         let report = Report {
             revision,
             sequence: self.sequence,
@@ -215,10 +218,10 @@
                 })
                 .collect(),
         };
-        let (servers, classes) = (self.here.servers.len(), self.here.classes.len());
-        let mut sum = std::mem::replace(&mut self.there, Tally::new(servers, classes));
-        sum.add(&self.here);
-        self.here = Tally::new(servers, classes);
+        let (servers, classes) = (self.local.servers.len(), self.local.classes.len());
+        let mut sum = std::mem::replace(&mut self.remote, Tally::new(servers, classes));
+        sum.add(&self.local);
+        self.local = Tally::new(servers, classes);
         (report, sum)
     }
 }
