--- a/crates/load/src/overload.rs
+++ b/crates/load/src/overload.rs
@@ -1,29 +1,31 @@
 use std::time::Duration;
 
-/// Part of their latency objective within which an answer must be expected for a caller to be let in,
-/// while most answers are in time.
-const LOOSE: f64 = 0.65;
-/// The same for callers of the least urgent routes after a while in which answers took long. What can
-/// be refused is only a part of the demand, as requests on open flows can't be.
-const STRICT: f64 = 0.3;
-/// Part of the latency objective that the mean answer may take before the limit falls. Answer times
-/// scatter, and beyond it many are late.
+/// Highest limit, as a fraction of the latency objective; it applies while most answers are in time.
+/// A flow is admitted if its answer is expected within the limit.
+const MAX_PART: f64 = 0.65;
+/// Lowest limit, for callers of the least urgent routes after answers have been slow for a while.
+/// It is this low because only a part of the demand can be refused: requests on open flows can't be.
+const MIN_PART: f64 = 0.3;
+/// Mean answer time, as a fraction of the latency objective, above which the limit falls. Answer
+/// times scatter, so many answers are late when the mean is above this.
 const TARGET: f64 = 0.5;
-/// Time in which the limit falls from the loosest to the strictest. Some times what an answer takes
-/// under load, so that it is seen what a lower limit brings.
+/// Time in which the limit falls from the highest to the lowest value. It is several times the time
+/// of an answer under load, so that the effect of a lower limit is visible before it falls further.
 const FALL: Duration = Duration::from_millis(500);
-/// Time in which it rises again. Slower than it falls: what is let in too early is late for everybody.
+/// Time in which the limit rises again. It rises more slowly than it falls, since a flow that is
+/// admitted too early delays all answers.
 const RISE: Duration = Duration::from_secs(2);
-/// The part for more urgent routes: it doesn't fall, so that the others make room for them.
-const URGENT: f64 = LOOSE;
-/// A server is free in any case as long as its answers take no more than this many times what they
-/// take when nothing waits. Where the objective is tight, nothing would be let in otherwise.
-const QUEUED: f64 = 1.3;
+/// Limit for more urgent routes. It doesn't fall, so that the other routes make room for them.
+const URGENT_PART: f64 = MAX_PART;
+/// A server takes new flows in any case while its answers take at most this many times their time
+/// without queueing. Otherwise a tight objective would admit nothing.
+const MIN_QUEUEING: f64 = 1.3;
 
-/// How much is expected of a server before it is given a new flow; follows the demand.
+/// Limit on the expected answer time for new flows, which adapts to the demand.
 ///
-/// The limit falls while answers take long, and rises again. A fixed one either refuses callers that could
-/// be served, where all of them open flows, or lets too many in, where most requests come on open flows.
+/// The limit falls while answers are slow, and rises again afterwards. A fixed limit would refuse
+/// callers that could be served if every request opens a flow, or would admit too many if most
+/// requests come on open flows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
     part: f64,
@@ -33,15 +35,15 @@
 impl Default for Limit {
     fn default() -> Self {
         Limit {
-            part: LOOSE,
+            part: MAX_PART,
             at: Duration::ZERO,
         }
     }
 }
 
 impl Limit {
-    /// Takes in that an answer of the service takes `mean` seconds at present, where callers want it
-    /// within `latency`.
+    /// Adapts the limit to the service's present mean answer time, `mean` seconds, and the objective
+    /// `latency`.
     pub fn follow(&mut self, mean: f64, latency: Duration, now: Duration) {
         let passed = now.saturating_sub(self.at).min(FALL).as_secs_f64();
         self.at = self.at.max(now);
@@ -50,10 +52,11 @@
         } else {
             passed / RISE.as_secs_f64()
         };
-        self.part = (self.part + step * (LOOSE - STRICT)).clamp(STRICT, LOOSE);
+        self.part = (self.part + step * (MAX_PART - MIN_PART)).clamp(MIN_PART, MAX_PART);
     }
 
-    /// The part of their latency objective that callers of the least urgent routes get.
+    /// Returns the limit for callers of the least urgent routes, as a fraction of their latency
+    /// objective.
     ///
     /// ```
     /// use std::time::Duration;
@@ -69,19 +72,19 @@
     }
 }
 
-/// What the callers of a route expect.
+/// What the operators promise to the callers of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatencyObjective {
-    /// Within which time an answer is worth all to them.
+    /// Time within which an answer has its full value to them.
     pub latency: Duration,
-    /// How urgent they are, 0 being the most; none if the operators don't say.
+    /// Priority, 0 being the most urgent; `None` if the operators set none.
     pub priority: Option<u32>,
 }
 
-/// What a flow is let in by.
+/// Conditions under which a flow is admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Terms {
-    /// What its callers expect.
+    /// Objective of the flow's route.
     pub objective: LatencyObjective,
     /// Whether less urgent flows use the same servers.
     pub urgent: bool,
@@ -89,21 +92,21 @@
     pub part: f64,
 }
 
-/// What a server would do with a request at present.
+/// Expected answer time of a server at present.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Prospect {
-    /// How long its answer would take, in seconds.
+    /// Time that an answer would take, in seconds.
     pub expected: f64,
-    /// How long when nothing waits, in seconds; nothing before it is measured.
+    /// Time of an answer without queueing, in seconds; `None` before it is measured.
     pub idle: Option<f64>,
 }
 
 impl Terms {
-    /// Whether the server is to take a new flow with such a request.
+    /// Returns whether the server takes a new flow.
     ///
-    /// Only openings can be refused without harm, as nothing of them has run. They are refused while the
-    /// rest is still in time: behind a full queue, all answers are late. The limit is the time within
-    /// which callers gain from the answer, see [`Terms::limit`].
+    /// Only openings can be refused without harm, since no work has run for them. They are refused
+    /// while the other answers are still in time; behind a full queue, all answers would be late.
+    /// See [`Terms::limit`] for the limit.
     ///
     /// ```
     /// use std::time::Duration;
@@ -120,43 +123,45 @@
         server.expected <= self.limit(server)
     }
 
-    /// The longest answer, in seconds, with which the server is still free for such a request. As
-    /// long as it is not known what an answer takes when nothing waits, the whole objective.
+    /// Returns the longest expected answer time, in seconds, at which the server still takes the
+    /// flow. It is the whole objective while the answer time without queueing isn't known.
     #[must_use]
     pub fn limit(&self, server: &Prospect) -> f64 {
         let latency = self.objective.latency.as_secs_f64();
-        let part = if self.urgent { URGENT } else { self.part };
+        let part = if self.urgent { URGENT_PART } else { self.part };
         match server.idle {
             Some(_) if !self.is_met_by(server) => part * latency,
-            Some(idle) => (part * latency).max(QUEUED * idle),
+            Some(idle) => (part * latency).max(MIN_QUEUEING * idle),
             None => latency,
         }
     }
 
-    /// Whether the server could answer in time when nothing waits there.
+    /// Returns whether the server could answer in time without queueing.
     fn is_met_by(&self, server: &Prospect) -> bool {
         let latency = self.objective.latency.as_secs_f64();
         server.idle.is_none_or(|idle| idle <= latency)
     }
 }
 
-/// A flow that is to be refused: which server would answer it first, and how late.
+/// Why a flow is refused: the server that came closest to its limit, and both times.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refusal<S> {
-    /// The server.
+    /// The server closest to its limit.
     pub server: S,
-    /// How long its answer would take, in seconds.
+    /// Time that its answer would take, in seconds.
     pub expected: f64,
-    /// How long it may take for the flow to be let in, in seconds.
+    /// Longest time at which the flow would be admitted, in seconds.
     pub limit: f64,
 }
 
-/// The server for a new flow: the one that it was `placed` at if that one is free, or else the one of
-/// `others` that is furthest below its limit. Where that is none, the flow is refused, but not where
-/// no server could be in time at all: then the objective says nothing of load.
+/// Returns the server for a new flow: the one where it was `placed` if that is below its limit, else
+/// the one of `others` that is furthest below its limit.
+///
+/// If none of `others` could meet the objective even without queueing, the flow stays where it was
+/// placed: the objective then says nothing about load.
 ///
 /// # Errors
-/// By what the flow is to be refused.
+/// Returns a [`Refusal`] if all servers are above their limits.
 ///
 /// ```
 /// use std::time::Duration;
@@ -179,24 +184,24 @@
     if terms.admits(&prospect(placed)) {
         return Ok(placed);
     }
-    let (mut first, mut excess, mut met) = (placed, f64::INFINITY, false);
+    let (mut best, mut excess, mut can_meet) = (placed, f64::INFINITY, false);
     for server in others {
         let prospect = prospect(server);
-        met |= terms.is_met_by(&prospect);
+        can_meet |= terms.is_met_by(&prospect);
         let over = prospect.expected - terms.limit(&prospect);
         if over < excess {
-            (first, excess) = (server, over);
+            (best, excess) = (server, over);
         }
     }
-    let prospect = prospect(first);
-    if !met {
+    let prospect = prospect(best);
+    if !can_meet {
         return Ok(placed);
     }
     if excess <= 0.0 {
-        return Ok(first);
+        return Ok(best);
     }
     Err(Refusal {
-        server: first,
+        server: best,
         expected: prospect.expected,
         limit: terms.limit(&prospect),
     })
