--- a/crates/load/src/controller.rs
+++ b/crates/load/src/controller.rs
@@ -13,7 +13,7 @@
     weight::{self, ProposalLimiter, ServerInput},
 };
 
-/// The control thread's part of the decisions on one pool.
+/// State of the control thread for one pool.
 #[derive(Debug, Clone)]
 pub struct Controller {
     pool: Pool,
@@ -30,8 +30,8 @@
 }
 
 impl Controller {
-    /// A controller without any figure, for a balancer with `threads` traffic threads. Weights are
-    /// equal until [`Controller::set_weights`] says otherwise.
+    /// Creates a controller without measurements for a balancer with `threads` traffic threads. All
+    /// weights are equal until [`Controller::set_weights`] is called.
     ///
     /// ```
     /// use std::time::Duration;
@@ -62,10 +62,10 @@
         }
     }
 
-    /// The controller for a changed configuration. `servers` and `classes` give the old index of
-    /// each new one, and nothing for those that are new: a new server starts cold. What peers
-    /// report counts again once they have changed as well; until then this balancer goes by its
-    /// own eighth.
+    /// Returns the controller for a changed configuration. `servers` and `classes` contain the old
+    /// index of each server and class, or `None` for new ones; a new server starts cold. Reports of
+    /// peers count again when the peers have the new configuration too; until then this balancer
+    /// uses its own counts only, about an eighth of all with 8 balancers.
     #[must_use]
     pub fn reconfigure(
         self,
@@ -86,37 +86,39 @@
         }
     }
 
-    /// Traffic threads of this balancer, among which each plan is divided.
+    /// Returns the number of traffic threads of this balancer. The rates of a plan are those of one
+    /// thread.
     #[must_use]
     pub fn threads(&self) -> u32 {
         self.threads
     }
 
-    /// Adds what a gate has counted.
+    /// Adds the counts of a gate.
     pub fn absorb(&mut self, tally: &Tally) {
         self.peers.absorb(tally);
     }
 
-    /// Adds a peer's report. One that was made under another configuration or merged before is
-    /// ignored, which it says by false.
+    /// Adds a peer's report. Returns `false` and ignores the report if it is for another revision of
+    /// the configuration, a duplicate, or older than the last one.
     pub fn merge(&mut self, peer: u16, report: &Report, now: Duration) -> bool {
         report.revision == self.pool.revision && self.peers.merge(peer, report, now)
     }
 
-    /// A peer has left, died or been started anew.
+    /// Removes a peer that has left, died or restarted.
     pub fn forget(&mut self, peer: u16) {
         self.peers.forget(peer);
     }
 
-    /// What a server's health endpoint says. It lags or misleads, so it only ever lowers trust.
-    pub fn set_health(&mut self, server: Server, fine: bool) {
+    /// Sets what a server's health endpoint reports. The endpoint may lag or be wrong, so it only
+    /// lowers the trust in a server and never raises it.
+    pub fn set_health(&mut self, server: Server, healthy: bool) {
         if let Some(estimate) = self.estimates.servers.get_mut(server.index()) {
-            estimate.distrusted = !fine;
+            estimate.distrusted = !healthy;
         }
     }
 
-    /// Whether a server is leaving (draining) or not yet in use: it gets no new flows. One that
-    /// comes back starts cold.
+    /// Sets whether a server is draining or not yet in use, so that it gets no new flows. A server
+    /// that comes back starts cold.
     pub fn set_leaving(&mut self, server: Server, leaving: bool) {
         if let Some(estimate) = self.estimates.servers.get_mut(server.index()) {
             if estimate.leaving && !leaving {
@@ -126,8 +128,8 @@
         }
     }
 
-    /// The weights of the table of new flows that is in force now, in any unit; 0 for a server
-    /// that is not in it.
+    /// Sets the weights of the present table of new flows, in any unit; 0 for a server that the
+    /// table doesn't contain.
     pub fn set_weights(&mut self, weights: &[f64]) {
         let sum: f64 = weights.iter().sum();
         if weights.len() == self.in_force.len() && sum > 0.0 {
@@ -136,22 +138,23 @@
         }
     }
 
-    /// Work in progress a slot over the servers in use, from the last seconds.
+    /// Returns the work in progress per slot of the servers in use, over the last seconds.
     #[must_use]
     pub fn progress(&self) -> Option<f64> {
         self.estimates
-            .progress(&self.pool, |server| !self.out(server))
+            .progress(&self.pool, |server| !self.gets_no_flows(server))
     }
 
-    /// Measured capacity of a server in new flows a second, less what it sheds.
+    /// Returns the measured capacity of a server in new flows per second, without the part that it
+    /// sheds.
     #[must_use]
     pub fn capacity(&self, server: Server) -> Option<f64> {
         self.estimates.capacity(server.index())
     }
 
-    /// Ends a second (or so): takes what was absorbed and merged since the last call, and gives
-    /// the report for the peers and the next plan for each of the gates. `members` are the
-    /// balancers among which the fabric spreads new flows now, this one included.
+    /// Ends a tick, which is about a second long. Uses the counts absorbed and merged since the last
+    /// call, and returns the report for the peers and the next plan for each gate. `members` is the
+    /// number of balancers among which the fabric spreads new flows now, including this one.
     pub fn tick(&mut self, members: usize, now: Duration) -> (Report, Plan) {
         let passed = self
             .last
@@ -164,25 +167,26 @@
         let (report, seen) = self
             .peers
             .end_tick(self.pool.revision, passed, &self.limits);
-        // Counts of silent peers are missing: what the others saw stands for them, as the fabric
-        // spreads packets evenly.
+        // Scales the counts up for peers without a recent report: the fabric spreads packets evenly,
+        // so the missing counts are like those of the others.
         let scale = members as f64 / fresh as f64;
         self.estimates
             .learn(&seen, scale, passed, now, &self.pool, &self.limits);
         self.governor
             .learn(&seen.classes, scale, passed, &self.limits);
-        self.judge(now);
+        self.update_estimates(now);
         let part = 1.0 / (members as f64 * f64::from(self.threads));
         (report, self.plan(part, now))
     }
 
-    /// Better weights for the table of new flows, by index of server with a mean of 1, if they are
-    /// worth a change. Only the balancer that may write the table asks.
+    /// Returns new weights for the table of new flows, by index of server and with a mean of 1, if
+    /// they differ enough to be worth a change. Only the balancer that may write the table calls
+    /// this.
     pub fn weights(&mut self, now: Duration) -> Option<Vec<f64>> {
         let lacks_samples = self.estimates.lacks_samples(now, &self.limits);
         let input = |(server, own): (usize, &Estimate)| ServerInput {
             capacity: self.estimates.capacity(server).filter(|_| !lacks_samples),
-            ejected: self.out(server),
+            ejected: self.gets_no_flows(server),
             trusted: !own.distrusted,
         };
         let inputs: Vec<ServerInput> = self
@@ -197,11 +201,11 @@
         due.then_some(new)
     }
 
-    fn out(&self, server: usize) -> bool {
+    fn gets_no_flows(&self, server: usize) -> bool {
         self.estimates.servers[server].leaving || self.ejections.ejected(server)
     }
 
-    fn judge(&mut self, now: Duration) {
+    fn update_estimates(&mut self, now: Duration) {
         let silent = self.estimates.silent(&self.limits);
         for server in self.ejections.step(&silent, now, &self.limits) {
             self.estimates.restart(server);
@@ -219,9 +223,9 @@
         self.plan += 1;
         let standing = |(server, own): (usize, &Estimate)| Standing {
             spill: own.spill,
-            ejected: self.out(server),
+            ejected: self.gets_no_flows(server),
         };
-        let usable = (0..self.pool.hosts.len()).filter(|server| !self.out(*server));
+        let usable = (0..self.pool.hosts.len()).filter(|server| !self.gets_no_flows(*server));
         let capacity = |server| self.estimates.capacity(server);
         let known: Vec<f64> = usable.clone().filter_map(capacity).collect();
         let (pool, limits) = (&self.pool, &self.limits);
