--- a/crates/load/src/eject.rs
+++ b/crates/load/src/eject.rs
@@ -2,15 +2,17 @@
 
 use crate::{limits::Limits, signal::Window};
 
-/// The part of what a server should have given, by what is `usual` at the others, that it hasn't:
-/// `seen` of `base` were given. 0 unless it is certain enough.
+/// Returns the fraction of the expected responses that a server hasn't given, or 0 if that may be
+/// chance. `seen` of `base` openings or requests had a response, and `usual` is the fraction at all
+/// servers together.
 ///
-/// Load, for openings that are not completed: a server sheds, as its connections are used up or it
-/// protects itself. Harm: each opening sent there is reset by the server. With direct server return
-/// the reset passes no balancer, so one notices only that no further packet follows the opening.
+/// For openings, the missing part is what the server sheds, as its connections are used up or it
+/// protects itself. The server resets those openings, and with direct server return the reset
+/// passes no balancer: a balancer only sees that no packet follows the opening.
 ///
-/// Load, for questions that are not answered: a server has become slow, and its queue grows. Harm:
-/// every flow placed there waits. It shows here before the times of answers do, as those come late.
+/// For requests, a missing part means that the server has become slow and its queue grows, so that
+/// every flow placed there waits. This shows earlier than in the answer times, since slow answers
+/// come late.
 #[must_use]
 pub fn missing(base: f64, seen: f64, usual: f64, limits: &Limits) -> f64 {
     let expected = (base * usual).max(1.0);
@@ -19,24 +21,24 @@
     if part >= least { part } else { 0.0 }
 }
 
-/// A server's record of having been left alone.
+/// Ejection history of a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Record {
-    /// Until when it is left alone; nothing if it is in use.
+    /// End of the present ejection; `None` if the server is in use.
     pub until: Option<Duration>,
-    /// How often in a row.
+    /// Number of ejections in a row.
     times: u32,
-    /// When it last came back.
-    back: Duration,
+    /// End of the last ejection.
+    returned: Duration,
 }
 
-/// Whether a server answers far less than the others do. See [`Limits::silence`].
+/// Returns whether a server answers far less than the others do, see [`Limits::silence`].
 ///
-/// Load: a server hangs while its kernel still accepts connections and its health endpoint says
-/// fine. Harm: every flow placed there waits in silence. One notices that data goes there and no
-/// acknowledgement moves; as each balancer sees but a part of the packets, the number is set
-/// against what the others give, not against 1. `trusted` is false while its health endpoint says
-/// that it fails: then half of the evidence is enough.
+/// A server may hang while its kernel still accepts connections and its health endpoint reports no
+/// failure; every flow placed there then waits without an answer. It shows by data that goes to the
+/// server without an acknowledgement that advances. Each balancer sees only a part of the packets,
+/// so the fraction is compared with that of the others and not with 1. `trusted` is false while the
+/// health endpoint reports a failure; half of the evidence is then enough.
 #[must_use]
 pub fn silent(window: &Window, others: &Window, trusted: bool, limits: &Limits) -> bool {
     let evidence = if trusted {
@@ -57,17 +59,17 @@
         )
 }
 
-/// Which servers are left alone.
+/// Tracks which servers are ejected.
 ///
-/// Ejection is capped: if more than a set part of the pool looks silent, then the signal is more
-/// likely wrong than the servers, and the rest keep their places in the table.
+/// The number of ejected servers is capped: if more than a set fraction of the pool looks silent,
+/// the signal is more likely to be wrong than the servers, so the other servers stay in the table.
 #[derive(Debug, Clone, Default)]
 pub struct Ejections {
     records: Vec<Record>,
 }
 
 impl Ejections {
-    /// Nobody is left alone.
+    /// Creates a state without ejections.
     #[must_use]
     pub fn new(servers: usize) -> Self {
         Ejections {
@@ -75,8 +77,8 @@
         }
     }
 
-    /// The records of the servers that a changed configuration keeps: `from` gives the old index of
-    /// each new one.
+    /// Returns the state for a changed configuration; `from` contains the old index of each server,
+    /// or `None` for a new one.
     #[must_use]
     pub fn remap(&self, from: &[Option<usize>]) -> Self {
         let old = |index: &Option<usize>| index.and_then(|index| self.records.get(index).copied());
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Whether that server is left alone now.
+    /// Returns whether the server is ejected now.
     #[must_use]
     pub fn ejected(&self, server: usize) -> bool {
         self.records
@@ -96,35 +98,35 @@
             .is_some_and(|record| record.until.is_some())
     }
 
-    /// Takes back those whose rest is over and leaves the `silent` ones alone as far as the cap
-    /// goes. Gives those that came back.
+    /// Ends the ejections that are over, and ejects the `silent` servers up to the cap. Returns the
+    /// servers whose ejection has ended.
     pub fn step(&mut self, silent: &[bool], now: Duration, limits: &Limits) -> Vec<usize> {
-        let mut back = Vec::new();
+        let mut returned = Vec::new();
         for (server, record) in self.records.iter_mut().enumerate() {
             if record.until.is_some_and(|until| until <= now) {
                 record.until = None;
-                record.back = now;
-                back.push(server);
+                record.returned = now;
+                returned.push(server);
             }
         }
         let most = (limits.eject * self.records.len() as f64).floor() as usize;
-        let mut out = self
+        let mut ejected = self
             .records
             .iter()
             .filter(|record| record.until.is_some())
             .count();
         for (record, silent) in self.records.iter_mut().zip(silent) {
-            if !silent || record.until.is_some() || out >= most {
+            if !silent || record.until.is_some() || ejected >= most {
                 continue;
             }
-            out += 1;
-            // A relapse soon after coming back doubles the rest, so that a dead server costs a
-            // shrinking number of callers; one that did well for a while starts anew.
-            let relapse = record.times > 0 && now < record.back + 4 * limits.ejection_time;
+            ejected += 1;
+            // A relapse soon after the return doubles the time, so that a dead server affects ever
+            // fewer callers. A server that was fine for longer begins with the first time again.
+            let relapse = record.times > 0 && now < record.returned + 4 * limits.ejection_time;
             record.times = if relapse { record.times + 1 } else { 1 };
-            let rest = limits.ejection_time * (1 << (record.times - 1).min(16));
-            record.until = Some(now + rest.min(limits.ejection_time_max));
+            let time = limits.ejection_time * (1 << (record.times - 1).min(16));
+            record.until = Some(now + time.min(limits.ejection_time_max));
         }
-        back
+        returned
     }
 }
