--- a/crates/load/src/gate.rs
+++ b/crates/load/src/gate.rs
@@ -12,18 +12,18 @@
     tally::Tally,
 };
 
-/// One traffic thread's part of the decisions on new flows of a pool.
+/// State of a traffic thread for admission and placement of new flows of one pool.
 #[derive(Debug, Clone)]
 pub struct Gate {
     limits: Limits,
     shares: Shares,
-    plan: u64,
+    plan_number: u64,
     connections: Vec<Option<u32>>,
     tally: Tally,
 }
 
 impl Gate {
-    /// A gate that has decided nothing yet.
+    /// Creates a gate with full buckets and zero counts.
     ///
     /// ```
     /// use std::time::Duration;
@@ -43,15 +43,15 @@
     pub fn new(pool: &Pool, limits: Limits) -> Self {
         Gate {
             shares: Shares::new(pool, &limits),
-            plan: 0,
+            plan_number: 0,
             connections: vec![None; pool.classes.len()],
             tally: Tally::new(pool.hosts.len(), pool.classes.len()),
             limits,
         }
     }
 
-    /// Lets a new flow of `class` in, or refuses it for good. An unknown class is treated as
-    /// trial without a share.
+    /// Admits or finally refuses a new flow of `class`. An unknown class is treated as trial without
+    /// a share.
     pub fn admit(
         &mut self,
         class: usize,
@@ -59,7 +59,7 @@
         now: Duration,
         rng: &mut impl Rng,
     ) -> Result<(), Refusal> {
-        let verdict = self.within(class, plan, now);
+        let verdict = self.check(class, plan, now);
         if let Some(demand) = self.tally.classes.get_mut(class) {
             match verdict {
                 Ok(()) => demand.admitted += 1,
@@ -70,9 +70,9 @@
         verdict.map_err(|reason| Refusal::new(reason, pressure, &self.limits, rng))
     }
 
-    /// Places an admitted flow: `ranked` are its first and second choice of server. Gives the
-    /// position of the one that takes it and counts the flow as opened there. It fails only if
-    /// `ranked` is empty.
+    /// Places an admitted flow on one of `ranked`, its servers in order of preference. Returns the
+    /// position of the chosen server and counts the flow as opened there. Fails only if `ranked` is
+    /// empty.
     pub fn place(
         &mut self,
         ranked: &[Server],
@@ -86,7 +86,7 @@
         Ok(position)
     }
 
-    /// For what this thread sees of flows.
+    /// Returns the counts, to which the thread adds the events of flows.
     pub fn tally(&mut self) -> &mut Tally {
         &mut self.tally
     }
@@ -97,12 +97,12 @@
         std::mem::replace(&mut self.tally, empty)
     }
 
-    fn within(&mut self, class: usize, plan: &Plan, now: Duration) -> Result<(), Reason> {
+    fn check(&mut self, class: usize, plan: &Plan, now: Duration) -> Result<(), Reason> {
         if class >= self.connections.len() {
             return Err(Reason::Share);
         }
-        if plan.number != self.plan {
-            self.plan = plan.number;
+        if plan.number != self.plan_number {
+            self.plan_number = plan.number;
             self.connections.clone_from(&plan.connections);
         }
         if self.connections[class] == Some(0) {
