--- a/crates/load/src/refuse.rs
+++ b/crates/load/src/refuse.rs
@@ -6,22 +6,22 @@
 
 use crate::limits::Limits;
 
-/// Why a new flow is not let in. Nothing has been sent to a server, so the work did not run.
+/// Why a new flow is refused. Nothing was sent to a server, so no work has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Error)]
 pub enum Reason {
-    /// The class is beyond its share and nothing is left to borrow.
-    #[error("beyond the share, and nothing left to borrow")]
+    /// The class is above its share, and there is no idle share to borrow.
+    #[error("class is above its share and there is no idle share to borrow")]
     Share,
-    /// The class's part of the connections is in use.
-    #[error("no connection left in the share")]
+    /// The class's share of the connections is in use.
+    #[error("the class's share of connections is in use")]
     Connections,
     /// The pool has no backend server.
-    #[error("no backend server")]
+    #[error("pool has no backend server")]
     Empty,
 }
 
 impl Reason {
-    /// Its number in the table of result codes.
+    /// Returns the result code of the reason.
     ///
     /// ```
     /// assert_eq!(acacia_load::refuse::Reason::Share.code().number(), 260);
@@ -36,24 +36,24 @@
     }
 }
 
-/// The final answer to a caller whose work will not run.
+/// Final refusal of a caller's new flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the flow is refused.
     pub reason: Reason,
-    /// How long the caller should wait before it comes back.
+    /// Time after which the caller may retry.
     pub after: Duration,
 }
 
 impl Refusal {
-    /// Gives the reason a time to come back.
+    /// Creates a refusal with a random time to retry.
     ///
-    /// Load: a burst of some thousands of callers refused within a second. Harm: told the same
-    /// time, they return as the same burst. So the time is drawn evenly from half to one and a
-    /// half times the mean, which spreads a burst over the mean. `pressure` is demand over what is
-    /// let in: ten times too many callers need ten times as long to be served, hence the mean is
-    /// `back` times it, at most `back_most` so that a wrong figure doesn't send callers away for
-    /// good.
+    /// Thousands of callers may be refused within a second, and with equal retry times they would
+    /// return as the same burst. So the time is uniform between 0.5 and 1.5 times a mean, which
+    /// spreads the burst over a time as long as the mean. `pressure` is the ratio of demand to
+    /// admitted flows. Ten times too many callers take ten times as long to serve, so the mean is
+    /// [`Limits::retry_after`] times `pressure`. It is at most [`Limits::retry_after_max`], so that a
+    /// wrong ratio doesn't keep callers away for good.
     pub fn new(reason: Reason, pressure: f64, limits: &Limits, rng: &mut impl Rng) -> Self {
         let mean = limits.retry_after.as_secs_f64() * pressure.max(1.0);
         let mean = mean.min(limits.retry_after_max.as_secs_f64());
