--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -4,17 +4,17 @@
 
 use crate::tally::{Count, Tally};
 
-/// Unit of times in a report. Coarse, since the sums of many samples round away.
-const TICK: Duration = Duration::from_micros(100);
+/// Unit of the times in a report. It can be this coarse because times are sums of many samples.
+const TIME_UNIT: Duration = Duration::from_micros(100);
 
-/// One server in a report: about 10 bytes with variable-length integers.
+/// Counts of one server in a report; encoded in about 10 bytes, with variable-length integers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerReport {
-    /// See [`Count`]; all but `open` are since the last report.
+    /// See [`Count`]; all fields but `open` count since the last report.
     pub opened: u32,
     /// See [`Count`].
     pub completed: u32,
-    /// In units of 100 µs, summed.
+    /// Sum, in units of 100 µs; see [`Count`].
     pub opening: u32,
     /// See [`Count`].
     pub asked: u32,
@@ -22,76 +22,76 @@
     pub answered: u32,
     /// See [`Count`].
     pub timed: u32,
-    /// In units of 100 µs, summed.
+    /// Sum, in units of 100 µs; see [`Count`].
     pub answering: u32,
-    /// Flows opened less flows closed here since the start; below zero at a balancer that is
-    /// younger than the flows. Absolute, so that a lost report does no lasting harm.
+    /// Opened minus closed flows at this balancer since its start; negative if flows close here that
+    /// opened elsewhere. A total and not a difference, so that a lost report has no lasting effect.
     pub open: i32,
 }
 
 impl ServerReport {
-    /// Rounds a count into a line.
+    /// Converts the counts of a server, with times rounded down to 100 µs.
     #[must_use]
     pub fn new(count: &Count, open: i32) -> Self {
-        let ticks = |time: Duration| {
-            let ticks = time.as_nanos() / TICK.as_nanos();
-            u32::try_from(ticks).unwrap_or(u32::MAX)
+        let units = |time: Duration| {
+            let units = time.as_nanos() / TIME_UNIT.as_nanos();
+            u32::try_from(units).unwrap_or(u32::MAX)
         };
         ServerReport {
             opened: count.opened,
             completed: count.completed,
-            opening: ticks(count.opening),
+            opening: units(count.opening),
             asked: count.asked,
             answered: count.answered,
             timed: count.timed,
-            answering: ticks(count.answering),
+            answering: units(count.answering),
             open,
         }
     }
 
-    /// The counts in the line.
+    /// Returns the counts, without the fields that reports don't contain.
     #[must_use]
     pub fn count(&self) -> Count {
         Count {
             opened: self.opened,
             completed: self.completed,
-            opening: TICK * self.opening,
+            opening: TIME_UNIT * self.opening,
             asked: self.asked,
             answered: self.answered,
             timed: self.timed,
-            answering: TICK * self.answering,
+            answering: TIME_UNIT * self.answering,
             closed: 0,
             ..Count::default()
         }
     }
 }
 
-/// One class in a report.
+/// Counts of one class in a report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassReport {
-    /// Since the last report.
+    /// New flows admitted since the last report.
     pub admitted: u32,
-    /// Since the last report.
+    /// New flows refused since the last report.
     pub refused: u32,
-    /// Flows opened less flows closed here since the start.
+    /// Opened minus closed flows at this balancer since its start.
     pub open: i32,
 }
 
-/// What a balancer tells its peers about one pool in each heartbeat.
+/// Load report on one pool, which a balancer sends to its peers in each heartbeat.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Revision of the configuration that numbers servers and classes.
+    /// Revision of the configuration to which the indices of servers and classes refer.
     pub revision: u64,
-    /// Rises by one with each report; a repeated one isn't merged twice.
+    /// Sequence number; a report that arrives twice is merged once.
     pub sequence: u32,
-    /// By index of server.
+    /// Counts by index of server.
     pub servers: Vec<ServerReport>,
-    /// By index of class.
+    /// Counts by index of class.
     pub classes: Vec<ClassReport>,
 }
 
 impl Report {
-    /// The counts since the report before.
+    /// Returns the counts since the previous report.
     #[must_use]
     pub fn tally(&self) -> Tally {
         let mut tally = Tally::new(0, self.classes.len());
