--- a/crates/load/src/limits.rs
+++ b/crates/load/src/limits.rs
@@ -1,107 +1,116 @@
 use std::time::Duration;
 
-/// Every number that a decision depends on. `docs/MEASUREMENTS.md` holds the sweeps behind them.
+/// Parameters of all decisions. `docs/MEASUREMENTS.md` contains the parameter sweeps behind them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Time constant of the fast estimates (spilling, ejecting). Shorter is noisier; longer leaves
-    /// a hung server in use.
+    /// Time constant of the fast estimates, for spilling and ejection. A shorter one is noisier; a
+    /// longer one keeps a hung server in use.
     pub fast: Duration,
-    /// Time constant of the slow estimates (speed, capacity). At 100 samples/s a server, 20 s give
-    /// an error of a few percent, which is what an even spread needs.
+    /// Time constant of the slow estimates, for speed and capacity. At 100 samples per second and
+    /// server, 20 s give an error of a few percent, as an even spread needs.
     pub slow: Duration,
-    /// Answers that one measurement of a server's speed needs.
+    /// Number of answers needed for a measurement of a server's speed.
     pub samples: f64,
-    /// Time after which fewer answers have to do, for services with few callers.
+    /// Time after which [`Limits::samples_least`] answers are enough, for services with few callers.
     pub patience: Duration,
-    /// How many have to do then.
+    /// Number of answers needed for a measurement after [`Limits::patience`].
     pub samples_least: f64,
-    /// Answers that the mean of a server's speed stands for at least, whatever the time.
+    /// Minimum number of answers that the mean of a server's speed covers, however long they take.
     pub memory: f64,
-    /// A measurement of speed this many times the mean (or its inverse), twice running, is a change
-    /// of the server and not noise: the mean starts anew from it.
+    /// Factor between a measurement of speed and the mean, in either direction, from which the
+    /// measurement is an outlier. Two outliers in a row in the same direction are a change of the
+    /// server and not noise, and the mean restarts from the second.
     pub change: f64,
-    /// The counts of a peer that has not reported for this long are taken for missing, and what the
-    /// others saw stands for them. One lost heartbeat in a row is borne.
+    /// Time without a report after which a peer's counts are taken as missing, and the counts of the
+    /// others are scaled up in their place. It tolerates one lost heartbeat.
     pub report_timeout: Duration,
-    /// Without any sample for this long, weights return to plain shares and nothing is refused
-    /// for want of capacity: a missing signal costs fairness, not availability.
+    /// Time without any sample after which weights return to equal shares and nothing is refused
+    /// for lack of capacity: a missing signal affects fairness but not availability.
     pub sample_timeout: Duration,
-    /// Largest factor by which a weight rises at one step; recovery and cold starts are gradual.
+    /// Largest factor by which a weight rises in one step, so that recovery and cold starts are
+    /// gradual.
     pub rise: f64,
-    /// Largest factor by which a weight falls at one step.
+    /// Largest factor by which a weight falls in one step.
     pub fall: f64,
-    /// Smallest time between two proposals of weights: each one moves new flows off their base.
+    /// Minimum time between two proposals of weights, since each one moves new flows off their base.
     pub period: Duration,
-    /// Weights nearer than this to those in force aren't proposed; it stops flapping on noise.
+    /// Relative difference from the weights in force up to which new weights aren't proposed, so
+    /// that noise doesn't cause flapping.
     pub hysteresis: f64,
-    /// Part of the mean weight that a cold or returning server starts with.
+    /// Weight of a cold or returning server, as a fraction of the mean weight.
     pub start: f64,
-    /// Smallest part of the mean weight of a server in use: one without flows has no signal.
+    /// Minimum weight of a server in use, as a fraction of the mean weight: without flows there
+    /// would be no samples of the server.
     pub floor: f64,
-    /// Largest part of a pool's servers that is left alone at a time; a wrong signal can't empty
-    /// a service.
+    /// Maximum fraction of a pool's servers that is ejected at a time, so that a wrong signal can't
+    /// empty a service.
     pub eject: f64,
-    /// How long a server is left alone the first time; doubles at each repetition.
+    /// Duration of a server's first ejection; it doubles with each repetition.
     pub ejection_time: Duration,
-    /// Longest time that a server is left alone before it is tried again.
+    /// Maximum duration of an ejection.
     pub ejection_time_max: Duration,
-    /// Answers (or completed openings) that must be expected before a server that gives next to none
-    /// is left alone. Of 12 expected, one or none come by chance in 1 of 12,000 seconds; of 8, in 1
-    /// of 330, which left fine servers alone.
+    /// Number of answers or completed openings that must be expected before a server that gives next
+    /// to none is ejected. With 12 expected, one or none come by chance in 1 of 12,000 seconds; with
+    /// 8 in 1 of 330, which ejected healthy servers.
     pub evidence: f64,
-    /// A server that gives less than this part of the answers that others give is hung.
+    /// Fraction of the usual answers below which a server counts as hung.
     pub silence: f64,
-    /// Part of a server's openings that must fail, against the others', for it to be taken as
-    /// shedding; fewer may have other causes.
+    /// Fraction of a server's openings that must fail, compared with the other servers, for the
+    /// server to count as shedding; smaller fractions may have other causes.
     pub shed: f64,
-    /// Standard deviations that the failing openings must be off what is expected. Each server is
-    /// judged every second by every balancer, and 4 come by chance once in 30,000 times.
+    /// Number of standard deviations by which the failing openings must differ from the expected
+    /// number. Every balancer judges each server every second, and 4 occur by chance once in 30,000
+    /// times.
     pub certainty: f64,
-    /// Factor on a server's target weight while its health endpoint says it fails. The endpoint
-    /// lags, so it doesn't eject alone.
+    /// Factor on a server's target weight while its health endpoint reports a failure. The endpoint
+    /// lags, so it doesn't cause an ejection by itself.
     pub distrust: f64,
-    /// Work in progress over the pool's mean at which new flows begin to take their second choice.
+    /// Ratio of a server's work in progress to the pool's mean at which its new flows begin to go to
+    /// their second choice.
     pub bound: f64,
-    /// Work in progress a slot below which nothing spills: there is no wait to be saved.
+    /// Work in progress per slot below which no flows spill, since there is no queueing to avoid.
     pub spill_min_progress: f64,
-    /// Timed answers in the last second or so that spilling by their times needs.
+    /// Number of timed answers in about the last second that are needed to spill by answer times.
     pub timed: f64,
-    /// Part of the pool's connections that is shared out. The rest is for what all balancers open
-    /// before they hear of each other.
+    /// Fraction of the pool's connections that is shared out. The rest is a reserve for connections
+    /// that balancers open before they hear of each other's.
     pub connection_ceiling: f64,
-    /// Part of the measured capacity that all admitted work may reach. Above it, waits grow
+    /// Fraction of the measured capacity that all admitted work may reach. Above it, waits grow
     /// faster than goodput.
     pub ceiling: f64,
-    /// Factor on the guarantee of paying callers. The measured capacity errs by a few percent, and
-    /// the error should not be a refusal within a share.
+    /// Factor on the guarantee of paying callers. The measured capacity has an error of a few
+    /// percent, which must not cause refusals within a share.
     pub margin: f64,
-    /// Part of the measured capacity that admitted work may reach while trial borrows and paying
-    /// callers are about. What lies between it and `ceiling` is headroom: it keeps their waits
-    /// short.
+    /// Fraction of the measured capacity that admitted work may reach while trial callers borrow and
+    /// paying callers are active. The difference to [`Limits::ceiling`] is headroom, which keeps the
+    /// waits of paying callers short.
     pub lent: f64,
-    /// Paying callers are about if one came to this thread within this time. Without any, the
-    /// headroom would keep nobody's wait short and is lent as well.
+    /// Time after a paying caller's last arrival at a thread during which paying callers count as
+    /// active. Otherwise the headroom shortens nobody's wait, and is lent as well.
     pub paying_window: Duration,
-    /// Work in progress a slot that the pool is steered to at saturation.
+    /// Work in progress per slot to which the pool is controlled at saturation.
     pub target: f64,
-    /// Largest relative change of the correction of the capacity at one tick.
+    /// Maximum relative change of the capacity correction per tick.
     pub gain: f64,
-    /// Depth of a paying class's own bucket: arrivals within the share pass, however they come.
+    /// Depth of a paying class's own bucket, so that arrivals within the share are admitted even if
+    /// they come in bursts.
     pub burst: Duration,
-    /// Depth of a trial class's own bucket; short, as paying callers wait behind its bursts.
+    /// Depth of a trial class's own bucket. It is short, since paying callers wait behind its
+    /// bursts.
     pub burst_trial: Duration,
-    /// Depth of the buckets from which is borrowed; short, as it lands on top of guaranteed work.
+    /// Depth of the buckets for borrowing. It is short, since borrowed work comes on top of
+    /// guaranteed work.
     pub slack: Duration,
-    /// Smallest depth of a class's own bucket, in flows: arrivals at one thread are random, and a
-    /// small class within its share would be refused for a coincidence.
+    /// Minimum depth of a class's own bucket, in flows. Arrivals at a thread are random, and a small
+    /// class within its share would otherwise be refused by chance.
     pub least: f64,
-    /// Smallest depth of the buckets from which is borrowed, in flows.
+    /// Minimum depth of the buckets for borrowing, in flows.
     pub least_lent: f64,
-    /// Shortest time to come back that a refused caller is told.
+    /// Shortest mean time after which a refused caller may retry.
     pub retry_after: Duration,
-    /// Longest time to come back before jitter.
+    /// Longest mean time after which a refused caller may retry, before jitter.
     pub retry_after_max: Duration,
-    /// Time constant after which counts of open flows forget what was never seen to close.
+    /// Time constant with which counts of open flows decay, for flows whose end no balancer sees.
     pub open_flow_memory: Duration,
 }
 
