--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,45 +1,47 @@
 use crate::pool::{Pool, Server};
 
-/// Rates of new flows that one traffic thread may let in, in flows a second.
+/// Rates at which one traffic thread may admit new flows, in flows per second.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rates {
-    /// Guaranteed, by index of class.
+    /// Guaranteed rates, by index of class.
     pub own: Vec<f64>,
-    /// All classes together.
+    /// Rate of all classes together.
     pub total: f64,
-    /// All classes together while trial borrows.
+    /// Rate of all classes together up to which trial callers may borrow while paying callers are
+    /// active.
     pub lent: f64,
-    /// Demand over what is let in, at least 1; it stretches the times to come back.
+    /// Ratio of demand to admitted flows, at least 1; retry times of refused callers grow with it.
     pub pressure: f64,
 }
 
-/// How a server stands for new flows.
+/// How a server is used for new flows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Standing {
-    /// Part of the flows for which it is first choice that go to their second, 0 to 1.
+    /// Fraction of the flows with this server as first choice that go to their second choice.
     pub spill: f64,
-    /// Left alone: it takes a flow only if every choice is left alone.
+    /// Whether the server is ejected; it then gets a flow only if every choice is ejected.
     pub ejected: bool,
 }
 
-/// What the traffic threads decide by until the next tick. Immutable; the control thread
-/// publishes a new one.
+/// Snapshot by which the traffic threads decide until the next tick. It is immutable; the control
+/// thread publishes a new one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Rises with each plan.
+    /// Number of the plan, which increases with each one.
     pub number: u64,
-    /// Nothing while the capacity is unknown: then all work is let in, since a wrong refusal is
-    /// worse than a server's own queue.
+    /// Admission rates, or `None` while the capacity is unknown. All flows are then admitted, since
+    /// a wrong refusal is worse than a queue at a server.
     pub rates: Option<Rates>,
-    /// By index of server.
+    /// Use of each server, by index of server.
     pub standings: Vec<Standing>,
-    /// Connections that this thread may open until the next plan, by index of class; nothing where
-    /// no limit binds.
+    /// Number of connections that a thread may open until the next plan, by index of class; `None`
+    /// for a class without a limit.
     pub connections: Vec<Option<u32>>,
 }
 
 impl Plan {
-    /// The plan of a balancer that knows nothing: plain shares of the table, nothing refused.
+    /// Creates the plan of a balancer without measurements: flows go to their first choice, and none
+    /// is refused.
     #[must_use]
     pub fn unrestricted(pool: &Pool) -> Self {
         Plan {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// How `server` stands; one that the plan doesn't know yet takes flows.
+    /// Returns how `server` is used; one that isn't in the plan yet gets flows.
     #[must_use]
     pub fn standing(&self, server: Server) -> Standing {
         self.standings
