--- a/crates/load/src/arrival.rs
+++ b/crates/load/src/arrival.rs
@@ -1,41 +1,42 @@
 use std::time::Duration;
 
-use crate::delay::faded;
+use crate::delay::decay;
 
-/// Time constants of a rate. The larger rate counts: the short one sees a burst begin, the long one is
-/// steady where little comes.
-const MEMORIES: [Duration; 2] = [Duration::from_millis(250), Duration::from_secs(2)];
-/// Shortest time over which a rate is taken.
-const SHORTEST: Duration = Duration::from_millis(1);
+/// Time constants of a rate, which is the larger of the two means: the short one shows the start of a
+/// burst, and the long one is stable at low rates.
+const TIME_CONSTANTS: [Duration; 2] = [Duration::from_millis(250), Duration::from_secs(2)];
+/// Minimum time over which a rate is averaged.
+const MIN_AGE: Duration = Duration::from_millis(1);
 
-/// How many of something come a second, each counting less the older it is.
+/// Recent rate of events per second, from exponentially decaying counts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rate {
-    sums: [f64; MEMORIES.len()],
+    sums: [f64; TIME_CONSTANTS.len()],
     since: Duration,
     at: Duration,
 }
 
 impl Rate {
-    /// Nothing has come before `now`.
+    /// Creates a rate without events, which starts at `now`.
     #[must_use]
     pub const fn new(now: Duration) -> Self {
         Rate {
-            sums: [0.0; MEMORIES.len()],
+            sums: [0.0; TIME_CONSTANTS.len()],
             since: now,
             at: now,
         }
     }
 
-    /// One comes.
+    /// Records an event.
     pub fn add(&mut self, now: Duration) {
-        for (sum, memory) in self.sums.iter_mut().zip(MEMORIES) {
-            *sum = *sum * faded(now.saturating_sub(self.at), memory) + 1.0;
+        for (sum, constant) in self.sums.iter_mut().zip(TIME_CONSTANTS) {
+            *sum = *sum * decay(now.saturating_sub(self.at), constant) + 1.0;
         }
         self.at = self.at.max(now);
     }
 
-    /// How many come a second. What has just begun is taken over the time since.
+    /// Returns the events per second. Soon after the start, they are averaged over the time since
+    /// then.
     ///
     /// ```
     /// use std::time::Duration;
@@ -49,10 +50,10 @@
     /// ```
     #[must_use]
     pub fn per_second(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.since).max(SHORTEST);
-        let rates = self.sums.iter().zip(MEMORIES).map(|(sum, memory)| {
-            let left = sum * faded(now.saturating_sub(self.at), memory);
-            left / (memory.as_secs_f64() * (1.0 - faded(age, memory)))
+        let age = now.saturating_sub(self.since).max(MIN_AGE);
+        let rates = self.sums.iter().zip(TIME_CONSTANTS).map(|(sum, constant)| {
+            let left = sum * decay(now.saturating_sub(self.at), constant);
+            left / (constant.as_secs_f64() * (1.0 - decay(age, constant)))
         });
         rates.fold(0.0, f64::max)
     }
--- a/crates/load/src/delay.rs
+++ b/crates/load/src/delay.rs
@@ -4,46 +4,47 @@
 
 use crate::baseline::Baseline;
 
-/// Time constant of [`Delay`]. The queue of a busy server fills and drains within a fifth of a second
-/// to a second; over a shorter time, a balancer of nine sees next to no answer of a server.
-const MEMORY: Duration = Duration::from_millis(400);
-/// Time constant of the count of unanswered requests. A server that answers nothing is tried again by
-/// each balancer about once in that time.
-const UNANSWERED_MEMORY: Duration = Duration::from_secs(5);
-/// What an answer leaves of that count. A server that is well again has its part of new flows after
-/// some ten answers; one that answers a tenth of its requests stays far from it.
-const FORGIVEN: f64 = 0.7;
-/// Part of a server's usual work within which no request is done. By its answer times, a server that
-/// sheds or fails requests at once would be the fastest of all.
+/// Time constant of [`Delay`]. The queue of a busy server fills and drains within 0.2 to 1 s; over a
+/// much shorter time, each of nine balancers sees almost no answers of a given server.
+const TIME_CONSTANT: Duration = Duration::from_millis(400);
+/// Time constant of the count of unanswered requests. Each balancer retries a server that answers
+/// nothing about once in this time.
+const UNANSWERED_TIME_CONSTANT: Duration = Duration::from_secs(5);
+/// Factor on the count of unanswered requests at each answer. A server that has recovered gets its
+/// full part of new flows after about ten answers; one that answers only a tenth of its requests
+/// stays far below it.
+const UNANSWERED_DECAY: f64 = 0.7;
+/// Fraction of a server's usual work below which an answer is too fast to be real. A server that
+/// sheds or fails requests at once would otherwise look like the fastest one.
 const IMPLAUSIBLY_FAST: f64 = 0.1;
-/// How long a server may leave everything unanswered before a new flow tries it again. Callers wait
-/// for some seconds at most, so nothing that was asked before is answered any more.
-const SILENCE: Duration = Duration::from_secs(2);
-/// Answers of the whole service that count as much as one recent answer of the server itself. A balancer
-/// that has seen none of a server's goes by the service.
-const PRIOR: f64 = 1.0;
-/// What an answer takes as long as none of a service has been seen, in seconds. It only matters in
-/// proportion to other servers of the service, which have it as well.
-const UNSEEN: f64 = 0.05;
-/// Answers that [`UNSEEN`] stands for: next to nothing beside one that was seen.
-const UNSEEN_WEIGHT: f64 = 0.1;
+/// Time without any answer after which a new flow tries the server again. Callers wait for a few
+/// seconds at most, so no answer to an older request will come.
+const RETRY_SILENT: Duration = Duration::from_secs(2);
+/// Weight of the service's mean, in recent answers of the server itself. If a balancer has seen no
+/// answer of a server, it uses the service's mean.
+const PRIOR_WEIGHT: f64 = 1.0;
+/// Assumed answer time before any answer of a service is seen, in seconds. It is the same for all
+/// servers of the service, so it doesn't affect the choice between them.
+const DEFAULT_TIME: f64 = 0.05;
+/// Weight of [`DEFAULT_TIME`] in answers; it hardly counts once an answer is seen.
+const DEFAULT_WEIGHT: f64 = 0.1;
 
-/// Mean time that answers have taken lately: sums that forget with a time constant.
+/// Recent mean answer time, from exponentially decaying sums.
 ///
-/// The time from a caller's data to the acknowledgement of the answer contains the wait, so each answer
-/// that passes is a measurement of its server's queue. Flows in hand look the same at a full queue and at
-/// an empty one.
+/// The time from a caller's data to the acknowledgement of the answer includes the wait, so each
+/// answer measures the queue of its server. A count of open flows wouldn't tell a full queue from an
+/// empty one.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Delay {
-    /// Answers, each counting less the older it is.
+    /// Number of answers, decaying.
     samples: f64,
-    /// Their times, in seconds, likewise.
+    /// Sum of their times in seconds, decaying.
     times: f64,
     at: Duration,
 }
 
 impl Delay {
-    /// Takes in an answer that took so long.
+    /// Records an answer that took `took`.
     pub fn add(&mut self, took: Duration, now: Duration) {
         let keep = self.keep(now);
         self.samples = self.samples * keep + 1.0;
@@ -51,8 +52,8 @@
         self.at = self.at.max(now);
     }
 
-    /// Mean time of an answer in seconds, where `expected` counts as `weight` answers: few
-    /// measurements move it by little.
+    /// Returns the mean time of an answer in seconds. `expected` counts as `weight` answers, so a few
+    /// measurements change the mean only slightly.
     ///
     /// ```
     /// use std::time::Duration;
@@ -69,22 +70,22 @@
     }
 
     fn keep(&self, now: Duration) -> f64 {
-        faded(now.saturating_sub(self.at), MEMORY)
+        decay(now.saturating_sub(self.at), TIME_CONSTANT)
     }
 }
 
-/// Part that is left of a sum after `passed`.
-pub(crate) fn faded(passed: Duration, constant: Duration) -> f64 {
+/// Factor by which a sum with the time `constant` decays in `passed`.
+pub(crate) fn decay(passed: Duration, constant: Duration) -> f64 {
     (-passed.as_secs_f64() / constant.as_secs_f64()).exp()
 }
 
-/// What is known of one server.
+/// State of one server.
 #[derive(Debug, Clone, Copy, Default)]
 struct Server {
     delay: Delay,
-    /// Since when it has answered nothing of what it was asked.
+    /// Time of the first request since its last answer.
     silent: Option<Duration>,
-    /// Requests that callers gave up on or that were not worked on, each counting less the older it is.
+    /// Number of requests that callers gave up or the server didn't process, decaying.
     unanswered: f64,
     unanswered_at: Duration,
 }
@@ -92,21 +93,21 @@
 impl Server {
     fn unanswered(&self, now: Duration) -> f64 {
         let passed = now.saturating_sub(self.unanswered_at);
-        self.unanswered * faded(passed, UNANSWERED_MEMORY)
+        self.unanswered * decay(passed, UNANSWERED_TIME_CONSTANT)
     }
 }
 
-/// What a server's answers take when nothing waits.
+/// Answer time of a server without queueing.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Idle {
-    /// The network's part, in seconds.
+    /// Time in the network, in seconds.
     pub network: f64,
-    /// The server's part, in seconds.
+    /// Time at the server, in seconds.
     pub work: f64,
 }
 
 impl Idle {
-    /// The whole time, in seconds.
+    /// Returns the total time, in seconds.
     ///
     /// ```
     /// use acacia_load::delay::Idle;
@@ -117,17 +118,18 @@
         self.network + self.work
     }
 
-    /// Whether an answer came too soon to have been worked for, see [`IMPLAUSIBLY_FAST`].
+    /// Returns whether an answer came too fast for the request to have been processed, see
+    /// [`IMPLAUSIBLY_FAST`].
     #[must_use]
     pub fn is_implausibly_fast(&self, took: Duration) -> bool {
         took.as_secs_f64() < self.network + IMPLAUSIBLY_FAST * self.work
     }
 }
 
-/// How long each server's answers take at present, as one balancer sees it.
+/// Recent answer times of all servers, as one balancer sees them.
 ///
-/// What leaks ages out: a request whose end another balancer sees is given up after some seconds, and
-/// nothing here outlives its time constant.
+/// Requests whose end another balancer sees don't accumulate: such a request is given up after a few
+/// seconds, and all counts here decay.
 #[derive(Debug, Clone, Default)]
 pub struct Delays {
     servers: Map<Arc<str>, Server>,
@@ -136,21 +138,21 @@
 }
 
 impl Delays {
-    /// A request went to a server, on a flow on which nothing was unanswered.
+    /// Records a request to a server, on a flow without an unanswered request.
     pub fn asked(&mut self, server: &Arc<str>, now: Duration) {
         let server = self.servers.entry(Arc::clone(server)).or_default();
-        let since = server.silent.filter(|since| now < *since + SILENCE);
+        let since = server.silent.filter(|since| now < *since + RETRY_SILENT);
         server.silent = Some(since.unwrap_or(now));
     }
 
-    /// A server has answered something.
+    /// Records that a server has answered anything at all.
     pub fn responded(&mut self, server: &str) {
         if let Some(server) = self.servers.get_mut(server) {
             server.silent = None;
         }
     }
 
-    /// A server of `service` has answered a request after `took`.
+    /// Records that a server of `service` has answered a request after `took`.
     pub fn answered(
         &mut self,
         server: &Arc<str>,
@@ -160,7 +162,7 @@
     ) {
         let server = self.servers.entry(Arc::clone(server)).or_default();
         server.silent = None;
-        server.unanswered *= FORGIVEN;
+        server.unanswered *= UNANSWERED_DECAY;
         server.delay.add(took, now);
         let baseline = self.baselines.entry(Arc::clone(service)).or_default();
         baseline.add(took, now);
@@ -168,15 +170,17 @@
         service.add(took, now);
     }
 
-    /// A server has refused or failed a request without working on it, or a caller has given up on one.
+    /// Records a request that the server refused or failed without processing it, or that the caller
+    /// gave up.
     pub fn unanswered(&mut self, server: &Arc<str>, now: Duration) {
         let server = self.servers.entry(Arc::clone(server)).or_default();
         server.unanswered = server.unanswered(now) + 1.0;
         server.unanswered_at = now;
     }
 
-    /// How long an answer of the server would take, in seconds: by its recent answers, by those of
-    /// its service where it gave few, and at least as long as it has answered nothing at all.
+    /// Returns the time that an answer of the server would take, in seconds: the mean of its recent
+    /// answers, or of its service's if there are few, and at least the time for which the server has
+    /// answered nothing.
     ///
     /// ```
     /// use std::time::Duration;
@@ -196,44 +200,45 @@
             return usual;
         };
         let silent = server.silent.map(|since| now.saturating_sub(since));
-        let silent = silent.filter(|silent| *silent < SILENCE);
-        let recent = server.delay.mean(usual, PRIOR, now);
+        let silent = silent.filter(|silent| *silent < RETRY_SILENT);
+        let recent = server.delay.mean(usual, PRIOR_WEIGHT, now);
         recent.max(silent.unwrap_or_default().as_secs_f64())
     }
 
-    /// How long an answer of a service's servers takes, in seconds.
+    /// Returns the recent mean answer time of a service, in seconds.
     #[must_use]
     pub fn usual(&self, service: &str, now: Duration) -> f64 {
         let service = self.services.get(service).copied().unwrap_or_default();
-        service.mean(UNSEEN, UNSEEN_WEIGHT, now)
+        service.mean(DEFAULT_TIME, DEFAULT_WEIGHT, now)
     }
 
-    /// How long an answer of a service's servers takes when nothing waits, in seconds; nothing before the
-    /// first.
+    /// Returns the answer time of a service without queueing, in seconds, or `None` before the first
+    /// answer.
     #[must_use]
     pub fn baseline(&self, service: &str) -> Option<f64> {
         self.baselines.get(service)?.mean()
     }
 
-    /// How long none of a service has answered, in seconds; 0 before the first answer.
+    /// Returns the time since the last answer of a service, in seconds; 0 before the first answer.
     ///
-    /// While all flows are refused, no answer shows how queues drain; they drain for as long as nothing new
-    /// comes.
+    /// While all flows are refused, no answer shows how far the queues have drained. They drain for as
+    /// long as no new requests come.
     #[must_use]
     pub fn since_last_answer(&self, service: &str, now: Duration) -> f64 {
         let service = self.services.get(service);
         service.map_or(0.0, |delay| now.saturating_sub(delay.at).as_secs_f64())
     }
 
-    /// Requests to the server that callers gave up on lately, or that it did not work on.
+    /// Returns the decaying number of requests to the server that callers gave up or that it didn't
+    /// process.
     #[must_use]
     pub fn given_up(&self, server: &str, now: Duration) -> f64 {
         let server = self.servers.get(server);
         server.map_or(0.0, |server| server.unanswered(now))
     }
 
-    /// Forgets servers and services that `is_server` and `is_service` don't name: they have left, and
-    /// what is known of them would stay for as long as the process lives.
+    /// Keeps only servers and services for which `is_server` and `is_service` return `true`. Without
+    /// this, those that have left would stay in memory until the process ends.
     pub fn retain(
         &mut self,
         is_server: impl Fn(&Arc<str>) -> bool,
@@ -244,13 +249,13 @@
         self.baselines.retain(|service, _| is_service(service));
     }
 
-    /// How many servers are known.
+    /// Returns the number of known servers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether no server is known.
+    /// Returns whether no server is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
