--- a/crates/load/src/estimate.rs
+++ b/crates/load/src/estimate.rs
@@ -9,13 +9,13 @@
     tally::{Count, Tally},
 };
 
-/// A part of the flows that isn't worth the pins.
+/// Fraction of the flows below which spilling isn't worth the pins.
 const NEGLIGIBLE: f64 = 0.01;
-/// What a second without evidence leaves of a part that was known to be shed or to spill.
-const FADE: f64 = 0.9;
-/// Time constant of what all servers have in common: the part of answers that are seen, and flows
-/// to a question.
-const COMMON: Duration = Duration::from_secs(60);
+/// Factor by which a shed or spilled fraction decays in a tick without enough samples.
+const DECAY: f64 = 0.9;
+/// Time constant of the values that all servers have in common: the fraction of answers that are
+/// seen, and the flows per request.
+const COMMON_TIME_CONSTANT: Duration = Duration::from_secs(60);
 
 /// Estimates of one server.
 #[derive(Debug, Clone, Default)]
@@ -23,24 +23,24 @@
     fast: Window,
     slow: Window,
     speed: Speed,
-    /// Questions since the last tick that saw an answer.
-    waiting: f64,
-    /// All flows over those that the counts are of. It isn't applied to the counts themselves: few
-    /// samples must go on looking like few when they are taken as evidence.
+    /// Requests in the ticks since the last one with an answer.
+    unanswered: f64,
+    /// Ratio of all flows to the counted ones. It isn't applied to the counts themselves, so that
+    /// their number still shows how much evidence there is.
     scale: f64,
-    /// Part of its flows that it sheds.
+    /// Fraction of its flows that the server sheds.
     pub shed: f64,
-    /// Part of its flows that take their second choice.
+    /// Fraction of its flows that go to their second choice.
     pub spill: f64,
-    /// Its health endpoint says that it fails.
+    /// Whether the server's health endpoint reports a failure.
     pub distrusted: bool,
-    /// It is draining or not yet in use.
+    /// Whether the server is draining or not yet in use.
     pub leaving: bool,
 }
 
 impl Estimate {
-    /// Work in progress (Little's law: arrivals a second times the time each takes), in questions.
-    /// Nothing without samples.
+    /// Returns the work in progress in requests, or `None` without samples. By Little's law, it is
+    /// the arrivals per second times the time that each takes.
     fn progress(&self) -> Option<f64> {
         let network = self.slow.network().unwrap_or(0.0);
         let work = self.fast.work(network)?;
@@ -57,8 +57,8 @@
     ) {
         self.fast.add(count, passed, limits.fast);
         self.slow.add(count, passed, limits.slow);
-        self.waiting = match count.answered {
-            0 => self.waiting + f64::from(count.asked),
+        self.unanswered = match count.answered {
+            0 => self.unanswered + f64::from(count.asked),
             _ => 0.0,
         };
         let network = self.slow.network().unwrap_or(0.0);
@@ -70,25 +70,25 @@
 /// Estimates of all servers of a pool.
 #[derive(Debug, Clone)]
 pub struct Estimates {
-    /// By index of server.
+    /// Estimates by index of server.
     pub servers: Vec<Estimate>,
     common: Window,
-    sampled: Option<Duration>,
+    last_sample: Option<Duration>,
 }
 
 impl Estimates {
-    /// Nothing is known.
+    /// Creates estimates without samples.
     #[must_use]
     pub fn new(servers: usize) -> Self {
         Estimates {
             servers: vec![Estimate::default(); servers],
             common: Window::default(),
-            sampled: None,
+            last_sample: None,
         }
     }
 
-    /// What is known of the servers that a changed configuration keeps: `from` gives the old index
-    /// of each new one.
+    /// Returns the estimates for a changed configuration; `from` contains the old index of each
+    /// server, or `None` for a new one.
     #[must_use]
     pub fn remap(&self, from: &[Option<usize>]) -> Self {
         let old = |index: &Option<usize>| index.and_then(|index| self.servers.get(index).cloned());
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Forgets what was measured of a server that comes back cold.
+    /// Discards the measurements of a server that comes back cold.
     pub fn restart(&mut self, server: usize) {
         let own = &mut self.servers[server];
         *own = Estimate {
@@ -111,14 +111,14 @@
         };
     }
 
-    /// Whether no sample has come for so long that the estimates mean nothing.
+    /// Returns whether the last sample is so old that the estimates are meaningless.
     #[must_use]
     pub fn lacks_samples(&self, now: Duration, limits: &Limits) -> bool {
-        self.sampled
-            .is_none_or(|sampled| now.saturating_sub(sampled) > limits.sample_timeout)
+        self.last_sample
+            .is_none_or(|last| now.saturating_sub(last) > limits.sample_timeout)
     }
 
-    /// Work in progress a slot over the servers that are `used`, from the last seconds.
+    /// Returns the work in progress per slot of the servers that are `used`, over the last seconds.
     #[must_use]
     pub fn progress(&self, pool: &Pool, used: impl Fn(usize) -> bool) -> Option<f64> {
         let (mut progress, mut slots) = (0.0, 0.0);
@@ -136,20 +136,21 @@
         (slots > 0.0).then(|| progress / slots)
     }
 
-    /// Measured capacity of a server in new flows a second, less what it sheds.
+    /// Returns the measured capacity of a server in new flows per second, without the part that it
+    /// sheds.
     #[must_use]
     pub fn capacity(&self, server: usize) -> Option<f64> {
         let own = self.servers.get(server)?;
-        let questions = own.speed.requests_per_second()? * (1.0 - own.shed);
+        let requests = own.speed.requests_per_second()? * (1.0 - own.shed);
         let flows = if self.common.asked > 0.0 {
             self.common.opened / self.common.asked
         } else {
             1.0
         };
-        Some(questions * flows)
+        Some(requests * flows)
     }
 
-    /// Adds what was seen in `passed`; `scale` is all flows over those that the counts are of.
+    /// Adds the counts of the last `passed`; `scale` is the ratio of all flows to the counted ones.
     pub fn learn(
         &mut self,
         seen: &Tally,
@@ -160,12 +161,13 @@
         limits: &Limits,
     ) {
         if seen.servers.iter().any(|count| count.timed > 0) {
-            self.sampled = Some(now);
+            self.last_sample = Some(now);
         }
-        self.common.add(&Count::default(), passed, COMMON);
+        self.common
+            .add(&Count::default(), passed, COMMON_TIME_CONSTANT);
         for (server, count) in seen.servers.iter().enumerate() {
             if self.keeps_up(server, pool, limits) {
-                self.common.add(count, Duration::ZERO, COMMON);
+                self.common.add(count, Duration::ZERO, COMMON_TIME_CONSTANT);
             }
         }
         let visible = self.visible() / scale;
@@ -176,21 +178,21 @@
         }
     }
 
-    /// Part of the answers whose times some balancer sees.
+    /// Returns the fraction of answers that some balancer sees.
     fn visible(&self) -> f64 {
         self.common.answered / self.common.asked.max(1.0)
     }
 
-    /// Whether a server's answers are as many as its questions. Where a queue grows they are fewer,
-    /// and the part of answers that is seen would look smaller than it is for a minute, hence the
-    /// capacity of all servers larger.
+    /// Returns whether a server answers as many requests as it gets. While a queue grows, it answers
+    /// fewer; counted, that would lower the estimated fraction of visible answers for a minute, and
+    /// so raise the estimated capacity of all servers.
     fn keeps_up(&self, server: usize, pool: &Pool, limits: &Limits) -> bool {
         let own = &self.servers[server];
         let slots = f64::from(pool.hosts[server].slots.max(1));
-        let calm = own
+        let below_target = own
             .progress()
             .is_none_or(|progress| progress <= limits.target * slots);
-        calm && own.waiting * self.visible() <= limits.evidence / 2.0
+        below_target && own.unanswered * self.visible() <= limits.evidence / 2.0
     }
 
     fn sum(&self, of: fn(&Estimate) -> &Window) -> Window {
@@ -204,60 +206,65 @@
         self.servers.iter().map(of).fold(Window::default(), add)
     }
 
-    /// Learns what part of its flows each server sheds. At a small service, or once most flows have
-    /// moved off, one second holds too little evidence. Then the slow counts are judged, if the
-    /// second doesn't contradict them, and what was known fades, so that more flows try again.
+    /// Estimates the fraction of its flows that each server sheds.
+    ///
+    /// At a small service, or once most flows have moved off, the fast counts contain too few
+    /// openings. Then the slow counts decide, unless the fast ones contradict them, and the previous
+    /// estimate decays, so that more flows try the server again.
     pub fn learn_shed(&mut self, limits: &Limits) {
-        /// Completed openings that a second's judgement needs.
-        const ENOUGH: f64 = 64.0;
+        /// Number of completed openings that must be expected for the fast counts to decide.
+        const MIN_EXPECTED: f64 = 64.0;
         let (fast, slow) = (self.sum(|own| &own.fast), self.sum(|own| &own.slow));
         let usual = fast.completed / fast.opened.max(1.0);
         let lasting = slow.completed / slow.opened.max(1.0);
         for own in &mut self.servers {
             let expected = own.fast.opened * usual;
-            if expected >= ENOUGH {
+            if expected >= MIN_EXPECTED {
                 own.shed = missing(own.fast.opened, own.fast.completed, usual, limits);
                 continue;
             }
             let lasting = missing(own.slow.opened, own.slow.completed, lasting, limits);
             let agrees = own.fast.completed < (1.0 - lasting / 2.0) * expected;
-            own.shed = (own.shed * FADE).max(if agrees { lasting } else { 0.0 });
+            own.shed = (own.shed * DECAY).max(if agrees { lasting } else { 0.0 });
             if own.shed < NEGLIGIBLE {
                 own.shed = 0.0;
             }
         }
     }
 
-    /// Which servers are silent, see [`silent`].
+    /// Returns for each server whether it is silent, see [`silent`].
     #[must_use]
     pub fn silent(&self, limits: &Limits) -> Vec<bool> {
         let (fast, slow) = (self.sum(|own| &own.fast), self.sum(|own| &own.slow));
-        // If nobody answers at all, the fault is not with one server.
-        let any = self
+        // If no server answers, the fault isn't in a single one.
+        let some_answer = self
             .servers
             .iter()
-            .any(|own| own.waiting == 0.0 && own.fast.asked >= 1.0);
-        let judge = |own: &Estimate| {
-            // At a small service, one second holds too little evidence: there the questions since
-            // the last answer are set against the usual part of answers.
+            .any(|own| own.unanswered == 0.0 && own.fast.asked >= 1.0);
+        let is_silent = |own: &Estimate| {
+            // At a small service, the fast counts contain too few requests. Then the requests since
+            // the last answer are compared with the usual fraction of answers.
             let lasting = Window {
-                asked: own.waiting,
+                asked: own.unanswered,
                 ..Window::default()
             };
             let trusted = !own.distrusted;
             silent(&own.fast, &fast, trusted, limits)
-                || (any && silent(&lasting, &slow, trusted, limits))
+                || (some_answer && silent(&lasting, &slow, trusted, limits))
         };
-        self.servers.iter().map(judge).collect()
+        self.servers.iter().map(is_silent).collect()
     }
 
-    /// Sets what part of a server's flows takes its second choice: the excess of its work in
-    /// progress over `bound` times the pool's `mean`, or the part of its questions that are not
-    /// answered if that is larger. It rises at once, since each second of a
-    /// server four times too slow adds two seconds of queue, and falls by halves, so that balancers
-    /// that act on the same figures don't swing between two servers. At least the part that the
-    /// server sheds. The count of its open connections moves nothing: it errs, and a server taken
-    /// for full without being so would drown the others, while one that is full sheds and is
+    /// Estimates the fraction of each server's flows that should go to their second choice.
+    ///
+    /// It is the largest of the excess of the server's work in progress over `bound` times the
+    /// pool's `mean`, the fraction of its requests that are unanswered, and the fraction of its flows
+    /// that it sheds. It rises at once, since a server that has become four times too slow builds up
+    /// two seconds of queue per second. It falls by half per tick, so that balancers that act on the
+    /// same figures don't oscillate between two servers.
+    ///
+    /// The count of open connections isn't used. It is imprecise, and if a server were wrongly taken
+    /// for full, the others would be overloaded. A server that really is full sheds, which is
     /// noticed.
     pub fn learn_spill(&mut self, mean: Option<f64>, pool: &Pool, limits: &Limits) {
         let mean = mean.unwrap_or(0.0).max(limits.spill_min_progress);
@@ -271,10 +278,10 @@
             let excess = 1.0 - limits.bound * mean / progress.max(1e-9);
             let behind = missing(own.fast.asked, own.fast.answered, usual, limits);
             let excess = excess.max(behind).max(own.shed);
-            // Once most flows have moved off, little evidence is left; that isn't a recovery.
+            // Few samples after most flows have moved off are no sign of a recovery.
             let falling = match own.fast.timed >= limits.timed {
                 true => (own.spill + excess) / 2.0,
-                false => own.spill * FADE,
+                false => own.spill * DECAY,
             };
             own.spill = excess.max(falling);
             if own.spill < NEGLIGIBLE {
