--- a/crates/load/src/rate.rs
+++ b/crates/load/src/rate.rs
@@ -8,35 +8,35 @@
     tally::ClassCount,
 };
 
-/// Lowest and highest correction of the measured capacity; beyond them the estimate is wrong in a
-/// way that a factor doesn't mend.
+/// Range of the correction of the measured capacity. Outside of it, the estimate is wrong in a way
+/// that no factor can correct.
 const CORRECTION: std::ops::RangeInclusive<f64> = 0.5..=4.0;
 
-/// Demand of one class: flows in about the last second.
+/// Demand of one class, in flows of about the last second.
 #[derive(Debug, Clone, Copy, Default)]
-struct Flow {
+struct Demand {
     admitted: f64,
     refused: f64,
 }
 
-/// Turns the measured capacity into rates of admission.
+/// Computes admission rates from the measured capacity.
 #[derive(Debug, Clone)]
 pub struct Governor {
-    demand: Vec<Flow>,
+    demand: Vec<Demand>,
     correction: f64,
 }
 
 impl Governor {
-    /// No demand is known, the capacity is taken as measured.
+    /// Creates a governor without known demand that doesn't correct the measured capacity.
     #[must_use]
     pub fn new(classes: usize) -> Self {
         Governor {
-            demand: vec![Flow::default(); classes],
+            demand: vec![Demand::default(); classes],
             correction: 1.0,
         }
     }
 
-    /// Adds the demand that was seen in `passed`; `scale` is all flows over those counted.
+    /// Adds the demand of the last `passed`; `scale` is the ratio of all flows to the counted ones.
     pub fn learn(&mut self, seen: &[ClassCount], scale: f64, passed: Duration, limits: &Limits) {
         let keep = (-passed.as_secs_f64() / limits.fast.as_secs_f64()).exp();
         for (flow, demand) in self.demand.iter_mut().zip(seen) {
@@ -45,27 +45,29 @@
         }
     }
 
-    /// Corrects the capacity by what comes of it: `progress` is the pool's work in progress a slot.
+    /// Corrects the capacity by feedback: `progress` is the pool's work in progress per slot.
     ///
-    /// Load: saturation, with a measured capacity that errs by some percent. Harm: above the wanted
-    /// work in progress, callers wait and goodput gains nothing; below it, refused work could have
-    /// run. The steps are small, as the effect shows a second or two later and larger ones swing.
+    /// At saturation, the measured capacity has an error of some percent. With more work in progress
+    /// than the target, callers wait without a gain in goodput; with less, refused work could have
+    /// run. The steps are small, since their effect shows only one or two seconds later and larger
+    /// ones would oscillate.
     pub fn correct(&mut self, progress: f64, pool: &Pool, limits: &Limits) {
-        let lack = 1.0 - progress / limits.target;
+        let shortfall = 1.0 - progress / limits.target;
         let mut classes = pool.classes.iter().zip(&self.demand);
-        let turned_away =
+        let paying_refused =
             classes.any(|(class, flow)| class.mark == Mark::Paying && flow.refused > 1.0);
-        let factor = if lack < 0.0 || turned_away || self.correction < 1.0 {
-            1.0 + limits.gain * lack.max(-2.0)
+        let factor = if shortfall < 0.0 || paying_refused || self.correction < 1.0 {
+            1.0 + limits.gain * shortfall.max(-2.0)
         } else {
             1.0 - limits.gain * (self.correction - 1.0).clamp(0.0, 1.0)
         };
         self.correction = (self.correction * factor).clamp(*CORRECTION.start(), *CORRECTION.end());
     }
 
-    /// The rates of one gate, which has `part` of all new flows. `known` are the capacities of
-    /// those of the `usable` servers that have been measured, in flows a second. Nothing if that is
-    /// too few of them: a capacity made of a few figures would refuse what the others could do.
+    /// Returns the rates of one gate, which gets the fraction `part` of all new flows. `known` are
+    /// the measured capacities, in flows per second, of those among the `usable` servers that have
+    /// one. Returns `None` if these are less than half: a capacity extrapolated from few servers
+    /// could refuse flows that the others have room for.
     #[must_use]
     pub fn rates(
         &self,
@@ -96,13 +98,13 @@
     }
 }
 
-/// Connections that one gate, which has `part` of all new flows, may still open for each class
-/// before the next plan.
+/// Returns the number of connections that one gate, which gets the fraction `part` of all new flows,
+/// may open for each class before the next plan.
 ///
-/// Load: trial callers that hold feeds open. Harm: unlike work, a connection can't be lent, as a
-/// feed holds it for hours and is never cut off, so what trial had borrowed could not be given back
-/// when paying callers return. Paying callers have no limit here, because the count is an estimate
-/// and a wrong one must not refuse them.
+/// Unlike work, connections aren't lent: a feed holds its connection for hours and is never cut off,
+/// so connections that trial callers had borrowed couldn't be given back when paying callers return.
+/// Paying callers have no limit here, since the count of open flows is an estimate, and a wrong
+/// estimate must not refuse them.
 #[must_use]
 pub fn connections(open: &OpenFlows, part: f64, pool: &Pool, limits: &Limits) -> Vec<Option<u32>> {
     let all = pool.connections() * limits.connection_ceiling;
