--- a/crates/load/src/throttle.rs
+++ b/crates/load/src/throttle.rs
@@ -1,40 +1,41 @@
 use std::time::Duration;
 
-/// Requests, over what the servers can do, from which on the less urgent make room. Above 1: some of what
-/// comes would be turned away, and places that are kept free are lost.
-const FULL: f64 = 1.15;
-/// Times that an answer takes, over what it takes when nothing waits, below which nobody makes room: the
-/// requests seen here may come from a few busy callers.
+/// Ratio of requests to the servers' capacity above which less urgent flows are refused. It is above
+/// 1, since servers refuse some of the requests anyway, and slots that are kept free are wasted.
+const MAX_DEMAND: f64 = 1.15;
+/// Ratio of the answer time to that without queueing below which no flows are refused: the requests
+/// seen by this balancer may come from a few busy callers.
 pub const WAITS: f64 = 1.5;
-/// Time in which all of the less urgent are refused where twice of what is borne is asked.
+/// Time in which the refused fraction rises to 1 at twice the demand of [`MAX_DEMAND`].
 const RISE: Duration = Duration::from_millis(200);
-/// Time in which none is refused any more where nothing is asked.
+/// Time in which the refused fraction falls to 0 without any demand.
 const FALL: Duration = Duration::from_millis(300);
-/// Longest time between two looks that counts. After a quiet time the first answers say little.
-const STEP_MOST: Duration = Duration::from_millis(50);
+/// Upper bound on the time since the previous update. After a longer pause, the first answers say
+/// little about the load.
+const MAX_STEP: Duration = Duration::from_millis(50);
 
-/// What is known of a service's load.
+/// Load of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pressure {
-    /// Requests a second over what its servers can do.
+    /// Ratio of the requests per second to the capacity of the service's servers.
     pub demand: f64,
-    /// How long its answers take over what they take when nothing waits.
+    /// Ratio of the answer time to that without queueing.
     pub wait: f64,
 }
 
 impl Pressure {
-    /// By how much it is beyond what the servers bear; negative where it is below.
+    /// Returns how far the load is above both limits, relative to them; negative if it is below one.
     fn excess(&self) -> f64 {
-        (self.demand / FULL - 1.0).min(self.wait / WAITS - 1.0)
+        (self.demand / MAX_DEMAND - 1.0).min(self.wait / WAITS - 1.0)
     }
 }
 
-/// Part of the new flows of a service's less urgent routes that is refused, so that its servers keep
-/// places for the urgent ones.
+/// Computes the fraction of new flows to refuse on the less urgent routes of a service, so that its
+/// servers keep slots free for the urgent routes.
 ///
-/// Servers with short queues turn requests away long before answers are late, the urgent like the others.
-/// A limit on each server's expected time doesn't see it: among many servers, of each of which a balancer
-/// sees few answers, one always seems free.
+/// Servers with short queues refuse requests, urgent ones included, long before answers are late. A
+/// limit on the expected answer time of each server doesn't prevent that: with many servers, a
+/// balancer sees few answers of each, so one of them always looks free.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Throttle {
     part: f64,
@@ -42,7 +43,7 @@
 }
 
 impl Throttle {
-    /// Takes in the service's load at present; gives the part to refuse.
+    /// Updates the fraction by the present load of the service, and returns it.
     ///
     /// ```
     /// use std::time::Duration;
@@ -55,7 +56,7 @@
     /// assert_eq!(throttle.part(), 1.0);
     /// ```
     pub fn follow(&mut self, pressure: &Pressure, now: Duration) -> f64 {
-        let passed = now.saturating_sub(self.at).min(STEP_MOST).as_secs_f64();
+        let passed = now.saturating_sub(self.at).min(MAX_STEP).as_secs_f64();
         self.at = self.at.max(now);
         let excess = pressure.excess();
         let time = if excess > 0.0 { RISE } else { FALL };
@@ -64,7 +65,7 @@
         self.part
     }
 
-    /// The part of the less urgent routes' new flows that is refused.
+    /// Returns the fraction of new flows to refuse on the less urgent routes.
     #[must_use]
     pub const fn part(&self) -> f64 {
         self.part
