--- a/crates/load/src/urgency.rs
+++ b/crates/load/src/urgency.rs
@@ -1,34 +1,35 @@
 use std::time::Duration;
 
-/// Time constant of what is remembered of a service's new flows.
-const MEMORY: Duration = Duration::from_secs(5);
-/// Part of a service's new flows from which on a priority counts as in use. Routes that next to nobody
-/// uses decide nothing.
+/// Time constant of the counts of new flows.
+const TIME_CONSTANT: Duration = Duration::from_secs(5);
+/// Minimum fraction of a service's new flows for a priority to count as in use, so that routes that
+/// are hardly used have no effect.
 const IN_USE: f64 = 0.02;
-/// Least sum that is remembered.
-const FORGOTTEN: f64 = 1e-3;
+/// Counts that decay below this are removed.
+const MIN_COUNT: f64 = 1e-3;
 
-/// How a new flow stands to others that use the same servers.
+/// Urgency of a new flow compared with others that use the same servers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Rank {
-    /// Less urgent ones do.
+    /// Whether there are less urgent flows.
     pub urgent: bool,
-    /// More urgent ones do.
+    /// Whether there are more urgent flows.
     pub yields: bool,
 }
 
-/// The priorities of a service's new flows of late.
+/// Priorities of a service's recent new flows.
 ///
-/// By the configuration alone, a route that nobody uses would decide which of the others makes room.
+/// Only priorities in use count. By the configuration alone, a route that nobody uses would determine
+/// whether the flows of other routes are refused.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Priorities {
-    /// New flows by priority, each counting less the older it is.
+    /// Decaying number of new flows by priority.
     sums: Vec<(u32, f64)>,
     at: Duration,
 }
 
 impl Priorities {
-    /// Takes in a new flow with that priority, 0 being the most urgent.
+    /// Records a new flow with a priority, 0 being the most urgent, and returns its rank.
     ///
     /// ```
     /// use std::time::Duration;
@@ -41,9 +42,9 @@
     pub fn add(&mut self, priority: u32, now: Duration) -> Rank {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = self.at.max(now);
-        let keep = (-passed / MEMORY.as_secs_f64()).exp();
+        let keep = (-passed / TIME_CONSTANT.as_secs_f64()).exp();
         self.sums.iter_mut().for_each(|(_, sum)| *sum *= keep);
-        self.sums.retain(|(_, sum)| *sum > FORGOTTEN);
+        self.sums.retain(|(_, sum)| *sum > MIN_COUNT);
         match self.sums.iter_mut().find(|(known, _)| *known == priority) {
             Some((_, sum)) => *sum += 1.0,
             None => self.sums.push((priority, 1.0)),
