--- a/crates/load/tests/it/fixture.rs
+++ b/crates/load/tests/it/fixture.rs
@@ -13,7 +13,7 @@
 /// Index of the trial class in [`pool`].
 pub const TRIAL: usize = 1;
 
-/// The same cases every run, few enough for a debug build.
+/// Uses a fixed seed, and few enough cases for a debug build.
 pub fn config() -> Config {
     Config {
         cases: 64,
@@ -39,7 +39,7 @@
     }
 }
 
-/// A pool of `servers` with a paying class of 4 shares and a trial class of 1.
+/// Creates a pool with a paying class of 4 shares and a trial class of 1.
 pub fn pool(servers: usize) -> Pool {
     let host = Host {
         slots: 2,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A plan in which a thread may let in `total` flows a second.
+/// Creates a plan by which a thread may admit `total` flows per second.
 pub fn plan(pool: &Pool, total: f64) -> Plan {
     let own = (0..pool.classes.len()).map(|class| pool.fraction(class) * total);
     let rates = Rates {
--- a/crates/load/tests/it/main.rs
+++ b/crates/load/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions made under load.
+//! Tests of admission, placement and weights.
 
 mod admit;
 mod delay;
