--- a/crates/load/tests/it/fake.rs
+++ b/crates/load/tests/it/fake.rs
@@ -1,4 +1,5 @@
-//! Servers with slots and a FIFO queue, and eight balancers around the real decision code.
+//! Simulation of servers with slots and a FIFO queue, and of eight balancers that use the real
+//! decision code.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -17,16 +18,16 @@
 
 const BALANCERS: usize = 8;
 const ROUND_TRIP: f64 = 0.004;
-/// Mean work of a request at speed 1, in seconds.
+/// Mean processing time of a request at speed 1, in seconds.
 const WORK: f64 = 0.02;
 
-/// What a balancer sees of a flow, in order of time.
+/// An event that a balancer observes, ordered by time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Sight {
+struct Observation {
     at: Duration,
     server: u16,
     balancer: usize,
-    /// Nothing is answered, but a flow of this class ends.
+    /// Class of a flow that ends; `None` if the event is an answer.
     closed: Option<usize>,
     took: Duration,
 }
@@ -38,28 +39,28 @@
     dead: bool,
 }
 
-/// What became of the flows of one call of [`Fake::run`].
+/// Results of one call of [`Fake::run`].
 #[derive(Debug, Default)]
 pub struct Outcome {
     pub admitted: [u32; 2],
     pub refused: [u32; 2],
-    /// Times that paying callers waited in a server's queue, in seconds.
+    /// Waits of paying callers in a server's queue, in seconds.
     pub waits: Vec<f64>,
-    /// Times to come back.
+    /// Times after which refused callers may retry, in seconds.
     pub after: Vec<f64>,
-    /// Flows placed by server.
+    /// Placed flows by server.
     pub placed: Vec<u32>,
-    /// Work done by the end of the run over what the servers can do.
+    /// Ratio of the work done by the end of the run to the servers' capacity.
     pub goodput: f64,
 }
 
 impl Outcome {
-    /// The part of the flows that `server` got.
+    /// Returns the fraction of the flows that `server` got.
     pub fn part(&self, server: usize) -> f64 {
         f64::from(self.placed[server]) / f64::from(self.placed.iter().sum::<u32>().max(1))
     }
 
-    /// The 99th percentile of waits, in seconds.
+    /// Returns the 99th percentile of waits, in seconds.
     pub fn wait(&self) -> f64 {
         let mut waits = self.waits.clone();
         waits.sort_by(f64::total_cmp);
@@ -67,20 +68,20 @@
     }
 }
 
-/// The whole deployment.
+/// The simulated deployment.
 pub struct Fake {
     pub speeds: Vec<f64>,
     /// Factor on the speed of each server; 0 while it hangs.
     pub factors: Vec<f64>,
-    /// Part of the samples that balancers get to see.
+    /// Fraction of the samples that balancers see.
     pub visible: f64,
     pub weights: Vec<f64>,
-    /// A server and the part of its openings that it resets.
+    /// A server, and the fraction of its openings that it resets.
     pub shed: Option<(usize, f64)>,
     free: Vec<[f64; 2]>,
     balancers: Vec<Balancer>,
-    /// What balancers are about to see.
-    sights: BinaryHeap<Reverse<Sight>>,
+    /// Future events that balancers will observe.
+    observations: BinaryHeap<Reverse<Observation>>,
     rng: Pcg64,
     now: f64,
     tick: u64,
@@ -103,33 +104,34 @@
             shed: None,
             free: vec![[0.0; 2]; speeds.len()],
             balancers: (0..BALANCERS).map(|_| balancer()).collect(),
-            sights: BinaryHeap::new(),
+            observations: BinaryHeap::new(),
             rng: rng(seed),
             now: 0.0,
             tick: 0,
         }
     }
 
-    /// Flows a second that all servers can work through.
+    /// Returns the flows per second that all servers together can process.
     pub fn capacity(&self) -> f64 {
         self.speeds.iter().sum::<f64>() * 2.0 / WORK
     }
 
-    /// A balancer dies; its peers go on with its last counts until they notice at the next tick.
+    /// Kills a balancer; its peers remove it at once, but keep its last counts of open flows.
     pub fn kill(&mut self) {
         self.balancers[3].dead = true;
         let others = self.balancers.iter_mut().filter(|balancer| !balancer.dead);
         others.for_each(|balancer| balancer.controller.forget(3));
     }
 
-    /// What every balancer hears of a server.
+    /// Changes the controller of every balancer.
     pub fn each(&mut self, change: impl Fn(&mut Controller)) {
         self.balancers
             .iter_mut()
             .for_each(|balancer| change(&mut balancer.controller));
     }
 
-    /// Lets paying and trial callers come, at these parts of the capacity, for that many seconds.
+    /// Runs for `length` seconds with Poisson arrivals of paying and trial callers; `demand` is given
+    /// in fractions of the capacity.
     pub fn run(&mut self, length: f64, demand: [f64; 2]) -> Outcome {
         let mut outcome = Outcome {
             placed: vec![0; self.speeds.len()],
@@ -146,13 +148,13 @@
                 return outcome;
             }
             self.now += gap;
-            self.catch_up();
+            self.process_events();
             let paying = self.rng.random_bool(demand[0] / (demand[0] + demand[1]));
-            self.arrive(usize::from(!paying), end, &mut done, &mut outcome);
+            self.handle_arrival(usize::from(!paying), end, &mut done, &mut outcome);
         }
     }
 
-    fn spray(&mut self) -> usize {
+    fn random_balancer(&mut self) -> usize {
         loop {
             let at = self.rng.random_range(0..BALANCERS);
             if !self.balancers[at].dead {
@@ -161,8 +163,8 @@
         }
     }
 
-    fn arrive(&mut self, class: usize, end: f64, done: &mut f64, outcome: &mut Outcome) {
-        let (now, at) = (seconds(self.now), self.spray());
+    fn handle_arrival(&mut self, class: usize, end: f64, done: &mut f64, outcome: &mut Outcome) {
+        let (now, at) = (seconds(self.now), self.random_balancer());
         let ranked = self.rank();
         let Balancer { gate, plan, .. } = &mut self.balancers[at];
         if let Err(refusal) = gate.admit(class, plan, now, &mut self.rng) {
@@ -199,33 +201,33 @@
         if finish <= end {
             *done += work;
         }
-        self.sample(server, at, class, finish);
+        self.observe(server, at, class, finish);
     }
 
-    fn sample(&mut self, server: Server, ingress: usize, class: usize, finish: f64) {
-        let asked = self.spray();
+    fn observe(&mut self, server: Server, ingress: usize, class: usize, finish: f64) {
+        let asked = self.random_balancer();
         self.balancers[asked].gate.tally().asked(server);
         if self.rng.random_bool(self.visible) {
             let took = seconds(ROUND_TRIP);
             self.balancers[ingress].gate.tally().completed(server, took);
         }
-        let last = self.spray();
-        let sight = |balancer, closed| Sight {
+        let last = self.random_balancer();
+        let observation = |balancer, closed| Observation {
             at: seconds(finish),
             server: server.0,
             balancer,
             closed,
             took: seconds(finish - self.now + ROUND_TRIP),
         };
-        let end = sight(last, Some(class));
-        let answer = sight(asked, None);
-        self.sights.push(Reverse(end));
+        let end = observation(last, Some(class));
+        let answer = observation(asked, None);
+        self.observations.push(Reverse(end));
         if self.rng.random_bool(self.visible) {
-            self.sights.push(Reverse(answer));
+            self.observations.push(Reverse(answer));
         }
     }
 
-    /// First and second choice, by the weights as a table of buckets would give them.
+    /// Returns a first and second choice, drawn by weight like the table's buckets.
     fn rank(&mut self) -> [Server; 2] {
         let first = self.pick(None);
         [Server(first), Server(self.pick(Some(first)))]
@@ -247,26 +249,26 @@
         0
     }
 
-    fn catch_up(&mut self) {
+    fn process_events(&mut self) {
         let now = seconds(self.now);
-        while let Some(Reverse(sight)) = self.sights.peek().copied() {
-            if sight.at > now {
+        while let Some(Reverse(observation)) = self.observations.peek().copied() {
+            if observation.at > now {
                 break;
             }
-            self.sights.pop();
-            let tally = self.balancers[sight.balancer].gate.tally();
-            match sight.closed {
-                Some(class) => tally.closed(Server(sight.server), class),
-                None => tally.answered(Server(sight.server), Some(sight.took)),
+            self.observations.pop();
+            let tally = self.balancers[observation.balancer].gate.tally();
+            match observation.closed {
+                Some(class) => tally.closed(Server(observation.server), class),
+                None => tally.answered(Server(observation.server), Some(observation.took)),
             }
         }
         while self.tick as f64 <= self.now {
             self.tick += 1;
-            self.second();
+            self.end_second();
         }
     }
 
-    fn second(&mut self) {
+    fn end_second(&mut self) {
         let now = seconds(self.now);
         let members = self
             .balancers
