--- a/crates/load/tests/it/outcome.rs
+++ b/crates/load/tests/it/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes for callers, through the real decision code of eight balancers.
+//! Effects on callers in a simulation of eight balancers with the real decision code.
 
 use acacia_load::pool::Server;
 use rstest::rstest;
@@ -9,10 +9,10 @@
 };
 
 const SPEEDS: [f64; 6] = [4.0, 1.0, 3.0, 2.0, 1.5, 2.5];
-/// Usual demand: paying and trial, in parts of the capacity.
+/// Usual demand of paying and trial callers, in fractions of the capacity.
 const USUAL: [f64; 2] = [0.5, 0.18];
 
-/// A deployment whose weights have settled, one of whose balancers has just died if `dying`.
+/// Creates a deployment with settled weights; if `dying`, one of its balancers has just died.
 fn settled(seed: u64, dying: bool) -> Fake {
     let mut fake = Fake::new(&SPEEDS, seed);
     fake.run(40.0, USUAL);
@@ -22,7 +22,7 @@
     fake
 }
 
-/// The busiest server's part over its part of the speeds.
+/// Returns the highest ratio of a server's fraction of flows to its fraction of the total speed.
 fn imbalance(fake: &Fake, outcome: &Outcome) -> f64 {
     let sum: f64 = fake.speeds.iter().sum();
     let uses = fake.speeds.iter().enumerate();
@@ -30,8 +30,8 @@
         .fold(0.0, f64::max)
 }
 
-/// Servers were bought over the years, and nobody tells us their speeds. With equal shares the old
-/// ones drown while new ones idle, and seat lists arrive late.
+/// Servers differ in speed, and the speeds aren't configured. With equal weights the slow servers
+/// would be overloaded while the fast ones idle.
 #[rstest]
 fn load_follows_speed(#[values(1, 2)] seed: u64, #[values(false, true)] dying: bool) {
     let mut fake = settled(seed, dying);
@@ -44,8 +44,8 @@
     assert_eq!(outcome.refused[PAYING], 0);
 }
 
-/// Everybody prints trail maps at once, ten times the usual, possibly while a balancer dies. Crew
-/// leaders check in as ever: none may be refused, and none wait noticeably longer.
+/// Trial demand rises to ten times the usual, possibly while a balancer dies. No paying caller may
+/// be refused or wait noticeably longer.
 #[rstest]
 fn a_flood_of_trial_harms_no_paying_caller(#[values(false, true)] dying: bool) {
     let calm = settled(3, false).run(20.0, USUAL);
@@ -59,13 +59,14 @@
     );
     assert!(
         flood.admitted[TRIAL] > calm.admitted[TRIAL] * 9 / 10,
-        "its share stays trial's"
+        "trial callers keep their own share"
     );
 }
 
-/// Trial came first and has borrowed everything in a quiet hour; then paying callers return.
+/// Trial callers have borrowed the whole idle share, and then paying callers return. None of these
+/// may be refused or wait long.
 #[rstest]
-fn paying_callers_take_back_what_was_lent(#[values(false, true)] dying: bool) {
+fn returning_paying_callers_get_their_share(#[values(false, true)] dying: bool) {
     let mut fake = settled(4, false);
     let quiet = fake.run(20.0, [0.001, 1.8]);
     assert!(quiet.goodput > 0.6, "idle share is lent: {}", quiet.goodput);
@@ -78,10 +79,10 @@
     assert!(later.wait() < 0.4, "{}", later.wait());
 }
 
-/// A server hangs while its kernel still accepts connections and its health endpoint says fine.
-/// Every flow placed there waits in silence, so within a few seconds none is.
+/// A server hangs while its kernel still accepts connections and its health endpoint reports no
+/// failure. Flows placed there get no answer, so after a few seconds no more may be placed there.
 #[rstest]
-fn a_hung_server_is_left_alone(#[values(false, true)] dying: bool) {
+fn a_hung_server_is_ejected(#[values(false, true)] dying: bool) {
     let mut fake = settled(5, dying);
     fake.factors[0] = 0.0;
     fake.run(4.0, USUAL);
@@ -90,10 +91,10 @@
     assert_eq!(outcome.refused[PAYING], 0);
 }
 
-/// A server becomes four times as slow, then recovers. Its part falls within seconds, to about what
-/// it can do, and returns by steps, without swinging.
+/// A server becomes four times as slow, then recovers. Its fraction of the flows must fall within
+/// seconds to about its capacity, and return gradually, without oscillation.
 #[rstest]
-fn a_slow_server_loses_its_part_and_gets_it_back(#[values(false, true)] dying: bool) {
+fn a_slow_server_gets_fewer_flows_until_it_recovers(#[values(false, true)] dying: bool) {
     let mut fake = settled(6, dying);
     let usual = fake.run(5.0, USUAL).part(0);
     fake.factors[0] = 0.25;
@@ -109,8 +110,8 @@
     );
 }
 
-/// A server joins cold, at a tenth of its speed. All balancers learn of it at the same time; if they
-/// all sent it its full part, the first callers would wait for it to warm up.
+/// A server joins cold, at a tenth of its speed, and all balancers learn of it at the same time. If
+/// they sent it its full fraction of flows, the first callers would wait for it to warm up.
 #[rstest]
 fn a_cold_server_ramps_up(#[values(false, true)] dying: bool) {
     let mut fake = Fake::new(&SPEEDS, 7);
@@ -132,8 +133,8 @@
     assert!(parts[9] > 0.2, "{parts:?}");
 }
 
-/// Every health endpoint says that its server fails: a bad rollout of the endpoints, not of the
-/// servers. Believed, it would empty the service.
+/// All health endpoints report a failure, for example after a faulty rollout of the endpoints, while
+/// the servers work. If the endpoints alone decided, the service would be left without servers.
 #[test]
 fn wrong_health_endpoints_empty_nothing() {
     let mut fake = settled(8, false);
@@ -147,10 +148,10 @@
     );
 }
 
-/// No sample comes by any more, in the middle of saturation. Nothing is known of servers or
-/// capacity then, so weights return to plain shares and nobody is refused for a figure of the past.
+/// Balancers get no more samples, so they don't know speeds or capacity. Weights must become equal,
+/// and outdated measurements must not cause refusals at saturation.
 #[test]
-fn without_signals_shares_are_plain_and_nobody_is_refused() {
+fn without_samples_weights_become_equal_and_nobody_is_refused() {
     let mut fake = settled(9, false);
     fake.visible = 0.0;
     fake.run(60.0, [0.3, 0.1]);
@@ -163,8 +164,8 @@
     );
 }
 
-/// Twice as many callers come as can be served. Who is let in is served soon, the rest hear so at
-/// once with times to come back that are spread, and servers are kept busy.
+/// Demand is twice the capacity. Admitted callers must be served soon, the others must get different
+/// times to retry, and the servers must stay busy.
 #[rstest]
 fn saturation_keeps_goodput(#[values(false, true)] dying: bool) {
     let mut fake = settled(10, dying);
@@ -181,8 +182,8 @@
     assert!(least > 0.4 && most > 2.5 * least, "{least} {most}");
 }
 
-/// Enrolment opens: a burst at capacity for two seconds, every ten. Nobody within the share is
-/// refused for a burst, and the queue that it leaves is gone before the next.
+/// Every ten seconds, demand is about at capacity for two seconds. Paying callers within their share
+/// must not be refused because of a burst, and its queue must be gone before the next one.
 #[rstest]
 fn a_burst_passes(#[values(false, true)] dying: bool) {
     let mut fake = settled(11, dying);
@@ -194,8 +195,8 @@
     }
 }
 
-/// A server sheds seven of ten openings. Its resets pass no balancer, so callers would go on being
-/// sent there; within a few seconds most aren't.
+/// A server resets seven of ten openings. No balancer sees the resets, and without a sign of them
+/// callers would still be sent there; after a few seconds most of these flows must go elsewhere.
 #[rstest]
 fn a_shedding_server_gets_less(#[values(false, true)] dying: bool) {
     let mut fake = settled(12, dying);
