--- a/crates/load/tests/it/report.rs
+++ b/crates/load/tests/it/report.rs
@@ -10,9 +10,9 @@
 proptest! {
     #![proptest_config(crate::fixture::config())]
 
-    /// Flows open at one balancer and close at another, reports get lost or come twice, and one of
-    /// the three balancers is gone in the end. The sum of open flows is right all the same, so a
-    /// server isn't taken for full, nor a full one for empty.
+    /// Flows open at one balancer and close at another, reports are lost or arrive twice, and one of
+    /// three balancers leaves in the end. The sum of open flows must still be right, or a server
+    /// would be taken for full, or a full one for empty.
     #[test]
     fn open_flows_add_up(
         events in prop::collection::vec((0usize..3, any::<bool>(), any::<bool>()), 1..60),
@@ -45,9 +45,9 @@
     }
 }
 
-/// A few KB a second are all that a balancer may spend on control, and seven peers get a report
-/// each second. At the sizes of today and 2,000 new flows a second at each balancer a report stays
-/// under 320 bytes, 2.2 KB a second to seven peers.
+/// A balancer may send a few KB of control traffic per second. With 15 servers and 2,000 new flows
+/// per second at each balancer, a report stays under 320 bytes; sent to seven peers each second,
+/// that is 2.2 KB per second.
 #[test]
 fn a_report_fits_the_budget() {
     const SERVERS: usize = 15;
@@ -68,8 +68,8 @@
     assert!(bytes.len() < 320, "{}", bytes.len());
 }
 
-/// Nothing but the servers of the old configuration that the new one keeps may carry their counts
-/// over, each to its own new place.
+/// After a change of the configuration, a server that remains keeps its count under its new index,
+/// and new servers start at zero.
 #[test]
 fn a_changed_configuration_keeps_open_flows() {
     let mut peers = Peers::new(2, 1);
