--- a/crates/load/tests/it/place.rs
+++ b/crates/load/tests/it/place.rs
@@ -6,8 +6,8 @@
 proptest! {
     #![proptest_config(crate::fixture::config())]
 
-    /// Signals may say anything; a flow with a choice of servers always gets one, and one that is
-    /// left alone only if all of them are.
+    /// Whatever the state of the servers, a flow gets one of its choices, and an ejected server only
+    /// if all of them are ejected.
     #[test]
     fn a_flow_is_always_placed(
         seed: u64,
@@ -23,8 +23,8 @@
     }
 }
 
-/// One server is over its bound by a quarter, and every balancer hears so at the same time. If all
-/// moved all, the second choice would be next; they move a quarter.
+/// A server spills a quarter of its flows, and all balancers know it at the same time. If each moved
+/// all flows, the second choice would be overloaded next; they must move a quarter.
 #[test]
 fn only_the_excess_moves() {
     let mut plan = Plan::unrestricted(&pool(2));
@@ -36,7 +36,7 @@
     assert!((2_300..2_700).contains(&moved), "{moved}");
 }
 
-/// Every server is over its bound alike. Moving flows about would cost pins and help nobody.
+/// All servers are above their bounds alike. Moving flows would need pins and wouldn't help.
 #[test]
 fn full_saturation_moves_nothing() {
     let mut plan = Plan::unrestricted(&pool(2));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn no_choice_is_no_placement() {
+fn without_servers_there_is_no_placement() {
     assert_eq!(
         choose(&[], &Plan::unrestricted(&pool(0)), &mut rng(1)),
         None
