--- a/crates/load/tests/it/weight.rs
+++ b/crates/load/tests/it/weight.rs
@@ -34,8 +34,8 @@
 proptest! {
     #![proptest_config(crate::fixture::config())]
 
-    /// Whatever the figures say, weights are finite, have a mean of 1, and a server is only left
-    /// without any if it is left alone (the cap on that is the bench's).
+    /// Whatever the measurements, weights are finite and have a mean of 1, and a weight is only 0 if
+    /// the server is ejected. `Ejections` caps the number of ejected servers.
     #[test]
     fn weights_are_always_usable(
         pairs in prop::collection::vec((0.0..4.0f64, any_input()), 1..20),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Weights settle at the measured speeds from any start, and stay.
+    /// Weights converge to the measured speeds from any start.
     #[test]
     fn weights_settle_at_measured_speeds(
         speeds in prop::collection::vec(1.0..4.0f64, 2..16),
@@ -65,10 +65,10 @@
     }
 }
 
-/// Every figure is gone (the sampled packets no longer come by, say). Plain shares are unfair to
-/// slow servers, but every service goes on.
+/// All measurements are missing, for example as no more sampled packets arrive. Equal weights put
+/// more load on slow servers, but every service continues.
 #[test]
-fn without_signals_shares_are_plain() {
+fn without_samples_weights_become_equal() {
     let weights = settle(vec![0.1, 0.4, 1.5, 2.0], &[input(None); 4], 40);
     assert!(
         weights.iter().all(|weight| (weight - 1.0).abs() < 0.01),
@@ -76,10 +76,10 @@
     );
 }
 
-/// A server comes back, or is started cold. Given its full part at once, the first callers would
-/// all wait for it to warm up.
+/// A server returns, or starts cold. With its full weight at once, the first callers would wait for
+/// it to warm up.
 #[test]
-fn a_cold_server_is_filled_by_steps() {
+fn the_weight_of_a_cold_server_rises_by_steps() {
     let limits = Limits::default();
     let inputs = [input(Some(1.0)); 4];
     let mut weights = vec![0.0, 1.0, 1.0, 1.0];
@@ -98,10 +98,10 @@
     assert!(path[14] > 0.95, "{path:?}");
 }
 
-/// A health endpoint that says a server fails may lag by 10 s or lie: in-band figures that look
-/// fine keep most of the server's part.
+/// A health endpoint may lag by 10 s or be wrong. If it reports a failure while the measurements are
+/// good, the server must keep most of its weight.
 #[test]
-fn a_health_endpoint_lowers_but_never_raises() {
+fn a_failing_health_endpoint_lowers_a_weight_only_slightly() {
     let fine = input(Some(1.0));
     let failing = ServerInput {
         trusted: false,
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn noise_is_not_proposed_and_an_ejection_is_at_once() {
+fn noise_is_not_proposed_and_an_ejection_is_proposed_at_once() {
     let limits = Limits::default();
     let mut limiter = ProposalLimiter::default();
     let noise = [1.01, 0.99];
