--- a/crates/load/tests/it/admit.rs
+++ b/crates/load/tests/it/admit.rs
@@ -5,14 +5,14 @@
 
 use crate::fixture::{PAYING, TRIAL, class, plan, pool, rng, seconds};
 
-/// Arrivals and what became of them, by class.
+/// Numbers of admitted and refused flows, by class.
 #[derive(Debug, Default, Clone)]
 struct Outcome {
     admitted: Vec<u32>,
     refused: Vec<u32>,
 }
 
-/// Feeds Poisson arrivals of the given rates from `from` to `to` seconds.
+/// Simulates Poisson arrivals at the given rates between `from` and `to` seconds.
 fn run(
     gate: &mut Gate,
     plan: &Plan,
@@ -47,9 +47,9 @@
 proptest! {
     #![proptest_config(crate::fixture::config())]
 
-    /// A map service on trial is flooded at ten times what the servers can do, before, while or
-    /// after crew leaders check in at a rate within their share. If borrowing went before the
-    /// guarantee, a crew leader would be refused.
+    /// Trial demand is up to ten times the capacity, before and while paying callers arrive at a rate
+    /// within their share. If borrowing had priority over the guarantee, paying callers would be
+    /// refused.
     #[test]
     fn paying_within_its_share_is_never_refused_by_a_flood(
         seed: u64,
@@ -70,10 +70,10 @@
         prop_assert_eq!(outcome.refused[PAYING], 0);
     }
 
-    /// Whatever comes, a thread lets in no more than its part of the capacity and a bounded burst:
-    /// all balancers together can't flood the servers, however old the counts behind the plan are.
+    /// Whatever the demand, a thread admits no more than its rates and a bounded burst. So all
+    /// balancers together can't overload the servers, however old the counts behind the plan are.
     #[test]
-    fn no_more_than_the_rates_and_a_burst_is_let_in(
+    fn admission_is_bounded_by_the_rates_and_a_burst(
         seed: u64,
         total in 50.0..2_000.0f64,
         demands in [0.0..20_000.0f64, 1.0..20_000.0f64],
@@ -88,19 +88,21 @@
         prop_assert!(admitted <= total * 3.0 + burst);
     }
 
-    /// A service floods the pool it shares with another. The other, within its share, is let in.
+    /// One service of a pool gets far more demand than its share. The flows of the others, which are
+    /// within their shares, must be admitted.
     #[test]
     fn a_service_within_its_share_is_not_harmed_by_another(
         seed: u64,
         shares in prop::collection::vec(0.2..3.0f64, 2..6),
         total in 200.0..2_000.0f64,
     ) {
-        prop_assert_eq!(harmed(seed, &shares, total), 0);
+        prop_assert_eq!(refused_within_shares(seed, &shares, total), 0);
     }
 }
 
-/// Flows refused to services within their shares while the first one floods the pool.
-fn harmed(seed: u64, shares: &[f64], total: f64) -> u32 {
+/// Returns the number of refused flows of services within their shares while the first service
+/// floods the pool.
+fn refused_within_shares(seed: u64, shares: &[f64], total: f64) -> u32 {
     let mut pool = pool(4);
     pool.classes = shares
         .iter()
@@ -116,10 +118,11 @@
     outcome.refused[1..].iter().sum()
 }
 
-/// A service of six flows a second at this thread: a coincidence of a dozen arrivals overran its
-/// bucket of 8 flows, and callers within their share were refused. Found by the property above.
+/// A service has a share of six flows per second at this thread. A dozen random arrivals in a short
+/// time once overran its bucket of 8 flows, so callers within their share were refused; the property
+/// test above found it.
 #[test]
-fn a_small_service_is_not_refused_for_a_coincidence() {
+fn a_small_service_is_not_refused_by_chance() {
     let shares = [
         2.2670318805685334,
         0.2,
@@ -127,12 +130,14 @@
         2.4501788729727587,
         1.8639439496503196,
     ];
-    assert_eq!(harmed(8958416674282792030, &shares, 200.0), 0);
+    assert_eq!(
+        refused_within_shares(8958416674282792030, &shares, 200.0),
+        0
+    );
 }
 
-/// Crew leaders are asleep, and somebody prints every map there is; or the other way round.
-/// Refusing what would otherwise idle helps nobody, so all of it is lent, several times the share of
-/// the class on trial.
+/// Only one class has demand. The idle share of the other must be lent to it, since refusals while
+/// capacity is idle help nobody; for trial callers, that is several times their own share.
 #[rstest]
 #[case(TRIAL)]
 #[case(PAYING)]
@@ -150,10 +155,10 @@
     assert!(rate < 1_150.0, "{rate}");
 }
 
-/// While a few paying callers are about, trial may borrow all but the headroom, which keeps the
-/// waits of those few short.
+/// While a few paying callers are active, trial callers may borrow all but the headroom, which keeps
+/// the waits of paying callers short.
 #[test]
-fn the_headroom_is_not_lent_while_paying_callers_are_about() {
+fn the_headroom_is_not_lent_while_paying_callers_are_active() {
     let pool = pool(4);
     let plan = plan(&pool, 1_000.0);
     let mut gate = Gate::new(&pool, Limits::default());
@@ -166,10 +171,10 @@
     assert!(rate < 1.10 * 750.0 / 0.95, "{rate}");
 }
 
-/// Paying callers come back while trial has borrowed everything: within a second trial is back at
-/// what paying leaves, although no plan has changed in the meantime.
+/// Paying callers return while trial callers have borrowed the whole idle share. Within a second,
+/// trial callers must be limited to the remainder, although the plan is still the same.
 #[test]
-fn lent_share_is_taken_back_at_once() {
+fn returning_paying_callers_get_their_share_at_once() {
     let pool = pool(4);
     let plan = plan(&pool, 1_000.0);
     let mut gate = Gate::new(&pool, Limits::default());
@@ -184,14 +189,14 @@
     assert!(later.admitted[TRIAL] < 2_200, "{later:?}");
     assert!(
         later.admitted[TRIAL] > 1_900,
-        "its own fifth is guaranteed to trial: {later:?}"
+        "trial callers keep their guaranteed fifth: {later:?}"
     );
 }
 
-/// Some thousand callers are refused within a moment. Told the same time to come back, they would
-/// return as the same burst.
+/// Thousands of callers are refused at the same time. With equal retry times, they would return as
+/// the same burst.
 #[test]
-fn returns_are_spread() {
+fn retry_times_are_spread() {
     let pool = pool(4);
     let mut plan = plan(&pool, 100.0);
     plan.rates
@@ -214,8 +219,9 @@
     );
 }
 
-/// Trial holds all the connections that it may. What it has borrowed of those can't be given back,
-/// as feeds are never cut, so more are refused even while work is idle; paying ones are not.
+/// Trial callers hold all connections of their share. Borrowed connections couldn't be given back,
+/// since feeds are never cut off, so further trial flows are refused even while work is idle. Paying
+/// callers are still admitted.
 #[test]
 fn connections_are_not_lent_to_trial() {
     let pool = pool(4);
