--- a/crates/load/tests/it/track.rs
+++ b/crates/load/tests/it/track.rs
@@ -32,7 +32,8 @@
     }
 }
 
-/// Feeds packets at their times in milliseconds to a tracker that has seen prompt answers before.
+/// Passes packets, with their times in milliseconds, to a tracker that has seen immediately
+/// acknowledged answers before.
 fn feed(packets: &[(u64, Packet)]) -> Tally {
     let mut tracker = Tracker::new(100, Duration::from_secs(10));
     let mut tally = Tally::new(1, 1);
@@ -49,9 +50,9 @@
     tally
 }
 
-/// The opening and the packet right after it both came by here: the network's time. A balancer that
-/// saw the opening and then only the acknowledgement of the answer must not take the time between
-/// for the network's, or a slow server would look like a long way.
+/// The time between an opening and the packet right after it is the network's. If a balancer sees
+/// the opening and then only the acknowledgement of the answer, it must not take the time between
+/// them for the network's, or a slow server would look like a distant caller.
 #[rstest]
 #[case(packet(Kind::Middle, 0, 101, 500), 1)]
 #[case(packet(Kind::Middle, 300, 101, 500), 1)]
@@ -68,8 +69,8 @@
     );
 }
 
-/// Callers delay the acknowledgement of a single segment, send their next request after a pause and
-/// close when they please. All that says that there was an answer, not how long the server took.
+/// Callers delay the acknowledgement of a single segment, send their next request after a pause, and
+/// close at any time. Such packets show that there was an answer, but not how long the server took.
 #[rstest]
 #[case::two_segments(packet(Kind::Middle, 0, 401, 500 + 2_800), 1, 1)]
 #[case::one_segment(packet(Kind::Middle, 0, 401, 500 + 900), 1, 0)]
@@ -77,7 +78,7 @@
 #[case::next_request(packet(Kind::Middle, 300, 401, 500 + 2_800), 1, 0)]
 #[case::closing(packet(Kind::Closing, 0, 401, 500 + 2_800), 1, 0)]
 #[case::resent_request(packet(Kind::Middle, 300, 101, 500), 0, 0)]
-fn an_answer_is_timed_only_where_that_tells(
+fn an_answer_is_timed_only_if_it_measures_the_server(
     #[case] next: Packet,
     #[case] answered: u32,
     #[case] timed: u32,
@@ -88,10 +89,10 @@
     assert_eq!(count.answering, Duration::from_millis(20) * timed);
 }
 
-/// A service whose answers are all tiny has no prompt acknowledgement; a biased time is better than
-/// none there.
+/// A service whose answers are all tiny has no immediate acknowledgements. All its answers are
+/// timed, since a biased time is better than none.
 #[test]
-fn without_prompt_answers_all_are_timed() {
+fn without_immediate_acknowledgements_all_answers_are_timed() {
     let mut tracker = Tracker::new(100, Duration::from_secs(10));
     let mut tally = Tally::new(1, 1);
     let data = packet(Kind::Middle, 300, 101, 500);
@@ -101,24 +102,24 @@
     assert_eq!(tally.servers[0].timed, 1);
 }
 
-/// Crew leaders hold live feeds open, each with a short line a second. Packets are sprayed over the
-/// balancers, so the next acknowledgement of a feed that a balancer sees may be of a line sent seconds
-/// after the first. Taken for the time of the answer, it made three idle servers look as if they
-/// could take half a flow a second (`event=refusing work_per_slot=3.57 capacity=Some(0.6)`), and
-/// callers who opened flows were refused.
+/// Feeds send a short line per second. The packets of a flow are spread over the balancers, so the
+/// next acknowledgement that a balancer sees may be for a line sent seconds after the first one.
+/// When that was taken for the answer time, three idle servers seemed to have a capacity of about
+/// half a flow per second (`event=refusing work_per_slot=3.57 capacity=Some(0.6)`), and new flows
+/// were refused.
 #[test]
 fn later_lines_of_feeds_make_no_server_look_busy() {
     feeds_make_no_server_look_busy(|_| 7 * 5);
 }
 
-/// The same where lines are so long that callers acknowledge each at once.
+/// The same with lines so long that callers acknowledge each one immediately.
 #[test]
 fn later_long_lines_of_feeds_make_no_server_look_busy() {
     feeds_make_no_server_look_busy(|lines| 3_000 * lines);
 }
 
-/// Feeds with a line a second; one to four lines after the caller's data, `acknowledged` bytes of them are
-/// acknowledged here.
+/// Simulates feeds with a line per second. One to four lines after the caller's data, this balancer
+/// sees an acknowledgement of `acknowledged(lines)` bytes.
 fn feeds_make_no_server_look_busy(acknowledged: fn(u32) -> u32) {
     let (mut tracker, mut tally) = (
         Tracker::new(1_000, Duration::from_secs(20)),
@@ -145,13 +146,13 @@
             let flow = (second as u16) << 8 | feed;
             let lines = 1 + u32::from(feed) % 4;
             let asked = Duration::from_secs(second);
-            let heard = asked + Duration::from_secs(lines.into());
+            let acknowledged_at = asked + Duration::from_secs(lines.into());
             let mut data = packet(Kind::Middle, 30, 101, 500);
             data.key.client_port = flow;
             tracker.observe(&data, SERVER, 0, asked, &mut tally);
             let mut line = packet(Kind::Middle, 0, 131, 500 + acknowledged(lines));
             line.key.client_port = flow;
-            tracker.observe(&line, SERVER, 0, heard, &mut tally);
+            tracker.observe(&line, SERVER, 0, acknowledged_at, &mut tally);
         }
         controller.absorb(&std::mem::replace(&mut tally, Tally::new(1, 1)));
         let (_, plan) = controller.tick(1, Duration::from_secs(second + 1));
@@ -161,7 +162,7 @@
     }
 }
 
-/// A flood of half-open flows must not grow the memory of a small VM without bound.
+/// A flood of half-open flows must not use unbounded memory on a small VM.
 #[test]
 fn the_memory_is_bounded() {
     let mut tracker = Tracker::new(10, Duration::from_secs(10));
