--- a/crates/load/tests/it/overload.rs
+++ b/crates/load/tests/it/overload.rs
@@ -22,10 +22,10 @@
     }
 }
 
-/// Every queue has filled. A caller who would get a late answer is told at once and can go elsewhere,
-/// and those behind it are in time.
+/// All queues are full. A flow that would get a late answer must be refused at once, so that its
+/// caller can go elsewhere and later answers are in time.
 #[test]
-fn nobody_is_let_in_where_all_servers_are_busy() {
+fn no_flow_is_admitted_if_all_servers_are_busy() {
     let verdict = admit(&terms(200, false), 0, 0..14, |_| prospect(0.18, 0.04));
 
     let refusal = verdict.expect_err("all are busy");
@@ -33,17 +33,17 @@
     assert!((refusal.limit - 0.07).abs() < 1e-9, "{refusal:?}");
 }
 
-/// Reservations share their servers with a feed that floods them. The feed must give way first.
+/// Urgent and less urgent flows share overloaded servers. The less urgent must be refused first.
 #[test]
-fn urgent_requests_are_let_in_for_longer() {
+fn urgent_flows_are_admitted_at_higher_load() {
     let busy = |_| prospect(0.12, 0.04);
 
     assert!(admit(&terms(200, false), 0, 0..14, busy).is_err());
     assert_eq!(admit(&terms(200, true), 0, 0..14, busy), Ok(0));
 }
 
-/// Answers take long for a second: the limit falls. Then all is well again: it must not stay low, or
-/// callers are refused for nothing.
+/// The limit must fall while answers are slow, here for a second. Afterwards it must rise again, or
+/// callers would be refused without need.
 #[test]
 fn the_limit_falls_under_load_and_rises_after_it() {
     let (mut limit, latency) = (Limit::default(), Duration::from_millis(200));
@@ -57,7 +57,7 @@
     assert_eq!(limit.part(), loose);
 }
 
-/// One of many servers has room: a flow that was placed at a busy one goes there and isn't refused.
+/// One of many servers is free. A flow placed at a busy one must go there instead of being refused.
 #[test]
 fn a_flow_placed_at_a_busy_server_goes_to_a_free_one() {
     let prospects = |server| prospect(if server == 9 { 0.05 } else { 0.3 }, 0.04);
@@ -65,8 +65,8 @@
     assert_eq!(admit(&terms(200, false), 0, 0..14, prospects), Ok(9));
 }
 
-/// An operator wants answers within 20 ms of servers that take 40. Refusing by that would turn
-/// everybody away from idle servers.
+/// The objective is 20 ms, but an answer takes 40 ms even at an idle server. Refusals by such an
+/// objective would keep all callers from idle servers.
 #[test]
 fn an_objective_that_no_server_can_meet_refuses_nobody() {
     let busy = |_| prospect(0.5, 0.04);
@@ -74,7 +74,8 @@
     assert_eq!(admit(&terms(20, false), 3, 0..14, busy), Ok(3));
 }
 
-/// Right after its start a balancer knows no server's speed. It refuses only what would be late anyway.
+/// Right after its start, a balancer knows no server's speed. It must refuse only flows whose answer
+/// would miss the objective.
 #[test]
 fn before_speeds_are_known_only_late_answers_are_refused() {
     let unknown = |expected| {
@@ -89,8 +90,8 @@
 }
 
 proptest! {
-    /// Whatever the objective, the priorities and the speeds: with a server that has nothing to do and
-    /// could be in time, no flow is refused, and one that is let in goes to a server of the pool.
+    /// Whatever the objective, the priorities and the speeds, no flow is refused while there is an
+    /// idle server that can meet the objective, and an admitted flow goes to a server of the pool.
     #[test]
     fn no_flow_is_refused_while_a_server_is_idle(
         latency in 1..1_000_000u64,
@@ -112,9 +113,9 @@
         prop_assert!(verdict.is_err() || verdict.is_ok_and(|server| server < idle.len()));
     }
 
-    /// The more urgent never need more room than the others.
+    /// A server that takes ordinary flows takes urgent ones too.
     #[test]
-    fn what_admits_the_ordinary_admits_the_urgent(
+    fn urgent_flows_are_admitted_wherever_others_are(
         latency in 1..100_000u64,
         expected in 0.0..100.0f64,
         idle in prop::option::of(0.000_1..10.0f64),
