--- a/crates/load/tests/it/delay.rs
+++ b/crates/load/tests/it/delay.rs
@@ -11,9 +11,10 @@
     ("a".into(), "live".into())
 }
 
-/// A queue of 300 ms drains. What was measured then must not keep flows away for long.
+/// A server had a queue of 300 ms, which has drained. The old measurements must not keep flows away
+/// for long.
 #[test]
-fn old_answers_count_for_next_to_nothing() {
+fn old_answers_hardly_count() {
     let mut delay = Delay::default();
     (0..20).for_each(|number| delay.add(ms(300), ms(number * 10)));
 
@@ -21,10 +22,10 @@
     assert!(delay.mean(0.04, 1.0, ms(2_500)) < 0.06);
 }
 
-/// A server stops answering. Nothing is measured any more, and the last answers were quick: the time
-/// without any must tell.
+/// A server stops answering after fast answers, so there are no new measurements. The time without
+/// an answer must raise the expected time.
 #[test]
-fn a_server_that_answers_nothing_looks_slower_by_the_moment() {
+fn a_server_without_answers_looks_slower_over_time() {
     let (server, service) = names();
     let mut delays = Delays::default();
     delays.answered(&server, &service, ms(40), ms(0));
@@ -35,8 +36,8 @@
     assert!(delays.expected(&server, &service, ms(1_010)) < 0.06);
 }
 
-/// A server was silent and got no flows since, so nothing can show that it answers again. After a
-/// while it must be tried.
+/// A silent server gets no flows, so it has no chance to show that it answers again. After a while
+/// it must be tried.
 #[test]
 fn a_silent_server_is_tried_again() {
     let (server, service) = names();
@@ -49,10 +50,10 @@
     assert!(delays.expected(&server, &service, ms(2_700)) >= 0.5);
 }
 
-/// Servers are replaced for weeks, each under a new name. What was learned of those that left must go,
-/// or memory grows without end.
+/// Servers are replaced for weeks, each under a new name. The state of those that left must be
+/// removed, or memory grows without bound.
 #[test]
-fn servers_that_left_are_forgotten() {
+fn servers_that_left_are_removed() {
     let mut delays = Delays::default();
     let service: Arc<str> = "live".into();
     for number in 0..1_000 {
@@ -84,8 +85,9 @@
 }
 
 proptest! {
-    /// Whatever order packets come in, and if the clock seems to step back between two threads, an
-    /// estimate is a finite time that some answer took or that has passed, and no count is negative.
+    /// Whatever the order of packets, and even if the clock seems to step back between two threads,
+    /// an estimate is finite and at most the longest answer time or time without answers, and no
+    /// count is negative.
     #[test]
     fn estimates_stay_within_what_was_seen(
         events in prop::collection::vec((event(), 0..10_000u64, 0..3u8), 0..200),
