--- a/crates/load/tests/it/throttle.rs
+++ b/crates/load/tests/it/throttle.rs
@@ -12,8 +12,8 @@
     Duration::from_millis(ms)
 }
 
-/// Follows a load that stays the same, from `from` on for a second, a look each 20 ms.
-fn second(throttle: &mut Throttle, demand: f64, wait: f64, from: u64) -> f64 {
+/// Updates the throttle with a constant load every 20 ms for a second, starting at `from`.
+fn follow_for_a_second(throttle: &mut Throttle, demand: f64, wait: f64, from: u64) -> f64 {
     let pressure = Pressure { demand, wait };
     for step in 1..=50 {
         throttle.follow(&pressure, ms(from + step * 20));
@@ -21,37 +21,40 @@
     throttle.part()
 }
 
-/// A feed asks for more than twice what the servers can do, and these turn reservations away as well.
+/// Less urgent demand is more than twice the servers' capacity, so that servers refuse urgent
+/// requests too. The less urgent flows must be refused within a second, and admitted again after the
+/// load.
 #[test]
-fn the_less_urgent_make_room_within_a_second_and_come_back_after_it() {
+fn less_urgent_flows_are_refused_only_during_the_load() {
     let mut throttle = Throttle::default();
 
-    let busy = second(&mut throttle, 2.5, 4.0, 0);
-    let calm = (1..4).map(|from| second(&mut throttle, 0.5, 1.0, from * 1_000));
+    let busy = follow_for_a_second(&mut throttle, 2.5, 4.0, 0);
+    let calm = (1..4).map(|from| follow_for_a_second(&mut throttle, 0.5, 1.0, from * 1_000));
 
     assert!(busy > 0.95, "{busy}");
     assert_eq!(calm.last(), Some(0.0));
 }
 
-/// The callers of one data centre ask for three times as much, while the servers of the others are free.
+/// Demand is three times the capacity by this balancer's estimate, but answers don't wait: the
+/// callers of one data centre send more, while servers elsewhere are free.
 #[test]
-fn nobody_makes_room_while_answers_do_not_wait() {
+fn no_flow_is_refused_while_answers_do_not_wait() {
     let mut throttle = Throttle::default();
 
-    assert_eq!(second(&mut throttle, 3.0, 1.3, 0), 0.0);
+    assert_eq!(follow_for_a_second(&mut throttle, 3.0, 1.3, 0), 0.0);
 }
 
-/// A release has made all answers slower. What is asked is still borne.
+/// A release has made all answers slower, but demand is still below capacity.
 #[test]
-fn nobody_makes_room_while_the_servers_bear_what_is_asked() {
+fn no_flow_is_refused_while_demand_is_below_capacity() {
     let mut throttle = Throttle::default();
 
-    assert_eq!(second(&mut throttle, 0.95, 5.0, 0), 0.0);
+    assert_eq!(follow_for_a_second(&mut throttle, 0.95, 5.0, 0), 0.0);
 }
 
-/// A balancer was suspended, and the first answer after it says that servers are busy.
+/// A balancer was suspended, and the first answer after that indicates busy servers.
 #[test]
-fn a_single_look_after_a_pause_refuses_only_a_part() {
+fn a_single_update_after_a_pause_refuses_only_a_part() {
     let mut throttle = Throttle::default();
     let pressure = Pressure {
         demand: 10.0,
@@ -63,9 +66,10 @@
     assert!(part < 0.5, "{part}");
 }
 
-/// Routes stand in the configuration that nobody uses, some more and some less urgent than those in use.
+/// The configuration contains hardly used routes, more urgent and less urgent than those in use.
+/// They must not change the rank of the others.
 #[test]
-fn a_priority_that_next_to_nobody_uses_decides_nothing() {
+fn a_hardly_used_priority_has_no_effect() {
     let mut priorities = Priorities::default();
     for step in 0..300 {
         let priority = if step % 3 == 0 { 1 } else { 2 };
@@ -88,9 +92,9 @@
     assert_eq!((check_in, feed), (urgent, yields));
 }
 
-/// The urgent callers have gone, and the others go on making room for them.
+/// The urgent callers have gone. The flows of the others must no longer be refused for them.
 #[test]
-fn a_priority_that_is_used_no_more_is_forgotten() {
+fn an_unused_priority_loses_its_effect() {
     let mut priorities = Priorities::default();
     (0..100).for_each(|step| {
         priorities.add(1, ms(step * 10));
@@ -103,10 +107,10 @@
     assert_eq!(priorities.add(2, ms(41_000)), Rank::default());
 }
 
-/// A flood lasts for half a minute. Were its waits taken for the work itself, the less urgent would come
-/// back in the midst of it.
+/// An overload lasts for half a minute. If its waits were taken for the work itself, less urgent
+/// flows would be admitted again in the middle of it.
 #[test]
-fn a_flood_of_half_a_minute_hardly_changes_what_answers_take_without_it() {
+fn an_overload_of_half_a_minute_hardly_changes_the_baseline() {
     let mut baseline = Baseline::default();
     for step in 0..1_000 {
         baseline.add(ms(20 + step % 3 * 10), ms(step * 50));
@@ -122,9 +126,9 @@
     assert!(after < before * 1.8, "{before} {after}");
 }
 
-/// A release has made the work itself longer.
+/// A release has made the work itself longer, and the baseline must follow.
 #[test]
-fn what_answers_take_without_a_flood_is_learned_anew() {
+fn the_baseline_follows_a_lasting_change() {
     let mut baseline = Baseline::default();
     for step in 0..1_000 {
         baseline.add(ms(30), ms(step * 50));
@@ -137,7 +141,7 @@
     assert!(baseline.mean().is_some_and(|mean| mean > 0.045));
 }
 
-/// Demand rises tenfold in a moment: the rate must not take seconds to show it.
+/// Demand rises suddenly to ten times as much. The rate must show it without seconds of delay.
 #[test]
 fn a_burst_shows_in_the_rate_within_a_quarter_of_a_second() {
     let mut rate = Rate::new(ms(0));
@@ -153,7 +157,7 @@
 
 proptest! {
     #[test]
-    fn a_part_is_always_a_part(steps in prop::collection::vec((0.0f64..1e9, 0.0f64..1e9, 0u64..10_000), 1..100)) {
+    fn the_refused_fraction_stays_between_0_and_1(steps in prop::collection::vec((0.0f64..1e9, 0.0f64..1e9, 0u64..10_000), 1..100)) {
         let mut throttle = Throttle::default();
         let mut now = 0;
         for (demand, wait, passed) in steps {
