--- a/crates/cookie/src/resolver/urgency.rs
+++ b/crates/cookie/src/resolver/urgency.rs
@@ -5,7 +5,7 @@
 use acacia_code::Code;
 use acacia_load::{
     overload::LatencyObjective,
-    throttle::{Pressure, WAITS},
+    throttle::{MIN_WAIT, Pressure},
     urgency::Rank,
 };
 use acacia_wire::flow::{mix, uniform};
@@ -69,7 +69,7 @@
             code: Code::LessUrgent,
             server: placed,
             expected: seconds(mean),
-            limit: seconds(baseline * WAITS),
+            limit: seconds(baseline * MIN_WAIT),
         })
     }
 }
--- a/crates/load/src/controller.rs
+++ b/crates/load/src/controller.rs
@@ -208,7 +208,7 @@
     fn update_estimates(&mut self, now: Duration) {
         let silent = self.estimates.silent(&self.limits);
         for server in self.ejections.step(&silent, now, &self.limits) {
-            self.estimates.restart(server);
+            self.estimates.reset(server);
         }
         self.estimates.learn_shed(&self.limits);
         let progress = self.progress();
--- a/crates/load/src/estimate.rs
+++ b/crates/load/src/estimate.rs
@@ -102,7 +102,7 @@
     }
 
     /// Discards the measurements of a server that comes back cold.
-    pub fn restart(&mut self, server: usize) {
+    pub fn reset(&mut self, server: usize) {
         let own = &mut self.servers[server];
         *own = Estimate {
             distrusted: own.distrusted,
