--- a/crates/load/src/speed.rs
+++ b/crates/load/src/speed.rs
@@ -65,7 +65,7 @@
             (self.mean, self.span) = (Some(value), interval.span);
             return;
         };
-        // The variance of a measurement grows as its number of answers falls.
+        // Measurements with fewer answers scatter more, so they prove less.
         let scatter = (limits.samples / interval.timed).sqrt().max(1.0);
         let factor = 1.0 + (limits.change - 1.0) * scatter;
         let outlier = self.outlier.take();
