--- a/crates/load/src/peer.rs
+++ b/crates/load/src/peer.rs
@@ -112,8 +112,8 @@
         for (open, count) in self.own.servers.iter_mut().zip(&tally.servers) {
             *open += f64::from(count.opened) - f64::from(count.closed);
         }
-        for (open, demand) in self.own.classes.iter_mut().zip(&tally.classes) {
-            *open += f64::from(demand.admitted) - f64::from(demand.closed);
+        for (open, count) in self.own.classes.iter_mut().zip(&tally.classes) {
+            *open += f64::from(count.admitted) - f64::from(count.closed);
         }
     }
 
@@ -128,13 +128,10 @@
             *open -= own;
             shed += own;
         }
-        let demands = &self.local.classes;
-        let admitted: f64 = demands
-            .iter()
-            .map(|demand| f64::from(demand.admitted))
-            .sum();
-        for (open, demand) in self.own.classes.iter_mut().zip(demands) {
-            *open -= shed * f64::from(demand.admitted) / admitted.max(1.0);
+        let classes = &self.local.classes;
+        let admitted: f64 = classes.iter().map(|count| f64::from(count.admitted)).sum();
+        for (open, count) in self.own.classes.iter_mut().zip(classes) {
+            *open -= shed * f64::from(count.admitted) / admitted.max(1.0);
         }
     }
 
@@ -149,8 +146,8 @@
         let entry = Peer {
             sequence: report.sequence,
             last_report: now,
-            servers: report.servers.iter().map(|line| line.open).collect(),
-            classes: report.classes.iter().map(|part| part.open).collect(),
+            servers: report.servers.iter().map(|server| server.open).collect(),
+            classes: report.classes.iter().map(|class| class.open).collect(),
         };
         self.peers.insert(peer, entry);
         true
@@ -202,18 +199,18 @@
         self.own.scale(keep);
         self.departed.scale(keep);
         self.sequence = self.sequence.wrapping_add(1);
-        let lines = self.local.servers.iter().zip(&self.own.servers);
-        let parts = self.local.classes.iter().zip(&self.own.classes);
+        let servers = self.local.servers.iter().zip(&self.own.servers);
+        let classes = self.local.classes.iter().zip(&self.own.classes);
         let report = Report {
             revision,
             sequence: self.sequence,
-            servers: lines
+            servers: servers
                 .map(|(count, open)| ServerReport::new(count, open.round() as i32))
                 .collect(),
-            classes: parts
-                .map(|(demand, open)| ClassReport {
-                    admitted: demand.admitted,
-                    refused: demand.refused,
+            classes: classes
+                .map(|(count, open)| ClassReport {
+                    admitted: count.admitted,
+                    refused: count.refused,
                     open: open.round() as i32,
                 })
                 .collect(),
--- a/crates/load/src/rate.rs
+++ b/crates/load/src/rate.rs
@@ -39,9 +39,9 @@
     /// Adds the demand of the last `passed`; `scale` is the ratio of all flows to the counted ones.
     pub fn learn(&mut self, seen: &[ClassCount], scale: f64, passed: Duration, limits: &Limits) {
         let keep = (-passed.as_secs_f64() / limits.fast.as_secs_f64()).exp();
-        for (flow, demand) in self.demand.iter_mut().zip(seen) {
-            flow.admitted = flow.admitted * keep + f64::from(demand.admitted) * scale;
-            flow.refused = flow.refused * keep + f64::from(demand.refused) * scale;
+        for (demand, count) in self.demand.iter_mut().zip(seen) {
+            demand.admitted = demand.admitted * keep + f64::from(count.admitted) * scale;
+            demand.refused = demand.refused * keep + f64::from(count.refused) * scale;
         }
     }
 
@@ -55,7 +55,7 @@
         let shortfall = 1.0 - progress / limits.target;
         let mut classes = pool.classes.iter().zip(&self.demand);
         let paying_refused =
-            classes.any(|(class, flow)| class.mark == Mark::Paying && flow.refused > 1.0);
+            classes.any(|(class, demand)| class.mark == Mark::Paying && demand.refused > 1.0);
         let factor = if shortfall < 0.0 || paying_refused || self.correction < 1.0 {
             1.0 + limits.gain * shortfall.max(-2.0)
         } else {
@@ -87,8 +87,8 @@
             Mark::Paying => pool.fraction(class) * total * limits.margin,
             Mark::Trial => pool.fraction(class) * total,
         };
-        let admitted: f64 = self.demand.iter().map(|flow| flow.admitted).sum();
-        let refused: f64 = self.demand.iter().map(|flow| flow.refused).sum();
+        let admitted: f64 = self.demand.iter().map(|demand| demand.admitted).sum();
+        let refused: f64 = self.demand.iter().map(|demand| demand.refused).sum();
         Some(Rates {
             own: pool.classes.iter().enumerate().map(own).collect(),
             total,
