--- a/crates/load/src/overload.rs
+++ b/crates/load/src/overload.rs
@@ -15,7 +15,7 @@
 /// Time in which the limit rises again. It rises more slowly than it falls, since a flow that is
 /// admitted too early delays all answers.
 const RISE: Duration = Duration::from_secs(2);
-/// Limit for more urgent routes. It doesn't fall, so that the other routes make room for them.
+/// Limit for more urgent routes. It doesn't fall, so that flows of the other routes are refused first.
 const URGENT_PART: f64 = MAX_PART;
 /// A server takes new flows in any case while its answers take at most this many times their time
 /// without queueing. Otherwise a tight objective would admit nothing.
@@ -72,7 +72,7 @@
     }
 }
 
-/// What the operators promise to the callers of a route.
+/// Latency and priority that the operators configure for a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatencyObjective {
     /// Time within which an answer has its full value to them.
