--- a/crates/load/src/limits.rs
+++ b/crates/load/src/limits.rs
@@ -32,7 +32,8 @@
     pub rise: f64,
     /// Largest factor by which a weight falls in one step.
     pub fall: f64,
-    /// Minimum time between two proposals of weights, since each one moves new flows off their base.
+    /// Minimum time between two proposals of weights. Each one moves new flows off the server that
+    /// the base table gives them, which needs pins.
     pub period: Duration,
     /// Relative difference from the weights in force up to which new weights aren't proposed, so
     /// that noise doesn't cause flapping.
