--- a/crates/load/src/admit.rs
+++ b/crates/load/src/admit.rs
@@ -14,6 +14,7 @@
 }
 
 impl Bucket {
+    /// Sets the depth to the tokens of `time`, at least `least`, and adds those of `passed` seconds.
     fn refill(&mut self, rate: f64, time: Duration, least: f64, passed: f64) {
         self.depth = (rate * time.as_secs_f64()).max(least);
         self.tokens = (self.tokens + rate * passed).min(self.depth);
