--- a/crates/load/src/delay.rs
+++ b/crates/load/src/delay.rs
@@ -5,7 +5,7 @@
 use crate::baseline::Baseline;
 
 /// Time constant of [`Delay`]. The queue of a busy server fills and drains within 0.2 to 1 s; over a
-/// much shorter time, each of nine balancers sees almost no answers of a given server.
+/// shorter time, each of nine balancers sees almost no answers of a given server.
 const TIME_CONSTANT: Duration = Duration::from_millis(400);
 /// Time constant of the count of unanswered requests. Each balancer retries a server that answers
 /// nothing about once in this time.
@@ -118,8 +118,8 @@
         self.network + self.work
     }
 
-    /// Returns whether an answer came too fast for the request to have been processed, see
-    /// [`IMPLAUSIBLY_FAST`].
+    /// Returns whether an answer came too fast for the request to have been processed: within the
+    /// network's part and a small fraction of the usual work.
     #[must_use]
     pub fn is_implausibly_fast(&self, took: Duration) -> bool {
         took.as_secs_f64() < self.network + IMPLAUSIBLY_FAST * self.work
