--- a/crates/load/src/throttle.rs
+++ b/crates/load/src/throttle.rs
@@ -24,7 +24,8 @@
 }
 
 impl Pressure {
-    /// Returns how far the load is above both limits, relative to them; negative if it is below one.
+    /// Returns the smaller one of the relative excesses over [`MAX_DEMAND`] and [`MIN_WAIT`], which
+    /// is negative if the load is below either.
     fn excess(&self) -> f64 {
         (self.demand / MAX_DEMAND - 1.0).min(self.wait / MIN_WAIT - 1.0)
     }
