--- a/crates/load/src/gate.rs
+++ b/crates/load/src/gate.rs
@@ -59,15 +59,15 @@
         now: Duration,
         rng: &mut impl Rng,
     ) -> Result<(), Refusal> {
-        let verdict = self.check(class, plan, now);
-        if let Some(demand) = self.tally.classes.get_mut(class) {
-            match verdict {
-                Ok(()) => demand.admitted += 1,
-                Err(_) => demand.refused += 1,
+        let result = self.check(class, plan, now);
+        if let Some(count) = self.tally.classes.get_mut(class) {
+            match result {
+                Ok(()) => count.admitted += 1,
+                Err(_) => count.refused += 1,
             }
         }
         let pressure = plan.rates.as_ref().map_or(1.0, |rates| rates.pressure);
-        verdict.map_err(|reason| Refusal::new(reason, pressure, &self.limits, rng))
+        result.map_err(|reason| Refusal::new(reason, pressure, &self.limits, rng))
     }
 
     /// Places an admitted flow on one of `ranked`, its servers in order of preference. Returns the
