--- a/crates/load/src/eject.rs
+++ b/crates/load/src/eject.rs
@@ -35,10 +35,10 @@
 /// Returns whether a server answers far less than the others do, see [`Limits::silence`].
 ///
 /// A server may hang while its kernel still accepts connections and its health endpoint reports no
-/// failure; every flow placed there then waits without an answer. It shows by data that goes to the
-/// server without an acknowledgement that advances. Each balancer sees only a part of the packets,
-/// so the fraction is compared with that of the others and not with 1. `trusted` is false while the
-/// health endpoint reports a failure; half of the evidence is then enough.
+/// failure; every flow placed there then waits without an answer. Balancers see that data goes to
+/// the server but no acknowledgement advances. Each balancer sees only a part of the packets, so the
+/// fraction of answers is compared with that of the others and not with 1. `trusted` is false while
+/// the health endpoint reports a failure; half of the evidence is then enough.
 #[must_use]
 pub fn silent(window: &Window, others: &Window, trusted: bool, limits: &Limits) -> bool {
     let evidence = if trusted {
