--- a/crates/cookie/src/cold.rs
+++ b/crates/cookie/src/cold.rs
@@ -97,7 +97,7 @@
         let rate = self.rates.entry(Arc::clone(service));
         let rate = rate.or_insert_with(|| Rate::new(now));
         rate.add(now);
-        let rate = rate.a_second(now);
+        let rate = rate.per_second(now);
         uniform(mix(flow ^ SALT)) < ration.probability(servers, rate)
     }
 
--- a/crates/cookie/src/resolver.rs
+++ b/crates/cookie/src/resolver.rs
@@ -296,7 +296,9 @@
                 self.timings.push(Timing::Opening { server, took });
             }
             Observation::AnsweredAfter(took)
-                if server.idle.is_some_and(|idle| idle.is_hasty(took)) =>
+                if server
+                    .idle
+                    .is_some_and(|idle| idle.is_implausibly_fast(took)) =>
             {
                 self.record_answer(&server.id, now);
                 self.failed(&server.id, now);
@@ -319,7 +321,7 @@
 
     /// Records that the server has answered.
     fn record_answer(&mut self, server: &Arc<str>, now: Duration) {
-        self.delays.lives(server);
+        self.delays.responded(server);
         self.answered.insert(Arc::clone(server), now);
     }
 
--- a/crates/cookie/src/resolver/open.rs
+++ b/crates/cookie/src/resolver/open.rs
@@ -219,7 +219,7 @@
         if rank.yields {
             self.throttle_less_urgent(snapshot, service, flow, placed, now)?;
         }
-        let quiet = self.delays.quiet(service, now);
+        let quiet = self.delays.since_last_answer(service, now);
         let limit = self.limits.entry(Arc::clone(service)).or_default();
         if !rank.urgent {
             let mean = self.delays.usual(service, now) - quiet;
@@ -227,7 +227,7 @@
         }
         let part = limit.part();
         let terms = Terms {
-            demand,
+            objective: demand,
             urgent: rank.urgent,
             part,
         };
--- a/crates/cookie/src/resolver/urgency.rs
+++ b/crates/cookie/src/resolver/urgency.rs
@@ -4,8 +4,8 @@
 
 use acacia_code::Code;
 use acacia_load::{
-    overload::Demand,
-    throttle::{Pressure, WAITS},
+    overload::LatencyObjective,
+    throttle::{MIN_WAIT, Pressure},
     urgency::Rank,
 };
 use acacia_wire::flow::{mix, uniform};
@@ -18,7 +18,12 @@
 
 impl Resolver {
     /// Records a new flow's priority, and returns how urgent it is among recent flows of its service.
-    pub(super) fn rank(&mut self, service: &Arc<str>, demand: &Demand, now: Duration) -> Rank {
+    pub(super) fn rank(
+        &mut self,
+        service: &Arc<str>,
+        demand: &LatencyObjective,
+        now: Duration,
+    ) -> Rank {
         let Some(priority) = demand.priority else {
             return Rank::default();
         };
@@ -42,7 +47,7 @@
         let Some(baseline) = self.delays.baseline(service) else {
             return Ok(());
         };
-        let quiet = self.delays.quiet(service, now);
+        let quiet = self.delays.since_last_answer(service, now);
         let mean = self.delays.usual(service, now) - quiet;
         let pools = snapshot.pools.iter();
         let slots: u32 = pools
@@ -50,7 +55,7 @@
             .map(|pool| pool.slots)
             .sum();
         let requests = self.requests.get(service);
-        let rate = requests.map_or(0.0, |requests| requests.a_second(now));
+        let rate = requests.map_or(0.0, |requests| requests.per_second(now));
         let pressure = Pressure {
             demand: rate * f64::from(snapshot.balancers) * baseline / f64::from(slots.max(1)),
             wait: mean / baseline,
@@ -64,7 +69,7 @@
             code: Code::LessUrgent,
             server: placed,
             expected: seconds(mean),
-            limit: seconds(baseline * WAITS),
+            limit: seconds(baseline * MIN_WAIT),
         })
     }
 }
--- a/crates/cookie/src/speed.rs
+++ b/crates/cookie/src/speed.rs
@@ -118,7 +118,7 @@
 impl Entry {
     /// Requests per second that it answers with each slot; `None` before the first measurement.
     fn speed_per_slot(&self) -> Option<f64> {
-        Some(self.speed.questions()? / f64::from(self.slots.max(1)))
+        Some(self.speed.requests_per_second()? / f64::from(self.slots.max(1)))
     }
 }
 
--- a/crates/load/src/controller.rs
+++ b/crates/load/src/controller.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use crate::{
-    eject::Bench,
+    eject::Ejections,
     estimate::{Estimate, Estimates},
     limits::Limits,
     peer::Peers,
@@ -10,10 +10,10 @@
     rate::{Governor, connections},
     report::Report,
     tally::Tally,
-    weight::{self, Pace, Sight},
+    weight::{self, ProposalLimiter, ServerInput},
 };
 
-/// The control thread's part of the decisions on one pool.
+/// State of the control thread for one pool.
 #[derive(Debug, Clone)]
 pub struct Controller {
     pool: Pool,
@@ -22,16 +22,16 @@
     peers: Peers,
     estimates: Estimates,
     governor: Governor,
-    bench: Bench,
-    pace: Pace,
+    ejections: Ejections,
+    limiter: ProposalLimiter,
     in_force: Vec<f64>,
     plan: u64,
     last: Option<Duration>,
 }
 
 impl Controller {
-    /// A controller without any figure, for a balancer with `threads` traffic threads. Weights are
-    /// equal until [`Controller::in_force`] says otherwise.
+    /// Creates a controller without measurements for a balancer with `threads` traffic threads. All
+    /// weights are equal until [`Controller::set_weights`] is called.
     ///
     /// ```
     /// use std::time::Duration;
@@ -51,8 +51,8 @@
             peers: Peers::new(servers, classes),
             estimates: Estimates::new(servers),
             governor: Governor::new(classes),
-            bench: Bench::new(servers),
-            pace: Pace::default(),
+            ejections: Ejections::new(servers),
+            limiter: ProposalLimiter::default(),
             in_force: vec![1.0; servers],
             plan: 0,
             last: None,
@@ -62,18 +62,23 @@
         }
     }
 
-    /// The controller for a changed configuration. `servers` and `classes` give the old index of
-    /// each new one, and nothing for those that are new: a new server starts cold. What peers
-    /// report counts again once they have changed as well; until then this balancer goes by its
-    /// own eighth.
+    /// Returns the controller for a changed configuration. `servers` and `classes` contain the old
+    /// index of each server and class, or `None` for new ones; a new server starts cold. Reports of
+    /// peers count again when the peers have the new configuration too; until then this balancer
+    /// uses its own counts only, about an eighth of all with 8 balancers.
     #[must_use]
-    pub fn renew(self, pool: Pool, servers: &[Option<usize>], classes: &[Option<usize>]) -> Self {
+    pub fn reconfigure(
+        self,
+        pool: Pool,
+        servers: &[Option<usize>],
+        classes: &[Option<usize>],
+    ) -> Self {
         let new = Controller::new(pool, self.limits.clone(), self.threads);
         let weight = |index: &Option<usize>| index.map_or(0.0, |index| self.in_force[index]);
         Controller {
-            peers: self.peers.renew(servers, classes),
-            estimates: self.estimates.renew(servers),
-            bench: self.bench.renew(servers),
+            peers: self.peers.remap(servers, classes),
+            estimates: self.estimates.remap(servers),
+            ejections: self.ejections.remap(servers),
             in_force: servers.iter().map(weight).collect(),
             plan: self.plan,
             last: self.last,
@@ -81,38 +86,40 @@
         }
     }
 
-    /// Traffic threads of this balancer, among which each plan is divided.
+    /// Returns the number of traffic threads of this balancer. The rates of a plan are those of one
+    /// thread.
     #[must_use]
     pub fn threads(&self) -> u32 {
         self.threads
     }
 
-    /// Adds what a gate has counted.
+    /// Adds the counts of a gate.
     pub fn absorb(&mut self, tally: &Tally) {
         self.peers.absorb(tally);
     }
 
-    /// Adds a peer's report. One that was made under another configuration or merged before is
-    /// ignored, which it says by false.
+    /// Adds a peer's report. Returns `false` and ignores the report if it is for another revision of
+    /// the configuration, a duplicate, or older than the last one.
     pub fn merge(&mut self, peer: u16, report: &Report, now: Duration) -> bool {
         report.revision == self.pool.revision && self.peers.merge(peer, report, now)
     }
 
-    /// A peer has left, died or been started anew.
+    /// Removes a peer that has left, died or restarted.
     pub fn forget(&mut self, peer: u16) {
         self.peers.forget(peer);
     }
 
-    /// What a server's health endpoint says. It lags or misleads, so it only ever lowers trust.
-    pub fn health(&mut self, server: Server, fine: bool) {
+    /// Sets what a server's health endpoint reports. The endpoint may lag or be wrong, so it only
+    /// lowers the trust in a server and never raises it.
+    pub fn set_health(&mut self, server: Server, healthy: bool) {
         if let Some(estimate) = self.estimates.servers.get_mut(server.index()) {
-            estimate.distrusted = !fine;
+            estimate.distrusted = !healthy;
         }
     }
 
-    /// Whether a server is leaving (draining) or not yet in use: it gets no new flows. One that
-    /// comes back starts cold.
-    pub fn leaving(&mut self, server: Server, leaving: bool) {
+    /// Sets whether a server is draining or not yet in use, so that it gets no new flows. A server
+    /// that comes back starts cold.
+    pub fn set_leaving(&mut self, server: Server, leaving: bool) {
         if let Some(estimate) = self.estimates.servers.get_mut(server.index()) {
             if estimate.leaving && !leaving {
                 *estimate = Estimate::default();
@@ -121,9 +128,9 @@
         }
     }
 
-    /// The weights of the table of new flows that is in force now, in any unit; 0 for a server
-    /// that is not in it.
-    pub fn in_force(&mut self, weights: &[f64]) {
+    /// Sets the weights of the present table of new flows, in any unit; 0 for a server that the
+    /// table doesn't contain.
+    pub fn set_weights(&mut self, weights: &[f64]) {
         let sum: f64 = weights.iter().sum();
         if weights.len() == self.in_force.len() && sum > 0.0 {
             let factor = weights.len() as f64 / sum;
@@ -131,22 +138,23 @@
         }
     }
 
-    /// Work in progress a slot over the servers in use, from the last seconds.
+    /// Returns the work in progress per slot of the servers in use, over the last seconds.
     #[must_use]
     pub fn progress(&self) -> Option<f64> {
         self.estimates
-            .progress(&self.pool, |server| !self.out(server))
+            .progress(&self.pool, |server| !self.gets_no_flows(server))
     }
 
-    /// Measured capacity of a server in new flows a second, less what it sheds.
+    /// Returns the measured capacity of a server in new flows per second, without the part that it
+    /// sheds.
     #[must_use]
     pub fn capacity(&self, server: Server) -> Option<f64> {
         self.estimates.capacity(server.index())
     }
 
-    /// Ends a second (or so): takes what was absorbed and merged since the last call, and gives
-    /// the report for the peers and the next plan for each of the gates. `members` are the
-    /// balancers among which the fabric spreads new flows now, this one included.
+    /// Ends a tick, which is about a second long. Uses the counts absorbed and merged since the last
+    /// call, and returns the report for the peers and the next plan for each gate. `members` is the
+    /// number of balancers among which the fabric spreads new flows now, including this one.
     pub fn tick(&mut self, members: usize, now: Duration) -> (Report, Plan) {
         let passed = self
             .last
@@ -155,49 +163,52 @@
         let members = members.max(1);
         let fresh = self.peers.fresh(now, &self.limits).min(members);
         let shed: Vec<f64> = self.estimates.servers.iter().map(|own| own.shed).collect();
-        self.peers.uncount(&shed);
-        let (report, seen) = self.peers.turn(self.pool.revision, passed, &self.limits);
-        // Counts of silent peers are missing: what the others saw stands for them, as the fabric
-        // spreads packets evenly.
+        self.peers.subtract_shed(&shed);
+        let (report, seen) = self
+            .peers
+            .end_tick(self.pool.revision, passed, &self.limits);
+        // Scales the counts up for peers without a recent report: the fabric spreads packets evenly,
+        // so the missing counts are like those of the others.
         let scale = members as f64 / fresh as f64;
         self.estimates
             .learn(&seen, scale, passed, now, &self.pool, &self.limits);
         self.governor
             .learn(&seen.classes, scale, passed, &self.limits);
-        self.judge(now);
+        self.update_estimates(now);
         let part = 1.0 / (members as f64 * f64::from(self.threads));
         (report, self.plan(part, now))
     }
 
-    /// Better weights for the table of new flows, by index of server with a mean of 1, if they are
-    /// worth a change. Only the balancer that may write the table asks.
+    /// Returns new weights for the table of new flows, by index of server and with a mean of 1, if
+    /// they differ enough to be worth a change. Only the balancer that may write the table calls
+    /// this.
     pub fn weights(&mut self, now: Duration) -> Option<Vec<f64>> {
-        let blind = self.estimates.blind(now, &self.limits);
-        let sight = |(server, own): (usize, &Estimate)| Sight {
-            capacity: self.estimates.capacity(server).filter(|_| !blind),
-            ejected: self.out(server),
+        let lacks_samples = self.estimates.lacks_samples(now, &self.limits);
+        let input = |(server, own): (usize, &Estimate)| ServerInput {
+            capacity: self.estimates.capacity(server).filter(|_| !lacks_samples),
+            ejected: self.gets_no_flows(server),
             trusted: !own.distrusted,
         };
-        let sights: Vec<Sight> = self
+        let inputs: Vec<ServerInput> = self
             .estimates
             .servers
             .iter()
             .enumerate()
-            .map(sight)
+            .map(input)
             .collect();
-        let new = weight::next(&self.in_force, &sights, &self.limits);
-        let due = self.pace.due(&self.in_force, &new, now, &self.limits);
+        let new = weight::next(&self.in_force, &inputs, &self.limits);
+        let due = self.limiter.due(&self.in_force, &new, now, &self.limits);
         due.then_some(new)
     }
 
-    fn out(&self, server: usize) -> bool {
-        self.estimates.servers[server].leaving || self.bench.ejected(server)
+    fn gets_no_flows(&self, server: usize) -> bool {
+        self.estimates.servers[server].leaving || self.ejections.ejected(server)
     }
 
-    fn judge(&mut self, now: Duration) {
+    fn update_estimates(&mut self, now: Duration) {
         let silent = self.estimates.silent(&self.limits);
-        for server in self.bench.step(&silent, now, &self.limits) {
-            self.estimates.restart(server);
+        for server in self.ejections.step(&silent, now, &self.limits) {
+            self.estimates.reset(server);
         }
         self.estimates.learn_shed(&self.limits);
         let progress = self.progress();
@@ -212,20 +223,20 @@
         self.plan += 1;
         let standing = |(server, own): (usize, &Estimate)| Standing {
             spill: own.spill,
-            ejected: self.out(server),
+            ejected: self.gets_no_flows(server),
         };
-        let usable = (0..self.pool.hosts.len()).filter(|server| !self.out(*server));
+        let usable = (0..self.pool.hosts.len()).filter(|server| !self.gets_no_flows(*server));
         let capacity = |server| self.estimates.capacity(server);
         let known: Vec<f64> = usable.clone().filter_map(capacity).collect();
         let (pool, limits) = (&self.pool, &self.limits);
-        let blind = self.estimates.blind(now, limits);
+        let lacks_samples = self.estimates.lacks_samples(now, limits);
         let rates = || {
             self.governor
                 .rates(&known, usable.count(), part, pool, limits)
         };
         Plan {
             number: self.plan,
-            rates: if blind { None } else { rates() },
+            rates: if lacks_samples { None } else { rates() },
             standings: self
                 .estimates
                 .servers
--- a/crates/load/tests/it/report.rs
+++ b/crates/load/tests/it/report.rs
@@ -3,16 +3,16 @@
 
 use crate::fixture::seconds;
 
-fn turn(peers: &mut Peers) -> Report {
-    peers.turn(1, seconds(1.0), &Limits::default()).0
+fn end_tick(peers: &mut Peers) -> Report {
+    peers.end_tick(1, seconds(1.0), &Limits::default()).0
 }
 
 proptest! {
     #![proptest_config(crate::fixture::config())]
 
-    /// Flows open at one balancer and close at another, reports get lost or come twice, and one of
-    /// the three balancers is gone in the end. The sum of open flows is right all the same, so a
-    /// server isn't taken for full, nor a full one for empty.
+    /// Flows open at one balancer and close at another, reports are lost or arrive twice, and one of
+    /// three balancers leaves in the end. The sum of open flows must still be right, or a server
+    /// would be taken for full, or a full one for empty.
     #[test]
     fn open_flows_add_up(
         events in prop::collection::vec((0usize..3, any::<bool>(), any::<bool>()), 1..60),
@@ -29,14 +29,14 @@
                 open -= 1;
             }
             all[at].absorb(&tally);
-            let report = turn(&mut all[at]);
+            let report = end_tick(&mut all[at]);
             if delivered && at != 0 {
                 all[0].merge(at as u16, &report, seconds(1.0));
                 all[0].merge(at as u16, &report, seconds(1.0));
             }
         }
         for at in 1..3 {
-            let report = turn(&mut all[at]);
+            let report = end_tick(&mut all[at]);
             all[0].merge(at as u16, &report, seconds(2.0));
         }
         all[0].forget(2);
@@ -45,9 +45,9 @@
     }
 }
 
-/// A few KB a second are all that a balancer may spend on control, and seven peers get a report
-/// each second. At the sizes of today and 2,000 new flows a second at each balancer a report stays
-/// under 320 bytes, 2.2 KB a second to seven peers.
+/// A balancer may send a few KB of control traffic per second. With 15 servers and 2,000 new flows
+/// per second at each balancer, a report stays under 320 bytes; sent to seven peers each second,
+/// that is 2.2 KB per second.
 #[test]
 fn a_report_fits_the_budget() {
     const SERVERS: usize = 15;
@@ -64,18 +64,18 @@
         }
     }
     peers.absorb(&tally);
-    let bytes = postcard::to_stdvec(&turn(&mut peers)).expect("a report can be encoded");
+    let bytes = postcard::to_stdvec(&end_tick(&mut peers)).expect("a report can be encoded");
     assert!(bytes.len() < 320, "{}", bytes.len());
 }
 
-/// Nothing but the servers of the old configuration that the new one keeps may carry their counts
-/// over, each to its own new place.
+/// After a change of the configuration, a server that remains keeps its count under its new index,
+/// and new servers start at zero.
 #[test]
 fn a_changed_configuration_keeps_open_flows() {
     let mut peers = Peers::new(2, 1);
     let mut tally = Tally::new(2, 1);
     (0..5).for_each(|_| tally.opened(Server(1)));
     peers.absorb(&tally);
-    let peers = peers.renew(&[Some(1), None, None], &[Some(0)]);
+    let peers = peers.remap(&[Some(1), None, None], &[Some(0)]);
     assert_eq!(peers.open().servers, vec![5.0, 0.0, 0.0]);
 }
