--- a/crates/flow/src/control.rs
+++ b/crates/flow/src/control.rs
@@ -56,7 +56,7 @@
     lost_at: u64,
     /// Owners out of hearing, and when the last of them fell silent.
     silent: Vec<Node>,
-    silent_at: u64,
+    owner_unreachable_at: u64,
     /// Since when some peer has gone by another settled set.
     disagree_since: Option<u64>,
     /// When copies of pins last came in.
@@ -103,7 +103,7 @@
             lost: Vec::new(),
             lost_at: now,
             silent: Vec::new(),
-            silent_at: now,
+            owner_unreachable_at: now,
             disagree_since: None,
             copied_at: 0,
             seen_members: false,
@@ -222,10 +222,10 @@
     }
 
     /// Those of them that can be reached.
-    fn heard(&self, now: u64) -> Vec<u16> {
+    fn reachable(&self, now: u64) -> Vec<u16> {
         let reach = self.settings.reach;
-        let heard = self.alive().filter(|peer| peer.is_heard(now, reach));
-        heard
+        let reachable = self.alive().filter(|peer| peer.is_reachable(now, reach));
+        reachable
             .map(|peer| peer.member.node.id)
             .chain([self.me.id])
             .collect()
--- a/crates/flow/src/control/peer.rs
+++ b/crates/flow/src/control/peer.rs
@@ -84,7 +84,7 @@
         self.version = 0;
     }
 
-    pub(super) fn is_heard(&self, now: u64, bound: u64) -> bool {
+    pub(super) fn is_reachable(&self, now: u64, bound: u64) -> bool {
         now <= self.echoed + bound
     }
 }
--- a/crates/flow/src/control/publish.rs
+++ b/crates/flow/src/control/publish.rs
@@ -28,7 +28,7 @@
 
     /// Balancers that were already owners when they were first heard of: after a cut that lasted
     /// until each side took the other for gone, both hold pins that the other does not know.
-    pub(super) fn strangers(&self) -> bool {
+    pub(super) fn has_unmerged_owners(&self) -> bool {
         let grown = self
             .alive()
             .filter(|peer| peer.member.stage != Stage::Joining);
@@ -49,11 +49,14 @@
             self.lost_at = now;
         }
         self.lost = lost;
-        let heard = self.heard(now);
-        let silent = self.settled.iter().filter(|node| !heard.contains(&node.id));
+        let reachable = self.reachable(now);
+        let silent = self
+            .settled
+            .iter()
+            .filter(|node| !reachable.contains(&node.id));
         let silent: Vec<Node> = silent.copied().collect();
         if silent.iter().any(|node| !self.silent.contains(node)) {
-            self.silent_at = now;
+            self.owner_unreachable_at = now;
         }
         self.silent = silent;
     }
@@ -61,10 +64,10 @@
     /// From when on flows whose owners are out of hearing may be opened on their base: those owners
     /// have stopped placing flows elsewhere, as they miss this balancer's echoes, and what they
     /// placed before has been resent.
-    fn parted_from(&self) -> u64 {
+    fn partitioned_from(&self) -> u64 {
         let apart = !self.silent.is_empty() || self.peers.values().any(|peer| peer.member.dead);
         match apart {
-            true => self.silent_at + self.settings.free + self.settings.settle,
+            true => self.owner_unreachable_at + self.settings.free + self.settings.settle,
             false => u64::MAX,
         }
     }
@@ -76,7 +79,7 @@
         let complete = self.is_handed_over(digest(&target));
         let heard = self
             .alive()
-            .all(|peer| peer.has_flags && peer.is_heard(now, self.settings.sure));
+            .all(|peer| peer.has_flags && peer.is_reachable(now, self.settings.sure));
         // An owner that may not yet place flows off their base sends new ones to a draining server.
         // A change of flags that never settles must not keep it from owning flows for ever.
         let patient = now < self.joining_since + self.settings.patience;
@@ -135,7 +138,7 @@
     pub(super) fn hears_all(&self, now: u64) -> bool {
         self.peers.values().all(|peer| {
             let joining = peer.member.stage == Stage::Joining;
-            !peer.member.dead && (joining || peer.is_heard(now, self.settings.free))
+            !peer.member.dead && (joining || peer.is_reachable(now, self.settings.free))
         })
     }
 
@@ -156,21 +159,21 @@
         let latest = self.alive().map(|peer| peer.echoed).max().unwrap_or(now);
         let informed = self.alive().filter(grown).all(|peer| peer.has_flags) && self.seen_members;
         let (ready, target) = (self.ready(), self.target());
-        let free = self.hears_all(now);
+        let reaches_all = self.hears_all(now);
         let owns = self.stage != Stage::Joining && !self.departed;
         let steady = self.settled == ready && ready == target && self.previous == self.settled;
         Snapshot {
             me: self.me,
-            sure_until: if informed { oldest + sure } else { 0 },
-            awake_until: latest + sure,
+            flags_complete_until: if informed { oldest + sure } else { 0 },
+            fresh_until: latest + sure,
             owner: owns,
-            free: free && owns,
-            strangers: self.strangers(),
+            off_base_allowed: reaches_all && owns,
+            has_unmerged_owners: self.has_unmerged_owners(),
             missing: self.missing().into(),
-            parted_from: self.parted_from(),
-            silent_at: self.silent_at,
+            partitioned_from: self.partitioned_from(),
+            owner_unreachable_at: self.owner_unreachable_at,
             alive: self.living().into(),
-            heard: self.heard(now).into(),
+            reachable: self.reachable(now).into(),
             settled: Arc::clone(&self.settled),
             previous: Arc::clone(&self.previous),
             ready,
@@ -193,8 +196,8 @@
             Entry {
                 service: Arc::clone(service),
                 flags,
-                open: self.flags.open(&address, now, settle),
-                aged: match address.protocol {
+                off_base: self.flags.open(&address, now, settle),
+                udp_observed: match address.protocol {
                     Protocol::Tcp => Bitmap::default(),
                     // A new owner has not seen the flows that are on their base.
                     Protocol::Udp if now < self.settled_at + IDLE_DATAGRAMS => Bitmap::default(),
--- a/crates/flow/src/resolve.rs
+++ b/crates/flow/src/resolve.rs
@@ -129,7 +129,8 @@
     }
 
     fn ingress(&mut self) -> Verdict {
-        let flagged = !self.snapshot.is_sure(self.now) || self.entry.flags.contains(self.bucket);
+        let flagged =
+            !self.snapshot.are_flags_complete(self.now) || self.entry.flags.contains(self.bucket);
         match self.packet.kind {
             Kind::Opening { .. } if flagged || self.entry.guarded => self.find_owner(),
             Kind::Opening { .. } => self.open_on_base(),
@@ -168,13 +169,13 @@
         }
     }
 
-    fn ask_policy(&mut self, free: bool, refusable: bool) -> Placement {
+    fn ask_policy(&mut self, off_base_allowed: bool, refusable: bool) -> Placement {
         (self.place)(&Request {
             service: self.service,
             bucket: self.bucket,
             hash: self.hash,
             packet: self.packet,
-            free,
+            off_base_allowed,
             refusable,
         })
     }
@@ -184,7 +185,7 @@
         if id == self.snapshot.me.id {
             self.snapshot.is_owner(self.now)
         } else {
-            self.snapshot.is_heard(id)
+            self.snapshot.is_reachable(id)
         }
     }
 
--- a/crates/flow/src/resolve/owner.rs
+++ b/crates/flow/src/resolve/owner.rs
@@ -34,8 +34,8 @@
             return self.follow(pin, chain);
         }
         let opens = matches!(self.packet.kind, Kind::Opening { .. });
-        let may_open = opens && self.snapshot.is_parted(self.now);
-        if !may_open && !self.snapshot.is_complete(self.hash) {
+        let may_open = opens && self.snapshot.is_partitioned(self.now);
+        if !may_open && !self.snapshot.knows_all_pins(self.hash) {
             return drop(Code::OwnerIncomplete);
         }
         match self.packet.kind {
@@ -73,13 +73,13 @@
             return drop(Code::FlowServerUnknown);
         }
         let moved = pin.phase == Phase::Opening && pin.server != self.base();
-        if moved && !self.snapshot.hears_owners(self.hash) {
+        if moved && !self.snapshot.reaches_owners(self.hash) {
             // The packet that should have told the other owner may have been lost to a cut. The
             // other side then knows nothing of the pin, and may have opened the flow on its base.
             return drop(Code::OwnersUnreachable);
         }
         let phase = self.phase_after(pin.phase, pin.age(self.now));
-        if moved && self.snapshot.was_apart_since(&pin) {
+        if moved && self.snapshot.was_owner_unreachable_since(&pin) {
             // Only the packet's kind says that the flow got further, and it may have done so through
             // the other side of a cut, to another server. Each packet passes the other owners, who
             // know, until one of them has set the pin right or asked about it: followed by itself, the
@@ -107,7 +107,7 @@
     }
 
     pub(super) fn hears_all(&self, chain: &Chain) -> bool {
-        chain.ids().iter().all(|&id| self.snapshot.is_heard(id))
+        chain.ids().iter().all(|&id| self.snapshot.is_reachable(id))
     }
 
     pub(super) fn seconds(&self) -> u32 {
@@ -139,21 +139,21 @@
         }
         // An owner before this one may be placing flows still, unheard by this balancer alone.
         let is_first = chain.ids().first() == Some(&self.snapshot.me.id);
-        if !is_first && !self.snapshot.is_parted(self.now) {
+        if !is_first && !self.snapshot.is_partitioned(self.now) {
             return drop(Code::OwnersUnreachable);
         }
         if self.waits_for_owners(chain) {
             return drop(Code::OwnersUnreachable);
         }
         let room = self.shard.has_room();
-        let (free, refusable) = (self.is_free(chain) && room, self.is_refusable());
-        let server = match self.ask_policy(free, refusable) {
+        let (off_base_allowed, refusable) = (self.is_free(chain) && room, self.is_refusable());
+        let server = match self.ask_policy(off_base_allowed, refusable) {
             Placement::Refuse { retry_after } if refusable => {
                 return Action::Refuse { retry_after }.into();
             }
             Placement::Refuse { .. } => return drop(Code::FlowUnsettled),
-            Placement::Nowhere if free => return drop(Code::ServerNone),
-            Placement::Server(server) if free => server,
+            Placement::Nowhere if off_base_allowed => return drop(Code::ServerNone),
+            Placement::Server(server) if off_base_allowed => server,
             _ => self.base(),
         };
         if room {
@@ -167,7 +167,7 @@
     /// and a flow off its base needs every owner. A lost heartbeat lasts less than the caller's
     /// retransmissions. When owners stay unreachable, the base serves.
     fn waits_for_owners(&self, chain: &Chain) -> bool {
-        let apart = !self.hears_owners(chain) && !self.snapshot.is_parted(self.now);
+        let apart = !self.reaches_owners(chain) && !self.snapshot.is_partitioned(self.now);
         apart && self.is_base_closed()
     }
 
@@ -175,20 +175,20 @@
     /// placed elsewhere.
     fn is_base_closed(&self) -> bool {
         self.packet.key.protocol == Protocol::Tcp
-            && self.entry.open.contains(self.bucket)
+            && self.entry.off_base.contains(self.bucket)
             && !self.service.is_eligible(self.base())
     }
 
-    fn hears_owners(&self, chain: &Chain) -> bool {
-        self.snapshot.free && self.hears_all(chain)
+    fn reaches_owners(&self, chain: &Chain) -> bool {
+        self.snapshot.off_base_allowed && self.hears_all(chain)
     }
 
     pub(super) fn is_free(&self, chain: &Chain) -> bool {
-        let open = self.hears_owners(chain) && self.entry.open.contains(self.bucket);
+        let open = self.reaches_owners(chain) && self.entry.off_base.contains(self.bucket);
         // Nothing marks the first packet of a flow of datagrams. Only an owner that has seen all
         // that lives in the bucket knows a new flow; a server that is down keeps none alive.
         let known_new = self.packet.key.protocol == Protocol::Tcp
-            || self.entry.aged.contains(self.bucket)
+            || self.entry.udp_observed.contains(self.bucket)
             || !self.is_serving(self.base());
         open && known_new
     }
@@ -201,13 +201,13 @@
     }
 
     pub(super) fn is_refusable(&self) -> bool {
-        let seen = self.entry.refusable || self.entry.open.contains(self.bucket);
-        matches!(self.packet.kind, Kind::Opening { .. }) && self.snapshot.free && seen
+        let seen = self.entry.refusable || self.entry.off_base.contains(self.bucket);
+        matches!(self.packet.kind, Kind::Opening { .. }) && self.snapshot.off_base_allowed && seen
     }
 
     pub(super) fn pin_new(&mut self, server: u16, isn: u16, chain: &Chain) -> Verdict {
         let sticky = self.service.strict || self.entry.moved.contains(self.bucket);
-        let settled = self.snapshot.free && self.entry.open.contains(self.bucket);
+        let settled = self.snapshot.off_base_allowed && self.entry.off_base.contains(self.bucket);
         if !self.service.servers.contains_key(&server) {
             return drop(Code::FlowServerUnknown);
         }
@@ -230,7 +230,7 @@
 
     /// Whether an owner out of hearing may hold a pin of the flow that this one knows nothing of.
     pub(super) fn may_be_half_made(&self) -> bool {
-        self.entry.flags.contains(self.bucket) && !self.snapshot.hears_owners(self.hash)
+        self.entry.flags.contains(self.bucket) && !self.snapshot.reaches_owners(self.hash)
     }
 
     /// A flood of openings fills the room for pins. Flows that need none still open; the others
@@ -261,14 +261,14 @@
         // The last in the chain first: it may be one that joins, of which the others have not all
         // heard. Told by somebody who has, it knows of the flow whatever the rest does.
         let rest = || chain.ids().iter().rev().copied().filter(|&id| !is_told(id));
-        if waits && rest().any(|id| !self.snapshot.is_heard(id)) {
+        if waits && rest().any(|id| !self.snapshot.is_reachable(id)) {
             return drop(Code::OwnersUnreachable);
         }
         let purpose = match self.packet.kind {
             Kind::Closing | Kind::Reset => Purpose::Release,
             _ => Purpose::Replicate,
         };
-        match rest().find(|&id| self.snapshot.is_heard(id)) {
+        match rest().find(|&id| self.snapshot.is_reachable(id)) {
             Some(to) if waits || self.hops < MAX_HOPS => {
                 self.redirect(to, purpose, pin.server, told.with(me))
             }
@@ -278,7 +278,7 @@
 
     /// An owner before this one in the chain has placed the flow, or followed its pin.
     pub(super) fn told(&mut self, header: &Redirect) -> Verdict {
-        if !self.snapshot.is_awake(self.now) {
+        if !self.snapshot.is_fresh(self.now) {
             return drop(Code::NotOwner);
         }
         let chain = self.snapshot.chain(self.hash);
@@ -326,7 +326,7 @@
         // This one may be half-made, as a cut came after it, and an owner that knew nothing of it has
         // placed the flow on its base. That owner goes by its own; so must this one, or the opening
         // meets one server, and the packets after it another, which resets them.
-        if header.server == self.base() && self.snapshot.was_apart_since(pin) {
+        if header.server == self.base() && self.snapshot.was_owner_unreachable_since(pin) {
             return false;
         }
         let owners = pair(self.hash, &self.snapshot.target).map(|node| node.map(|node| node.id));
--- a/crates/flow/src/snapshot.rs
+++ b/crates/flow/src/snapshot.rs
@@ -108,10 +108,10 @@
     /// Buckets in which some balancer may hold pins.
     pub flags: Bitmap,
     /// Buckets in which this balancer, as an owner, may place flows off their base.
-    pub open: Bitmap,
+    pub off_base: Bitmap,
     /// Buckets flagged for so long that every live flow of datagrams in them was seen by its owner:
     /// one that is unknown there is new.
-    pub aged: Bitmap,
+    pub udp_observed: Bitmap,
     /// Buckets whose base changed in tables that not every balancer has yet.
     pub moved: Bitmap,
     /// Whether opening packets pass through the owners in every bucket.
@@ -154,27 +154,27 @@
     /// This balancer.
     pub me: Node,
     /// Until when the flags are known to be complete. Later, every bucket counts as flagged.
-    pub sure_until: u64,
+    pub flags_complete_until: u64,
     /// Until when this snapshot is in touch with the others. One from before a freeze is not.
-    pub awake_until: u64,
+    pub fresh_until: u64,
     /// Whether this balancer answers as an owner.
     pub owner: bool,
     /// Whether flows may be placed off their base: no balancer is out of hearing.
-    pub free: bool,
+    pub off_base_allowed: bool,
     /// Balancers that are neither dead nor gone, this one included.
     pub alive: Arc<[Node]>,
     /// Those of `alive` that can be reached, this one included.
-    pub heard: Arc<[u16]>,
+    pub reachable: Arc<[u16]>,
     /// Owners' set whose handover is complete: the two that rank first in it hold every pin.
     pub settled: Arc<[Node]>,
     /// Members of `settled` that fell silent, and may be cut off with pins of their own.
     pub missing: Arc<[Node]>,
     /// Whether balancers have come back that owned flows on their own meanwhile.
-    pub strangers: bool,
+    pub has_unmerged_owners: bool,
     /// From when on flows whose owners are out of hearing may be opened, on their base.
-    pub parted_from: u64,
+    pub partitioned_from: u64,
     /// When an owner was last found to be out of hearing.
-    pub silent_at: u64,
+    pub owner_unreachable_at: u64,
     /// Balancers that own flows now.
     pub ready: Arc<[Node]>,
     /// Balancers that will own flows after those that join or leave have done so.
@@ -190,8 +190,8 @@
 impl Snapshot {
     /// Whether the flags are complete at `now`.
     #[must_use]
-    pub fn is_sure(&self, now: u64) -> bool {
-        now <= self.sure_until
+    pub fn are_flags_complete(&self, now: u64) -> bool {
+        now <= self.flags_complete_until
     }
 
     /// Whether this balancer may answer as an owner at `now`.
@@ -200,19 +200,19 @@
     /// by now.
     #[must_use]
     pub fn is_owner(&self, now: u64) -> bool {
-        self.owner && self.is_awake(now)
+        self.owner && self.is_fresh(now)
     }
 
     /// Whether the snapshot is recent enough at `now` to act on what it says of ownership.
     #[must_use]
-    pub fn is_awake(&self, now: u64) -> bool {
-        now <= self.awake_until
+    pub fn is_fresh(&self, now: u64) -> bool {
+        now <= self.fresh_until
     }
 
     /// Whether `id` can be reached.
     #[must_use]
-    pub fn is_heard(&self, id: u16) -> bool {
-        self.heard.contains(&id)
+    pub fn is_reachable(&self, id: u16) -> bool {
+        self.reachable.contains(&id)
     }
 
     /// The balancers that must know of the flow with hash `hash`.
@@ -240,15 +240,15 @@
 
     /// Whether all that hold the pins of the flow can be reached, those gone for certain aside.
     #[must_use]
-    pub fn hears_owners(&self, hash: u64) -> bool {
-        let is_heard = |node: Node| {
+    pub fn reaches_owners(&self, hash: u64) -> bool {
+        let is_reachable = |node: Node| {
             let known = self.alive.contains(&node) || self.missing.contains(&node);
-            !known || (self.is_heard(node.id) && !self.missing.contains(&node))
+            !known || (self.is_reachable(node.id) && !self.missing.contains(&node))
         };
         pair(hash, &self.settled)
             .into_iter()
             .flatten()
-            .all(is_heard)
+            .all(is_reachable)
     }
 
     /// Whether owners have been out of hearing for so long that a flow opened now is none of theirs.
@@ -257,24 +257,24 @@
     /// owners pinned before the cut has been resent by then, and while any owner is missing new
     /// flows go to their base on both sides of a cut, so that both choose the same server.
     #[must_use]
-    pub fn is_parted(&self, now: u64) -> bool {
-        !self.free && now >= self.parted_from
+    pub fn is_partitioned(&self, now: u64) -> bool {
+        !self.off_base_allowed && now >= self.partitioned_from
     }
 
     /// Whether an owner has been out of hearing since a pin was made: the packet that should have told
     /// that owner may be lost.
     #[must_use]
-    pub fn was_apart_since(&self, pin: &Pin) -> bool {
-        u64::from(pin.synced) * 1_000 <= self.silent_at
+    pub fn was_owner_unreachable_since(&self, pin: &Pin) -> bool {
+        u64::from(pin.synced) * 1_000 <= self.owner_unreachable_at
     }
 
     /// Whether this balancer, having no pin of the flow, knows that there is none.
     #[must_use]
-    pub fn is_complete(&self, hash: u64) -> bool {
+    pub fn knows_all_pins(&self, hash: u64) -> bool {
         let owners = pair(hash, &self.settled);
         let known = |node: &Node| *node == self.me;
         let lost = |node: &Node| !self.alive.contains(node) && !self.missing.contains(node);
-        if self.strangers {
+        if self.has_unmerged_owners {
             return false;
         }
         owners.iter().flatten().any(known) || owners.iter().flatten().all(lost)
--- a/crates/flow/src/verdict.rs
+++ b/crates/flow/src/verdict.rs
@@ -96,7 +96,7 @@
     /// The packet that opens the flow.
     pub packet: &'a Packet,
     /// Whether a server other than the base may be chosen.
-    pub free: bool,
+    pub off_base_allowed: bool,
     /// Whether the flow may be refused.
     pub refusable: bool,
 }
--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -266,7 +266,7 @@
 
 /// The servers that may take the flow, best first: only the base where the flow may not leave it.
 fn choices(request: &Request<'_>) -> Vec<u16> {
-    if !request.free {
+    if !request.off_base_allowed {
         return vec![request.service.base[request.bucket]];
     }
     place::ranked(request)
