--- a/crates/flow/src/control.rs
+++ b/crates/flow/src/control.rs
@@ -109,7 +109,7 @@
             seen_members: false,
             turned: now,
             flags: Flags::default(),
-            handover: Handover::new(settings.budget, now),
+            handover: Handover::new(settings.copy_rate, now),
         }
     }
 
@@ -223,7 +223,7 @@
 
     /// Those of them that can be reached.
     fn reachable(&self, now: u64) -> Vec<u16> {
-        let reach = self.settings.reach;
+        let reach = self.settings.peer_timeout;
         let reachable = self.alive().filter(|peer| peer.is_reachable(now, reach));
         reachable
             .map(|peer| peer.member.node.id)
@@ -287,7 +287,7 @@
     }
 
     fn refresh(&mut self, now: u64) {
-        let linger = self.settings.sure + LINGER;
+        let linger = self.settings.flags_timeout + LINGER;
         let apart = !self.hears_all(now);
         self.news |= self.flags.refresh(&self.tables, now, linger, apart);
     }
@@ -334,7 +334,7 @@
         self.handover.start_shard(index, count, &view);
         // A peer that knows of a change first sends its pins before this balancer has heard what
         // they are for. It counts them as handed over; dropped here, they would be lost.
-        let grace = self.settings.grace;
+        let grace = self.settings.handover_grace;
         let fresh = now < self.copied_at + grace;
         shard.sweep(now, |key: &Key, pin: &mut Pin| {
             let address = Address::of(key);
--- a/crates/flow/src/control/publish.rs
+++ b/crates/flow/src/control/publish.rs
@@ -14,7 +14,7 @@
 impl Control {
     /// Joins anew after a freeze that may have outlasted this balancer's membership.
     pub(super) fn rejoin(&mut self, now: u64) {
-        let lapsed = now > self.turned + self.settings.lapse;
+        let lapsed = now > self.turned + self.settings.stall_timeout;
         self.turned = now;
         if lapsed && self.stage == Stage::Ready {
             self.stage = Stage::Joining;
@@ -67,7 +67,11 @@
     fn partitioned_from(&self) -> u64 {
         let apart = !self.silent.is_empty() || self.peers.values().any(|peer| peer.member.dead);
         match apart {
-            true => self.owner_unreachable_at + self.settings.free + self.settings.settle,
+            true => {
+                self.owner_unreachable_at
+                    + self.settings.off_base_timeout
+                    + self.settings.flag_settle_delay
+            }
             false => u64::MAX,
         }
     }
@@ -79,11 +83,11 @@
         let complete = self.is_handed_over(digest(&target));
         let heard = self
             .alive()
-            .all(|peer| peer.has_flags && peer.is_reachable(now, self.settings.sure));
+            .all(|peer| peer.has_flags && peer.is_reachable(now, self.settings.flags_timeout));
         // An owner that may not yet place flows off their base sends new ones to a draining server.
         // A change of flags that never settles must not keep it from owning flows for ever.
-        let patient = now < self.joining_since + self.settings.patience;
-        let open = self.flags.all_open(now, self.settings.settle) || !patient;
+        let patient = now < self.joining_since + self.settings.join_timeout;
+        let open = self.flags.all_open(now, self.settings.flag_settle_delay) || !patient;
         if self.stage == Stage::Joining && complete && heard && open && self.seen_members {
             self.stage = Stage::Ready;
             self.news = true;
@@ -111,7 +115,7 @@
 
     fn settle(&mut self, settled: Arc<[Node]>, now: u64) {
         self.previous = std::mem::replace(&mut self.settled, settled);
-        self.previous_until = now + self.settings.grace;
+        self.previous_until = now + self.settings.handover_grace;
         self.settled_at = now;
     }
 
@@ -138,7 +142,7 @@
     pub(super) fn hears_all(&self, now: u64) -> bool {
         self.peers.values().all(|peer| {
             let joining = peer.member.stage == Stage::Joining;
-            !peer.member.dead && (joining || peer.is_reachable(now, self.settings.free))
+            !peer.member.dead && (joining || peer.is_reachable(now, self.settings.off_base_timeout))
         })
     }
 
@@ -147,7 +151,7 @@
         self.rejoin(now);
         self.advance(now);
         self.acknowledge_flags(now);
-        let sure = self.settings.sure;
+        let sure = self.settings.flags_timeout;
         // One that joins holds no pins that others do not, and redirects whatever it can't know.
         let grown = |peer: &&Peer| peer.member.stage != Stage::Joining;
         let oldest = self
@@ -184,7 +188,7 @@
     }
 
     pub(super) fn entries(&self, now: u64) -> Map<Address, Entry> {
-        let settle = self.settings.settle;
+        let settle = self.settings.flag_settle_delay;
         let informed = self.peers.values().map(|peer| peer.tables).min();
         let dead = self.peers.values().any(|peer| peer.member.dead);
         let entry = |service: &Arc<Service>| {
--- a/crates/flow/src/control/settings.rs
+++ b/crates/flow/src/control/settings.rs
@@ -9,43 +9,43 @@
 pub struct Settings {
     /// Milliseconds without an echo from a peer after which it is not asked any more. Echoes are
     /// up to one second old with heartbeats of half a second, so two in a row may be lost.
-    pub reach: u64,
+    pub peer_timeout: u64,
     /// Milliseconds without an echo from a peer after which no flow is placed off its base. Shorter
-    /// than `sure`: a peer that stops hearing this balancer must not answer for its flows before
+    /// than `flags_timeout`: a peer that stops hearing this balancer must not answer for its flows before
     /// this balancer has stopped.
-    pub free: u64,
+    pub off_base_timeout: u64,
     /// Milliseconds without an echo from a peer after which flags are no longer known to be
     /// complete.
-    pub sure: u64,
+    pub flags_timeout: u64,
     /// Milliseconds for which a bucket is flagged everywhere before flows are placed off its base.
     /// An opening that was sent to the base before the flag is resent after 1 and 3 s (RFC 6298),
     /// and must still meet the same server.
-    pub settle: u64,
+    pub flag_settle_delay: u64,
     /// Milliseconds for which former owners keep their pins and are still told of new ones after
     /// a handover: longer than any two balancers' views of it lie apart.
-    pub grace: u64,
+    pub handover_grace: u64,
     /// Milliseconds without a turn of the control thread after which this balancer joins anew.
     /// Shorter than the time after which the membership takes a silent balancer for gone: from
     /// then on others place flows that this one has not heard of.
-    pub lapse: u64,
+    pub stall_timeout: u64,
     /// Milliseconds for which one that joins waits until it may place flows off their base. Three
-    /// times `settle`: flags that change again and again start it anew.
-    pub patience: u64,
+    /// times `flag_settle_delay`: flags that change again and again start it anew.
+    pub join_timeout: u64,
     /// Bytes a second for copies of pins, to all peers together.
-    pub budget: u32,
+    pub copy_rate: u32,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            reach: 2_000,
-            free: 3_000,
-            sure: 4_000,
-            settle: 3_200,
-            grace: 10_000,
-            lapse: 15_000,
-            patience: 10_000,
-            budget: 2_000,
+            peer_timeout: 2_000,
+            off_base_timeout: 3_000,
+            flags_timeout: 4_000,
+            flag_settle_delay: 3_200,
+            handover_grace: 10_000,
+            stall_timeout: 15_000,
+            join_timeout: 10_000,
+            copy_rate: 2_000,
         }
     }
 }
--- a/crates/flow/tests/it/bounds.rs
+++ b/crates/flow/tests/it/bounds.rs
@@ -122,7 +122,7 @@
 #[test]
 fn copies_keep_to_their_budget() {
     let settings = Settings {
-        budget: 150,
+        copy_rate: 150,
         ..Settings::default()
     };
     let tables = tables(service(Protocol::Tcp, 0..4, 1));
--- a/crates/node/src/control/core/rejoin.rs
+++ b/crates/node/src/control/core/rejoin.rs
@@ -77,8 +77,8 @@
 /// the server there resets them, as soon as the platform's list no longer names the dead one. Peers
 /// place no flow off its base while an owner is out of hearing, and don't call it gone for as long
 /// as the platform lists it; so what it knew when it was suspended still holds. After
-/// [`FlowSettings::lapse`] callers may have used their ports again.
+/// [`FlowSettings::stall_timeout`] callers may have used their ports again.
 fn keeps_pins(cause: Cause) -> bool {
-    let lapse = Duration::from_millis(FlowSettings::default().lapse);
+    let lapse = Duration::from_millis(FlowSettings::default().stall_timeout);
     matches!(cause, Cause::Frozen(jump) if jump <= lapse)
 }
