--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -138,12 +138,12 @@
             .map(|id| Node { id, incarnation: 0 })
             .collect();
         let pin = Pin {
-            synced: self.now.as_secs() as u32,
+            synced_at: self.now.as_secs() as u32,
             isn: 1,
             server: PINNED_TO,
             phase: Phase::Open,
-            light: false,
-            asked: 0,
+            short_lived: false,
+            queries: 0,
         };
         let flows = u64::from(size.pins) * u64::from(size.peers) / 2;
         for flow in 0..flows {
--- a/crates/flow/src/control.rs
+++ b/crates/flow/src/control.rs
@@ -345,7 +345,7 @@
             if !view.keeps(hash) && !fresh && pin.age(now) > grace {
                 return false;
             }
-            if !pin.light {
+            if !pin.short_lived {
                 self.flags.note_pin(service, service.bucket(hash));
             }
             self.handover.note(key, pin, now, &view);
--- a/crates/flow/src/control/handover.rs
+++ b/crates/flow/src/control/handover.rs
@@ -40,7 +40,7 @@
 
 impl Packed {
     fn new(key: &Key, pin: &Pin, now: u64) -> Self {
-        let age = match pin.asked > 0 && pin.phase == Phase::Opening {
+        let age = match pin.queries > 0 && pin.phase == Phase::Opening {
             true => QUESTION,
             false => (pin.age(now) / AGE).min(u64::from(QUESTION) - 1) as u8,
         };
@@ -62,12 +62,12 @@
         };
         let age = self.state >> 3;
         let pin = Pin {
-            synced: (now.saturating_sub(u64::from(age) * AGE) / 1_000) as u32,
+            synced_at: (now.saturating_sub(u64::from(age) * AGE) / 1_000) as u32,
             isn: 0,
             server: self.server,
             phase: Phase::from_number(self.state & 7),
-            light: false,
-            asked: u8::from(age == QUESTION),
+            short_lived: false,
+            queries: u8::from(age == QUESTION),
         };
         (key, pin)
     }
@@ -239,11 +239,11 @@
     /// Lists a pin met in the pass for those that need a copy; and one of an opening that is on
     /// its way out for the other owners, as a question.
     pub(super) fn note(&mut self, key: &Key, pin: &mut Pin, now: u64, view: &View<'_>) {
-        if pin.light {
+        if pin.short_lived {
             return;
         }
         let hash = key.hash();
-        let was_there = u64::from(pin.synced) * 1_000 <= view.lost_at;
+        let was_there = u64::from(pin.synced_at) * 1_000 <= view.lost_at;
         if pin.phase == Phase::Opening && was_there && view.lost_owner(hash) {
             // Only the lost one may have known that the flow got further. Forgetting it would send
             // its next packet to another server; keeping an opening that came to nothing costs a
@@ -256,15 +256,15 @@
             view.receivers(hash)
                 .for_each(|node| self.list(node.id, key, pin));
         }
-        if pin.is_fading(now) && view.misses_owner(hash) {
+        if pin.is_expiring(now) && view.misses_owner(hash) {
             // A cut came between the opening and the caller's next packet, which only the owner out of
             // hearing has seen. It can't be asked, and a question under way is dropped with its
             // connection. Forgotten meanwhile, the flow would be sent to its base by an owner that
             // seems to know all pins, and reset. So the pin is held as it is until the other can be
             // asked, or is gone.
-            pin.hold_fading(now);
-        } else if pin.is_question_due(now) {
-            pin.asked += 1;
+            pin.extend_expiring(now);
+        } else if pin.is_query_due(now) {
+            pin.queries += 1;
             view.others(hash)
                 .for_each(|node| self.list(node.id, key, pin));
         }
--- a/crates/flow/src/control/publish.rs
+++ b/crates/flow/src/control/publish.rs
@@ -5,7 +5,7 @@
 use super::{Control, Peer, Stage, TARGETS};
 use crate::{
     bitmap::Bitmap,
-    pin::IDLE_DATAGRAMS,
+    pin::UDP_IDLE_TIMEOUT,
     rank::{Node, digest},
     snapshot::{Address, Entry, Service, Snapshot},
 };
@@ -204,8 +204,8 @@
                 udp_observed: match address.protocol {
                     Protocol::Tcp => Bitmap::default(),
                     // A new owner has not seen the flows that are on their base.
-                    Protocol::Udp if now < self.settled_at + IDLE_DATAGRAMS => Bitmap::default(),
-                    Protocol::Udp => self.flags.open(&address, now, IDLE_DATAGRAMS),
+                    Protocol::Udp if now < self.settled_at + UDP_IDLE_TIMEOUT => Bitmap::default(),
+                    Protocol::Udp => self.flags.open(&address, now, UDP_IDLE_TIMEOUT),
                 },
                 moved: self.flags.moved(&address),
                 guarded: self.flags.is_guarded(&address) || guarded.into_iter().any(|w| w.guarded),
--- a/crates/flow/src/resolve/owner.rs
+++ b/crates/flow/src/resolve/owner.rs
@@ -7,7 +7,7 @@
 
 use super::{Step, drop, forward};
 use crate::{
-    pin::{CACHE, LATE, Phase, Pin},
+    pin::{HALF_CLOSED_DELAY, HINT_TTL, Phase, Pin},
     rank::pair,
     snapshot::{Chain, State},
     verdict::{Action, Notice, Placement, Verdict},
@@ -23,7 +23,7 @@
     }
 
     pub(super) fn is_reuse(&self, pin: &Pin) -> bool {
-        let ended = matches!(pin.phase, Phase::Half | Phase::Closing | Phase::Reset);
+        let ended = matches!(pin.phase, Phase::HalfClosed | Phase::Closing | Phase::Reset);
         let removed = !self.service.servers.contains_key(&pin.server);
         matches!(self.packet.kind, Kind::Opening { isn } if (ended || removed) && isn as u16 != pin.isn)
     }
@@ -52,12 +52,12 @@
     /// been told so, and a new flow on the same ports must not be placed elsewhere meanwhile.
     pub(super) fn mark(&mut self, phase: Phase) -> bool {
         let pin = Pin {
-            synced: self.seconds(),
+            synced_at: self.seconds(),
             isn: 0,
             server: self.base(),
             phase,
-            light: true,
-            asked: 0,
+            short_lived: true,
+            queries: 0,
         };
         self.shard.store(self.packet.key, pin)
     }
@@ -87,7 +87,7 @@
             return self.pass_on(&Pin { phase, ..pin }, chain, Told::default());
         }
         let resent = matches!(self.packet.kind, Kind::Opening { .. });
-        if resent && pin.light && pin.phase == Phase::Opening && self.is_base_closed() {
+        if resent && pin.short_lived && pin.phase == Phase::Opening && self.is_base_closed() {
             // A server that took the first copy resends its answer by itself. One that did not must not
             // take the flow any more: it is placed anew once the pin has expired.
             return drop(Code::FlowUnsettled);
@@ -96,10 +96,10 @@
         if self.packet.kind == Kind::Error || (phase == pin.phase && !stale && !resent) {
             return forward(pin.server);
         }
-        let synced = self.seconds();
+        let synced_at = self.seconds();
         let pin = Pin {
             phase,
-            synced,
+            synced_at,
             ..pin
         };
         self.shard.store(self.packet.key, pin);
@@ -122,7 +122,7 @@
             (Kind::Reset, _) => Phase::Reset,
             (Kind::Middle | Kind::Datagram, Phase::Opening | Phase::Reset) => Phase::Open,
             (Kind::Middle, Phase::Closing) if self.packet.payload > 0 => Phase::Open,
-            (Kind::Middle, Phase::Closing) if age > LATE => Phase::Half,
+            (Kind::Middle, Phase::Closing) if age > HALF_CLOSED_DELAY => Phase::HalfClosed,
             _ => phase,
         }
     }
@@ -130,7 +130,7 @@
     /// Places a new flow.
     pub(super) fn open(&mut self, isn: u16, chain: &Chain) -> Verdict {
         if let Some(old) = self.shard.pin(&self.packet.key)
-            && old.age(self.now) <= CACHE + 1_000
+            && old.age(self.now) <= HINT_TTL + 1_000
         {
             return drop(Code::PortsReused);
         }
@@ -215,14 +215,14 @@
             return drop(Code::FlowUnsettled);
         }
         let pin = Pin {
-            synced: self.seconds(),
+            synced_at: self.seconds(),
             isn,
             server,
             phase: Phase::Opening,
             // An owner out of hearing may hold half a pin of this flow from before a cut: only a
             // pin that lasts can set it right when it is back.
-            light: server == self.base() && !sticky && !self.may_be_half_made(),
-            asked: 0,
+            short_lived: server == self.base() && !sticky && !self.may_be_half_made(),
+            queries: 0,
         };
         self.shard.store(self.packet.key, pin);
         self.pass_on(&pin, chain, Told::default())
@@ -257,7 +257,7 @@
         // Who does not know of a flow on its base answers base, which is right.
         let sticky = self.service.strict || self.entry.moved.contains(self.bucket);
         let based = pin.server == self.base() && !sticky;
-        let waits = pin.phase == Phase::Opening && !pin.light && !based;
+        let waits = pin.phase == Phase::Opening && !pin.short_lived && !based;
         // The last in the chain first: it may be one that joins, of which the others have not all
         // heard. Told by somebody who has, it knows of the flow whatever the rest does.
         let rest = || chain.ids().iter().rev().copied().filter(|&id| !is_told(id));
@@ -294,12 +294,14 @@
         let sticky = self.service.strict || self.entry.moved.contains(self.bucket);
         let half = self.may_be_half_made();
         let pin = Pin {
-            synced: self.seconds(),
+            synced_at: self.seconds(),
             isn: self.isn(known),
             server,
             phase: self.phase_after(before, age),
-            light: known.map_or(server == self.base() && !sticky && !half, |pin| pin.light),
-            asked: 0,
+            short_lived: known.map_or(server == self.base() && !sticky && !half, |pin| {
+                pin.short_lived
+            }),
+            queries: 0,
         };
         if !self.shard.store(self.packet.key, pin) {
             return drop(Code::PinsFull);
@@ -319,7 +321,7 @@
     /// whichever of them the packets meet. A flow that got beyond its opening stays where it is.
     pub(super) fn prevails(&self, pin: &Pin, chain: &Chain, header: &Redirect) -> bool {
         // A lasting pin on the base was made while the others were out of hearing.
-        let apart = pin.server == self.base() && !pin.light;
+        let apart = pin.server == self.base() && !pin.short_lived;
         if pin.phase != Phase::Opening || apart {
             return true;
         }
--- a/crates/flow/src/shard.rs
+++ b/crates/flow/src/shard.rs
@@ -3,7 +3,7 @@
 use acacia_wire::{collections::Map, flow::Key};
 
 use crate::{
-    pin::{CACHE, Phase, Pin},
+    pin::{HINT_TTL, Phase, Pin},
     silent::Watch,
 };
 
@@ -124,7 +124,7 @@
     /// a flow that got beyond its opening elsewhere did so here too.
     pub fn adopt(&mut self, key: Key, pin: Pin) -> Option<Pin> {
         match self.pins.get(&key).copied() {
-            None if pin.asked == 0 => {
+            None if pin.queries == 0 => {
                 self.store(key, pin);
             }
             Some(mine) if mine.phase < pin.phase && mine.server == pin.server => {
@@ -136,7 +136,7 @@
                     },
                 );
             }
-            Some(mine) if pin.asked > 0 && mine.phase > pin.phase => return Some(mine),
+            Some(mine) if pin.queries > 0 && mine.phase > pin.phase => return Some(mine),
             _ => {}
         }
         None
@@ -147,14 +147,14 @@
         if let Some(pin) = self.pins.get_mut(key) {
             pin.server = server;
             // The server may not be the base: the flow can't be left to the table any more.
-            pin.light = false;
+            pin.short_lived = false;
         }
     }
 
-    /// Remembers a hint for [`CACHE`].
+    /// Remembers a hint for [`HINT_TTL`].
     pub fn remember(&mut self, key: Key, server: u16, now: u64) {
         if self.cache.len() < self.limits.cache {
-            self.cache.insert(key, (server, now + CACHE));
+            self.cache.insert(key, (server, now + HINT_TTL));
         }
     }
 
--- a/crates/flow/src/snapshot.rs
+++ b/crates/flow/src/snapshot.rs
@@ -75,7 +75,7 @@
     pub since: u64,
     /// Whether another service had the address before. Old flows of that one may still send, and
     /// must not reach this one's servers: every flow then has a pin, and a packet in mid-flow
-    /// without one is dropped. Cleared once [`crate::pin::IDLE`] has passed.
+    /// without one is dropped. Cleared once [`crate::pin::IDLE_TIMEOUT`] has passed.
     pub strict: bool,
     /// Bucket to server: where flows without a pin are.
     pub base: Arc<[u16]>,
@@ -265,7 +265,7 @@
     /// that owner may be lost.
     #[must_use]
     pub fn was_owner_unreachable_since(&self, pin: &Pin) -> bool {
-        u64::from(pin.synced) * 1_000 <= self.owner_unreachable_at
+        u64::from(pin.synced_at) * 1_000 <= self.owner_unreachable_at
     }
 
     /// Whether this balancer, having no pin of the flow, knows that there is none.
--- a/crates/flow/src/verdict.rs
+++ b/crates/flow/src/verdict.rs
@@ -48,7 +48,7 @@
         server: u16,
     },
     /// The receiver keeps redirecting packets of this flow: its server, to be remembered for
-    /// [`crate::pin::CACHE`].
+    /// [`crate::pin::HINT_TTL`].
     Hint {
         /// The flow.
         key: Key,
--- a/crates/flow/tests/it/bounds.rs
+++ b/crates/flow/tests/it/bounds.rs
@@ -108,7 +108,7 @@
     let held: usize = pins(&fleet).iter().sum();
 
     fleet.pace = 1_000;
-    fleet.run(acacia_flow::pin::IDLE - 60_000);
+    fleet.run(acacia_flow::pin::IDLE_TIMEOUT - 60_000);
     let before: usize = pins(&fleet).iter().sum();
     fleet.run(120_000);
 
--- a/crates/tables/src/number.rs
+++ b/crates/tables/src/number.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use acacia_flow::{pin::IDLE, snapshot::Address};
+use acacia_flow::{pin::IDLE_TIMEOUT, snapshot::Address};
 use serde::{Deserialize, Serialize};
 
 /// Addresses without a service whose next server number is remembered one by one.
@@ -63,7 +63,7 @@
 }
 
 /// Seconds for which a service that follows upon another at its address is strict.
-pub(crate) const STRICT: u64 = IDLE / 1_000;
+pub(crate) const STRICT: u64 = IDLE_TIMEOUT / 1_000;
 
 /// Takes the address out of those retired: the first number to use there, and until when a
 /// service there is strict.
--- a/crates/tables/tests/it/follow.rs
+++ b/crates/tables/tests/it/follow.rs
@@ -1,7 +1,7 @@
 use std::slice;
 
 use acacia_config::Service;
-use acacia_flow::{pin::IDLE, snapshot::Address};
+use acacia_flow::{pin::IDLE_TIMEOUT, snapshot::Address};
 use acacia_tables::{BUCKETS, Lookup, MAX_RETIRED, NOBODY, Retired, closing, tables, unserved};
 
 use crate::fixture::{
@@ -154,7 +154,7 @@
     );
     assert_eq!(lookup.server(&front(1), first.servers[0].number), None);
 
-    chain.now += IDLE / 1_000 - 1;
+    chain.now += IDLE_TIMEOUT / 1_000 - 1;
     assert!(!chain.step());
     chain.now += 1;
     assert!(chain.step());
