--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -3,7 +3,7 @@
 use acacia_config::Config;
 use acacia_flow::{
     pin::{Phase, Pin},
-    rank::{Node, pair},
+    rank::{Node, top_two},
     snapshot::State,
 };
 use acacia_node::{control::core::Outgoing, message::Message, view::View};
@@ -155,7 +155,7 @@
                 service_port: 443,
                 protocol: Protocol::Tcp,
             };
-            for owner in pair(key.hash(), &nodes).into_iter().flatten() {
+            for owner in top_two(key.hash(), &nodes).into_iter().flatten() {
                 let shards = &self.balancers[usize::from(owner.id)].shards;
                 shards.of(key.hash()).store(key, pin);
             }
--- a/crates/bench/src/flows/balancer.rs
+++ b/crates/bench/src/flows/balancer.rs
@@ -121,7 +121,7 @@
         let mut out: Vec<_> = batches
             .map(|(to, batch)| (to, Message::Batch(batch)))
             .collect();
-        if self.control.has_news() || now >= self.reported + HEARTBEAT {
+        if self.control.take_pending_report() || now >= self.reported + HEARTBEAT {
             self.reported = now;
             let stage = self.control.stage();
             for member in &members {
--- a/crates/bench/src/speed/scene.rs
+++ b/crates/bench/src/speed/scene.rs
@@ -3,7 +3,7 @@
 use acacia_flow::{
     Snapshot,
     bitmap::Bitmap,
-    rank::{Node, pair},
+    rank::{Node, top_two},
     snapshot::{Address, Entry, Server, Service, State},
     table::build,
 };
@@ -64,7 +64,7 @@
 #[must_use]
 pub fn keys(seed: u64, count: usize, owned: bool) -> Vec<Key> {
     let nodes = nodes();
-    let is_owned = |key: &Key| pair(key.hash(), &nodes)[0].map(|node| node.id) == Some(ME);
+    let is_owned = |key: &Key| top_two(key.hash(), &nodes)[0].map(|node| node.id) == Some(ME);
     let all = (0..).map(|index| key(seed, index));
     all.filter(|key| is_owned(key) == owned)
         .take(count)
--- a/crates/flow/src/control.rs
+++ b/crates/flow/src/control.rs
@@ -30,7 +30,7 @@
 /// Call order: [`Control::set_members`] and [`Control::set_tables`] when these change,
 /// [`Control::receive`] for each report, [`Control::sweep`] over all shards about once a second,
 /// then [`Control::snapshot`], and publish its outcome. Send [`Control::report`] to each member
-/// twice a second, and at once when [`Control::has_news`].
+/// twice a second, and at once when [`Control::take_pending_report`].
 #[derive(Debug)]
 pub struct Control {
     me: Node,
@@ -139,7 +139,7 @@
     }
 
     /// Whether a peer should hear from this balancer before its next heartbeat is due.
-    pub fn has_news(&mut self) -> bool {
+    pub fn take_pending_report(&mut self) -> bool {
         std::mem::take(&mut self.news)
     }
 
@@ -295,8 +295,8 @@
     /// Lets the policy choose among servers in every bucket of a service, or ends that. Without,
     /// it can in buckets whose `next` differs from their base, or whose base takes no new flows.
     /// All packets in mid-flow then pass an owner if they are not known where they come in.
-    pub fn loosen(&mut self, address: Address, loose: bool, now: u64) {
-        self.flags.loosen(address, loose);
+    pub fn allow_off_base(&mut self, address: Address, loose: bool, now: u64) {
+        self.flags.allow_off_base(address, loose);
         self.refresh(now);
     }
 
--- a/crates/flow/src/control/flags.rs
+++ b/crates/flow/src/control/flags.rs
@@ -152,7 +152,7 @@
     }
 
     /// Gives the policy a choice of servers in every bucket of a service, or ends that.
-    pub(super) fn loosen(&mut self, address: Address, loose: bool) {
+    pub(super) fn allow_off_base(&mut self, address: Address, loose: bool) {
         if loose {
             self.loose.insert(address);
         } else {
--- a/crates/flow/src/control/handover.rs
+++ b/crates/flow/src/control/handover.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     pin::{Phase, Pin},
-    rank::{Node, digest, pair},
+    rank::{Node, digest, top_two},
     snapshot::Address,
 };
 
@@ -110,7 +110,7 @@
 impl View<'_> {
     /// Whether this balancer has any business with a flow.
     pub(super) fn keeps(&self, hash: u64) -> bool {
-        let ranks = |set: &[Node]| pair(hash, set).contains(&Some(self.me));
+        let ranks = |set: &[Node]| top_two(hash, set).contains(&Some(self.me));
         let others = [self.target, self.ready, self.previous];
         let mut others = others.iter().filter(|set| **set != self.settled);
         ranks(self.settled) || others.any(|set| ranks(set))
@@ -118,31 +118,31 @@
 
     /// The other balancers that answer for the flow.
     fn others(&self, hash: u64) -> impl Iterator<Item = Node> + use<'_> {
-        let owners = pair(hash, self.settled).into_iter().flatten();
+        let owners = top_two(hash, self.settled).into_iter().flatten();
         owners.filter(|node| *node != self.me && self.alive.contains(node))
     }
 
     fn lost_owner(&self, hash: u64) -> bool {
-        let mut owners = pair(hash, self.settled).into_iter().flatten();
+        let mut owners = top_two(hash, self.settled).into_iter().flatten();
         owners.any(|node| !self.alive.contains(&node) && !self.missing.contains(&node))
     }
 
     /// Whether an owner of the flow is taken for dead and may come back with what it knows.
     fn misses_owner(&self, hash: u64) -> bool {
-        let mut owners = pair(hash, self.settled).into_iter().flatten();
+        let mut owners = top_two(hash, self.settled).into_iter().flatten();
         owners.any(|node| self.missing.contains(&node))
     }
 
     /// Who has to get a copy from this balancer: the new owners, from one of the old.
     fn receivers(&self, hash: u64) -> impl Iterator<Item = Node> + use<> {
-        let old = pair(hash, self.settled).map(|node| node.filter(|n| self.ready.contains(n)));
+        let old = top_two(hash, self.settled).map(|node| node.filter(|n| self.ready.contains(n)));
         // Half of the flows each, so that one that leaves is not left to send all it holds alone.
         // All go by the same settled set: a peer's report counts only if it names this one's.
         let order = [old[hash as usize & 1], old[!hash as usize & 1]];
         let sender = order.into_iter().flatten().next();
         let sends = !self.agreed || sender.is_none_or(|sender| sender == self.me);
         let old = if self.agreed { old } else { [None; 2] };
-        let new = pair(hash, self.target).map(|node| {
+        let new = top_two(hash, self.target).map(|node| {
             node.filter(|node| sends && *node != self.me && !old.contains(&Some(*node)))
         });
         new.into_iter().flatten()
--- a/crates/flow/src/control/peer.rs
+++ b/crates/flow/src/control/peer.rs
@@ -192,7 +192,7 @@
 
     /// The digest of the owners' set that this balancer works towards.
     #[must_use]
-    pub fn goal(&self) -> u64 {
+    pub fn target_digest(&self) -> u64 {
         digest(&self.target())
     }
 }
--- a/crates/flow/src/rank.rs
+++ b/crates/flow/src/rank.rs
@@ -17,14 +17,14 @@
 /// gains or loses one node changes at most one of the two.
 ///
 /// ```
-/// use acacia_flow::rank::{pair, Node};
+/// use acacia_flow::rank::{top_two, Node};
 /// let nodes: Vec<Node> = (0..8).map(|id| Node { id, incarnation: 1 }).collect();
-/// let [first, second] = pair(42, &nodes);
+/// let [first, second] = top_two(42, &nodes);
 /// assert_ne!(first, second);
-/// assert_eq!(pair(42, &nodes[..0]), [None, None]);
+/// assert_eq!(top_two(42, &nodes[..0]), [None, None]);
 /// ```
 #[must_use]
-pub fn pair(hash: u64, nodes: &[Node]) -> [Option<Node>; 2] {
+pub fn top_two(hash: u64, nodes: &[Node]) -> [Option<Node>; 2] {
     let mut best: [Option<(u64, Node)>; 2] = [None; 2];
     for &node in nodes {
         let weight = Some((mix(hash ^ (u64::from(node.id) << 48)), node));
--- a/crates/flow/src/resolve/owner.rs
+++ b/crates/flow/src/resolve/owner.rs
@@ -8,7 +8,7 @@
 use super::{Step, drop, forward};
 use crate::{
     pin::{HALF_CLOSED_DELAY, HINT_TTL, Phase, Pin},
-    rank::pair,
+    rank::top_two,
     snapshot::{Chain, State},
     verdict::{Action, Notice, Placement, Verdict},
 };
@@ -331,7 +331,7 @@
         if header.server == self.base() && self.snapshot.was_owner_unreachable_since(pin) {
             return false;
         }
-        let owners = pair(self.hash, &self.snapshot.target).map(|node| node.map(|node| node.id));
+        let owners = top_two(self.hash, &self.snapshot.target).map(|node| node.map(|node| node.id));
         let rank = |id: u16| {
             owners
                 .iter()
--- a/crates/flow/src/snapshot.rs
+++ b/crates/flow/src/snapshot.rs
@@ -9,7 +9,7 @@
 use crate::{
     bitmap::Bitmap,
     pin::Pin,
-    rank::{Node, pair},
+    rank::{Node, top_two},
 };
 
 /// Where callers reach a service.
@@ -223,7 +223,7 @@
             len: 0,
         };
         let mut add = |set: &[Node], among: &[Node]| {
-            let nodes = pair(hash, set).into_iter().flatten();
+            let nodes = top_two(hash, set).into_iter().flatten();
             nodes
                 .filter(|node| among.contains(node))
                 .for_each(|node| chain.push(node.id));
@@ -245,7 +245,7 @@
             let known = self.alive.contains(&node) || self.missing.contains(&node);
             !known || (self.is_reachable(node.id) && !self.missing.contains(&node))
         };
-        pair(hash, &self.settled)
+        top_two(hash, &self.settled)
             .into_iter()
             .flatten()
             .all(is_reachable)
@@ -271,7 +271,7 @@
     /// Whether this balancer, having no pin of the flow, knows that there is none.
     #[must_use]
     pub fn knows_all_pins(&self, hash: u64) -> bool {
-        let owners = pair(hash, &self.settled);
+        let owners = top_two(hash, &self.settled);
         let known = |node: &Node| *node == self.me;
         let lost = |node: &Node| !self.alive.contains(node) && !self.missing.contains(node);
         if self.has_unmerged_owners {
--- a/crates/flow/tests/it/fleet.rs
+++ b/crates/flow/tests/it/fleet.rs
@@ -396,7 +396,7 @@
             balancer.control_bytes += 84 + 10 * batch.pins.len() as u64;
             out.push((to, Message::Batch(batch)));
         }
-        if balancer.control.has_news() || now >= balancer.reported + 500 {
+        if balancer.control.take_pending_report() || now >= balancer.reported + 500 {
             balancer.reported = now;
             for member in &members {
                 let report = balancer.control.report(member.node.id, now);
--- a/crates/flow/tests/it/handover.rs
+++ b/crates/flow/tests/it/handover.rs
@@ -217,7 +217,9 @@
     fleet.run(50);
     let now = fleet.now;
     for balancer in &mut fleet.balancers[..2] {
-        balancer.control.loosen(address(Protocol::Tcp), true, now);
+        balancer
+            .control
+            .allow_off_base(address(Protocol::Tcp), true, now);
     }
     fleet.run(1_500);
 
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -306,7 +306,7 @@
         if !self.leaving {
             self.group.set_phase(phase(self.flow.stage()));
         }
-        if self.flow.has_news() {
+        if self.flow.take_pending_report() {
             self.group.hasten();
         }
         self.agree(now, unix);
--- a/crates/node/src/control/core/weigh.rs
+++ b/crates/node/src/control/core/weigh.rs
@@ -46,7 +46,7 @@
             self.flow.guard(address, guarded);
         }
         for (address, loose) in outcome.loosen {
-            self.flow.loosen(address, loose, millis(now));
+            self.flow.allow_off_base(address, loose, millis(now));
         }
         for (address, server, down) in outcome.down {
             let code = Code::ServerSilent;
