--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,37 +1,38 @@
-//! Resolution of any packet at any balancer to the backend server of its flow.
+//! Resolves any packet, at any balancer, to the backend server of its flow.
 //!
-//! Every balancer must send a flow to the same backend server, with only a few kilobytes a second
-//! of control traffic between them. A flow on the *base* server of its bucket needs no state. One
-//! that is not has a *pin* at its *owners*, the balancers that rank first for it. Buckets in which
-//! pins may exist are *flagged*, and every balancer knows of a flag before the first pin is made.
-//! docs/DESIGN.md, section 1, gives the rules and the ways weighed.
+//! Every balancer must send a flow to the same backend server, with only a few kilobytes per second
+//! of control traffic between balancers. A flow's hash selects a bucket, and each bucket has a
+//! *base* server. A flow on its base server needs no state. Any other flow has a *pin* at its
+//! *owners*, the two balancers that rank highest for it. Buckets that may contain pinned flows are
+//! *flagged*, and every balancer knows of a flag before the first pin in the bucket is created.
+//! docs/DESIGN.md, section 1, gives the rules and the alternatives considered.
 //!
-//! Nothing here opens a socket, reads a clock or draws a random number. The control thread owns a
-//! [`Control`] and publishes a [`Snapshot`]; traffic threads lock one [`Shard`] at a time and call
-//! [`resolve`]. Times are milliseconds of a monotonic clock that goes on while the process is
-//! frozen (`CLOCK_BOOTTIME`).
+//! This crate opens no sockets, reads no clock and draws no random numbers. The control thread owns
+//! a [`Control`] and publishes a [`Snapshot`]; traffic threads lock one [`Shard`] at a time and
+//! call [`resolve`]. Times are milliseconds of a monotonic clock that keeps running while the
+//! process is suspended (`CLOCK_BOOTTIME`).
 
-/// Sets of buckets and their compact encoding.
+/// Bucket sets and their compact encoding.
 pub mod bitmap;
-/// The control thread's part: peers, flags, ownership, handover of pins.
+/// State of the control thread: peers, bucket flags, ownership and pin handover.
 pub mod control;
-/// Pins and the limits of their lives.
+/// Pins and their timeouts.
 pub mod pin;
-/// Placement of new flows where no load signal decides.
+/// Placement of new flows when no load signal is available.
 pub mod place;
-/// Which balancers own a flow.
+/// Selection of the balancers that own a flow.
 pub mod rank;
-/// The decision for one packet.
+/// Per-packet forwarding decision.
 mod resolve;
-/// The state that traffic threads keep.
+/// Per-flow state of the traffic threads.
 pub mod shard;
-/// Detection of flows whose path to their server is lost.
+/// Detection of flows whose path to the server is broken.
 mod silent;
-/// What the control thread publishes to traffic threads.
+/// Immutable view that the control thread publishes to traffic threads.
 pub mod snapshot;
 /// Construction of bucket tables.
 pub mod table;
-/// What is to be done with a packet.
+/// Outcome of a decision: what to do with a packet.
 pub mod verdict;
 
 pub use control::Control;
