--- a/crates/flow/src/table.rs
+++ b/crates/flow/src/table.rs
@@ -1,10 +1,10 @@
 use acacia_wire::{collections::Map, flow::mix};
 
-/// Fills `buckets` buckets with servers in proportion to `weights`, moving as few buckets as
-/// possible away from `previous` (empty at first). Deterministic: every balancer that builds
-/// gets the same table.
+/// Assigns `buckets` buckets to servers in proportion to `weights`, moving as few buckets as
+/// possible away from `previous`, which is empty for the first table. Deterministic: every balancer
+/// computes the same table from the same input.
 ///
-/// Servers of weight 0 get no buckets. With no weight at all the table stays as it was.
+/// Servers with weight 0 get no buckets. If all weights are 0, `previous` is returned unchanged.
 ///
 /// ```
 /// use acacia_flow::table::build;
@@ -20,36 +20,39 @@
     if quotas.is_empty() {
         return previous.to_vec();
     }
-    let mut left: Map<u16, usize> = quotas.iter().copied().collect();
+    let mut remaining: Map<u16, usize> = quotas.iter().copied().collect();
     let mut table = vec![None; buckets];
-    for bucket in scattered(buckets) {
+    for bucket in shuffled(buckets) {
         let Some(server) = previous.get(bucket) else {
             continue;
         };
-        if let Some(left) = left.get_mut(server).filter(|left| **left > 0) {
-            *left -= 1;
+        if let Some(remaining) = remaining
+            .get_mut(server)
+            .filter(|remaining| **remaining > 0)
+        {
+            *remaining -= 1;
             table[bucket] = Some(*server);
         }
     }
-    let mut rest = quotas
+    let mut unassigned = quotas
         .iter()
-        .flat_map(|(server, _)| std::iter::repeat_n(*server, left[server]))
+        .flat_map(|(server, _)| std::iter::repeat_n(*server, remaining[server]))
         .collect::<Vec<_>>();
-    rest.sort_by_key(|&server| server);
-    let mut rest = interleaved(rest);
-    scattered(buckets)
+    unassigned.sort_by_key(|&server| server);
+    let mut unassigned = shuffled_servers(unassigned);
+    shuffled(buckets)
         .into_iter()
         .filter(|&bucket| table[bucket].is_none())
         .collect::<Vec<_>>()
         .into_iter()
-        .for_each(|bucket| table[bucket] = rest.pop());
+        .for_each(|bucket| table[bucket] = unassigned.pop());
     table.into_iter().flatten().collect()
 }
 
-/// `base` with every bucket of a server that is gone given to the server that `next` names.
+/// Returns `base` with every bucket of a removed server reassigned to its server in `next`.
 ///
-/// Only for servers whose flows have ended with them, and only after every balancer has heard
-/// that they take no new flows: a flow opened on the old base would otherwise be lost.
+/// Call this only for servers whose flows ended with them, and only after every balancer knows that
+/// they take no new flows: a flow opened on the old base would otherwise be lost.
 ///
 /// ```
 /// use acacia_flow::table::rebase;
@@ -63,7 +66,7 @@
         .collect()
 }
 
-/// How many buckets each server gets: largest remainders.
+/// Number of buckets per server, by the largest remainder method.
 fn quotas(buckets: usize, weights: &[(u16, u32)]) -> Vec<(u16, usize)> {
     let mut weights: Vec<_> = weights.iter().filter(|(_, weight)| *weight > 0).collect();
     weights.sort();
@@ -73,7 +76,7 @@
         .iter()
         .map(|(server, weight)| (*server, (share(*weight) / total) as usize))
         .collect();
-    let given: usize = quotas.iter().map(|(_, quota)| quota).sum();
+    let assigned: usize = quotas.iter().map(|(_, quota)| quota).sum();
     let mut order: Vec<usize> = (0..quotas.len()).collect();
     order.sort_by_key(|&at| {
         (
@@ -84,7 +87,7 @@
     let missing = if quotas.is_empty() {
         0
     } else {
-        buckets - given
+        buckets - assigned
     };
     order
         .into_iter()
@@ -93,15 +96,17 @@
     quotas
 }
 
-/// Buckets in a fixed scattered order, so that what one server loses is spread over the others.
-fn scattered(buckets: usize) -> Vec<usize> {
+/// Buckets in a fixed pseudo-random order, so that the buckets one server loses are spread over the
+/// others.
+fn shuffled(buckets: usize) -> Vec<usize> {
     let mut order: Vec<usize> = (0..buckets).collect();
     order.sort_by_key(|&bucket| mix(bucket as u64));
     order
 }
 
-fn interleaved(mut servers: Vec<u16>) -> Vec<u16> {
-    let order = scattered(servers.len());
+/// Permutes `servers` by the order of [`shuffled`], so that equal entries are spread out.
+fn shuffled_servers(mut servers: Vec<u16>) -> Vec<u16> {
+    let order = shuffled(servers.len());
     let sorted = servers.clone();
     order
         .into_iter()
