--- a/crates/flow/src/rank.rs
+++ b/crates/flow/src/rank.rs
@@ -1,20 +1,20 @@
 use acacia_wire::flow::mix;
 
-/// One start of a balancer's process.
+/// One run of a balancer's process.
 ///
-/// A balancer that restarts holds none of the pins its former self held, so it counts as another.
+/// A restarted balancer has lost the pins of its previous run, so it counts as a different node.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct Node {
-    /// The balancer.
+    /// Number of the balancer.
     pub id: u16,
-    /// Rises with every start of its process.
+    /// Increases with every start of the process.
     pub incarnation: u64,
 }
 
-/// The two nodes that rank first for the flow with hash `hash` (rendezvous hashing): a set that
-/// gains or loses one node changes at most one of the two.
+/// Returns the two nodes that rank highest for the flow with hash `hash` (rendezvous hashing).
+/// Adding or removing one node changes at most one of the two.
 ///
 /// ```
 /// use acacia_flow::rank::{top_two, Node};
@@ -37,7 +37,7 @@
     best.map(|entry| entry.map(|(_, node)| node))
 }
 
-/// A number that stands for a set of nodes: equal sets have equal numbers.
+/// Digest of a set of nodes; equal sets have equal digests, whatever their order.
 ///
 /// ```
 /// use acacia_flow::rank::{digest, Node};
