--- a/crates/flow/src/bitmap.rs
+++ b/crates/flow/src/bitmap.rs
@@ -2,8 +2,9 @@
 
 /// A set of buckets of one service.
 ///
-/// On the wire it is a list of gaps between members, in bytes of 7 bits with a continuation mark:
-/// 273 flagged buckets of 4,096 take about 280 bytes, against 512 for the plain bits.
+/// On the wire it is a list of gaps between members, each a variable-length integer of 7 bits per
+/// byte with a continuation bit: 273 flagged buckets of 4,096 take about 280 bytes, against 512 for
+/// the plain bits.
 ///
 /// ```
 /// let mut flags = acacia_flow::bitmap::Bitmap::new(64);
@@ -16,11 +17,12 @@
     words: Vec<u64>,
 }
 
-/// Most buckets that a decoded set may span: a bound on what a corrupt message can allocate.
-const LIMIT: usize = 1 << 16;
+/// Maximum number of buckets that a decoded set may span; bounds what a corrupt message can
+/// allocate.
+const MAX_BUCKETS: usize = 1 << 16;
 
 impl Bitmap {
-    /// The empty set over `buckets` buckets.
+    /// Creates an empty set over `buckets` buckets.
     #[must_use]
     pub fn new(buckets: usize) -> Self {
         Bitmap {
@@ -28,7 +30,7 @@
         }
     }
 
-    /// The set of all `buckets` buckets.
+    /// Creates the set of all `buckets` buckets.
     #[must_use]
     pub fn full(buckets: usize) -> Self {
         let mut all = Bitmap::new(buckets);
@@ -44,7 +46,7 @@
             .is_some_and(|word| word >> (bucket % 64) & 1 == 1)
     }
 
-    /// Adds `bucket`; the set grows where needed.
+    /// Adds `bucket`, growing the set if needed.
     pub fn insert(&mut self, bucket: usize) {
         if self.words.len() <= bucket / 64 {
             self.words.resize(bucket / 64 + 1, 0);
@@ -57,12 +59,12 @@
         if self.words.len() < other.words.len() {
             self.words.resize(other.words.len(), 0);
         }
-        for (mine, theirs) in self.words.iter_mut().zip(&other.words) {
-            *mine |= theirs;
+        for (word, other_word) in self.words.iter_mut().zip(&other.words) {
+            *word |= other_word;
         }
     }
 
-    /// Members in rising order.
+    /// Members in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         self.words.iter().enumerate().flat_map(|(at, &word)| {
             let mut rest = word;
@@ -76,7 +78,7 @@
         })
     }
 
-    /// How many buckets are in the set.
+    /// Number of buckets in the set.
     #[must_use]
     pub fn len(&self) -> usize {
         self.words
@@ -91,7 +93,7 @@
         self.words.iter().all(|&word| word == 0)
     }
 
-    fn gaps(&self) -> Vec<u8> {
+    fn encode_gaps(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         let mut last = 0;
         for member in self.iter() {
@@ -106,7 +108,7 @@
         bytes
     }
 
-    fn from_gaps(bytes: &[u8]) -> Option<Self> {
+    fn decode_gaps(bytes: &[u8]) -> Option<Self> {
         let mut set = Bitmap::default();
         let (mut at, mut gap, mut shift) = (0usize, 0usize, 0u32);
         for byte in bytes {
@@ -117,7 +119,7 @@
             }
             if byte & 0x80 == 0 {
                 at += gap;
-                if at >= LIMIT {
+                if at >= MAX_BUCKETS {
                     return None;
                 }
                 set.insert(at);
@@ -130,13 +132,15 @@
 
 impl Serialize for Bitmap {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        self.gaps().serialize(serializer)
+        self.encode_gaps().serialize(serializer)
     }
 }
 
 impl<'de> Deserialize<'de> for Bitmap {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let bytes = Vec::<u8>::deserialize(deserializer)?;
-        Bitmap::from_gaps(&bytes).ok_or_else(|| serde::de::Error::custom("bucket out of range"))
+        Bitmap::decode_gaps(&bytes).ok_or_else(|| {
+            serde::de::Error::custom("bucket set has an overlong gap or a bucket out of range")
+        })
     }
 }
