--- a/crates/flow/src/verdict.rs
+++ b/crates/flow/src/verdict.rs
@@ -6,48 +6,50 @@
 /// What to do with a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Send it to this backend server of the packet's service.
+    /// Send it to a backend server of the packet's service.
     Forward {
         /// Number of the server in [`Service::servers`].
         server: u16,
     },
-    /// Hand it to another balancer.
+    /// Redirect it to another balancer.
     Redirect {
-        /// The balancer.
+        /// Number of the balancer.
         to: u16,
-        /// The header to put before it.
+        /// The redirect header to prepend.
         header: Redirect,
     },
-    /// Answer that the request was not run. Said only of an opening packet without data whose
+    /// Answer that the request was not executed. Used only for an opening packet without data whose
     /// flow was never forwarded.
     Refuse {
-        /// When the caller may come back, in milliseconds.
+        /// Milliseconds after which the caller may retry.
         retry_after: u32,
     },
-    /// Drop it; the caller's transport sends it again.
+    /// Drop it; the caller's transport retransmits it.
     Drop {
-        /// Why.
+        /// The reason.
         code: Code,
     },
-    /// Reset the flow towards the caller and towards its backend server: its path is lost.
+    /// Reset the flow towards both the caller and its backend server, because the path between them
+    /// is broken.
     End {
         /// The flow's server.
         server: u16,
     },
 }
 
-/// A short message to a peer. Losing one costs a redirect or a repetition, never a flow.
+/// A short message to a peer, sent without acknowledgement. Losing one costs a redirect or a
+/// repeated notice, never a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Notice {
-    /// The receiver's pin of the flow differs from that of an owner after it in the chain, which
-    /// decides.
+    /// The receiver's pin differs from the pin of an owner later in the chain, which takes
+    /// precedence.
     Correct {
         /// The flow.
         key: Key,
         /// Its server.
         server: u16,
     },
-    /// The receiver keeps redirecting packets of this flow: its server, to be remembered for
+    /// The server of a flow whose packets the receiver keeps redirecting, to be cached for
     /// [`crate::pin::HINT_TTL`].
     Hint {
         /// The flow.
@@ -62,7 +64,7 @@
 pub struct Verdict {
     /// What to do with the packet.
     pub action: Action,
-    /// What to tell a peer.
+    /// A notice to send, with the number of the peer.
     pub notice: Option<(u16, Notice)>,
 }
 
@@ -75,16 +77,16 @@
     }
 }
 
-/// How a packet came to this balancer.
+/// How a packet reached this balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
-    /// From the fabric.
+    /// From the network fabric.
     Ingress,
     /// From another balancer.
     Redirected(Redirect),
 }
 
-/// A question to the load-balancing policy: where to place a new flow.
+/// A request to the load-balancing policy to place a new flow.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
     /// The service.
@@ -101,16 +103,16 @@
     pub refusable: bool,
 }
 
-/// The policy's answer.
+/// The placement that the policy chose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placement {
     /// Place the flow on this server.
     Server(u16),
-    /// Refuse it.
+    /// Refuse the flow.
     Refuse {
-        /// When the caller may come back, in milliseconds.
+        /// Milliseconds after which the caller may retry.
         retry_after: u32,
     },
-    /// No server takes flows.
+    /// No server takes new flows.
     Nowhere,
 }
