--- a/crates/flow/src/snapshot.rs
+++ b/crates/flow/src/snapshot.rs
@@ -12,19 +12,19 @@
     rank::{Node, top_two},
 };
 
-/// Where callers reach a service.
+/// The address at which callers reach a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Address {
-    /// Its IP number.
+    /// The IP address.
     pub ip: Ipv4Addr,
-    /// Its port.
+    /// The port.
     pub port: u16,
-    /// Its transport.
+    /// The transport protocol.
     pub protocol: Protocol,
 }
 
 impl Address {
-    /// The service that a flow is addressed to.
+    /// Returns the service address of a flow.
     #[must_use]
     pub fn of(key: &Key) -> Address {
         Address {
@@ -35,59 +35,59 @@
     }
 }
 
-/// Condition of a backend server, as one balancer knows it.
+/// State of a backend server as known to one balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
     /// Takes new flows.
     Up,
-    /// Takes new flows, fewer than its weight says.
+    /// Takes new flows, but fewer than its weight implies.
     Cold,
     /// Keeps its flows and takes no new ones.
     Draining,
-    /// Not reachable: takes no new flows. Packets of its own flows are still sent to it, since
-    /// nobody else can answer them and the signal may be wrong.
+    /// Unreachable; takes no new flows. Packets of its existing flows are still forwarded to it,
+    /// since no other server can answer them and the health check may be wrong.
     Down,
 }
 
 /// A backend server of one service.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its condition.
+    /// Its state.
     pub state: State,
-    /// Its share of new flows, relative to the others'.
+    /// Its share of new flows, relative to the other servers.
     pub weight: u32,
 }
 
 impl Server {
-    /// Whether new flows may be placed on it.
+    /// Whether new flows may be placed on this server.
     #[must_use]
     pub fn is_eligible(&self) -> bool {
         matches!(self.state, State::Up | State::Cold)
     }
 }
 
-/// One service as the agreed tables describe it.
+/// One service as described by the agreed tables.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Where callers reach it.
+    /// The address at which callers reach it.
     pub address: Address,
-    /// Version of the tables in which the service appeared at its address.
+    /// Version of the tables in which the service first appeared at this address.
     pub since: u64,
-    /// Whether another service had the address before. Old flows of that one may still send, and
-    /// must not reach this one's servers: every flow then has a pin, and a packet in mid-flow
-    /// without one is dropped. Cleared once [`crate::pin::IDLE_TIMEOUT`] has passed.
+    /// Whether another service used the address before. Flows of that service may still send, and
+    /// their packets must not reach this service's servers. Every flow therefore gets a pin, and
+    /// mid-flow packets without a pin are dropped. Cleared after [`crate::pin::IDLE_TIMEOUT`].
     pub strict: bool,
-    /// Bucket to server: where flows without a pin are.
+    /// Server of each bucket for flows without a pin.
     pub base: Arc<[u16]>,
-    /// Bucket to server: where new flows go. As long as `base`.
+    /// Server of each bucket for new flows. Has the same length as `base`.
     pub next: Arc<[u16]>,
-    /// The servers by number. A number is never used again at the same address, not even by
-    /// another service: a balancer with older tables may still hold pins that name it.
+    /// The servers by number. Numbers are never reused at the same address, not even by another
+    /// service, because a balancer with older tables may still hold pins with the old meaning.
     pub servers: Map<u16, Server>,
 }
 
 impl Service {
-    /// The bucket of a flow with hash `hash`.
+    /// Returns the bucket of a flow with hash `hash`.
     #[must_use]
     pub fn bucket(&self, hash: u64) -> usize {
         ((u128::from(hash) * self.base.len() as u128) >> 64) as usize
@@ -100,33 +100,34 @@
     }
 }
 
-/// One service as traffic threads use it.
+/// One service as used by traffic threads.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// The agreed part.
+    /// The service as described by the agreed tables.
     pub service: Arc<Service>,
-    /// Buckets in which some balancer may hold pins.
+    /// Flagged buckets: those in which some balancer may hold pins.
     pub flags: Bitmap,
     /// Buckets in which this balancer, as an owner, may place flows off their base.
     pub off_base: Bitmap,
-    /// Buckets flagged for so long that every live flow of datagrams in them was seen by its owner:
-    /// one that is unknown there is new.
+    /// Buckets flagged for so long that the owners have seen every live UDP flow in them, so that
+    /// an unknown UDP flow is new.
     pub udp_observed: Bitmap,
-    /// Buckets whose base changed in tables that not every balancer has yet.
+    /// Buckets whose base changed in a table version that not every balancer has yet.
     pub moved: Bitmap,
-    /// Whether opening packets pass through the owners in every bucket.
+    /// Whether opening packets go through the owners in every bucket.
     pub guarded: bool,
-    /// Whether openings have passed the owners for long enough that one unknown there was never
-    /// forwarded: only then may it be refused.
+    /// Whether openings have gone through the owners for so long that an opening unknown to them
+    /// was never forwarded. Only then may it be refused.
     pub refusable: bool,
-    /// Whether new flows are accepted: every balancer knows that the address is this service's.
+    /// Whether new flows are accepted: every balancer knows that the address belongs to this
+    /// service.
     pub accepting: bool,
 }
 
-/// Most balancers that an opening packet passes on its way, the ingress aside.
+/// Maximum number of balancers that an opening packet passes, not counting the ingress balancer.
 pub const CHAIN: usize = 4;
 
-/// The balancers that must know of a flow, in the order in which they are asked.
+/// The balancers that must know of a flow, in the order in which they are consulted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Chain {
     ids: [u16; CHAIN],
@@ -134,7 +135,7 @@
 }
 
 impl Chain {
-    /// The balancers in order.
+    /// Numbers of the balancers in order.
     #[must_use]
     pub fn ids(&self) -> &[u16] {
         &self.ids[..self.len]
@@ -148,40 +149,44 @@
     }
 }
 
-/// What one balancer knows at one moment. Immutable; traffic threads use it until the next.
+/// Immutable view of what one balancer knows, used by traffic threads until the next one is
+/// published.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
-    /// This balancer.
+    /// The local balancer.
     pub me: Node,
-    /// Until when the flags are known to be complete. Later, every bucket counts as flagged.
+    /// Time until which the flags are known to be complete. After it every bucket counts as
+    /// flagged.
     pub flags_complete_until: u64,
-    /// Until when this snapshot is in touch with the others. One from before a freeze is not.
+    /// Time until which this snapshot may be used to act as an owner. A snapshot taken before the
+    /// process was suspended is past it.
     pub fresh_until: u64,
-    /// Whether this balancer answers as an owner.
+    /// Whether this balancer acts as an owner.
     pub owner: bool,
-    /// Whether flows may be placed off their base: no balancer is out of hearing.
+    /// Whether flows may be placed off their base, which requires that every balancer is reachable.
     pub off_base_allowed: bool,
-    /// Balancers that are neither dead nor gone, this one included.
+    /// Balancers that are neither suspected dead nor removed, including the local one.
     pub alive: Arc<[Node]>,
-    /// Those of `alive` that can be reached, this one included.
+    /// Members of `alive` that are reachable, including the local one.
     pub reachable: Arc<[u16]>,
-    /// Owners' set whose handover is complete: the two that rank first in it hold every pin.
+    /// Owner set whose handover is complete: the two nodes that rank highest in it hold a flow's
+    /// pin.
     pub settled: Arc<[Node]>,
-    /// Members of `settled` that fell silent, and may be cut off with pins of their own.
+    /// Balancers that are suspected dead, but may be partitioned and hold pins of their own.
     pub missing: Arc<[Node]>,
-    /// Whether balancers have come back that owned flows on their own meanwhile.
+    /// Whether balancers have returned that owned flows independently in the meantime.
     pub has_unmerged_owners: bool,
-    /// From when on flows whose owners are out of hearing may be opened, on their base.
+    /// Time from which flows whose owners are unreachable may be opened, on their base.
     pub partitioned_from: u64,
-    /// When an owner was last found to be out of hearing.
+    /// When an owner last became unreachable.
     pub owner_unreachable_at: u64,
-    /// Balancers that own flows now.
+    /// Balancers that currently own flows.
     pub ready: Arc<[Node]>,
-    /// Balancers that will own flows after those that join or leave have done so.
+    /// Balancers that will own flows after all pending joins and leaves.
     pub target: Arc<[Node]>,
-    /// The `settled` before this one, while some balancers may still go by it.
+    /// The previous `settled`, while some balancers may still use it.
     pub previous: Arc<[Node]>,
-    /// Whether the four sets are equal, so that one ranking does for all.
+    /// Whether `settled`, `ready`, `target` and `previous` are equal, so that one ranking suffices.
     pub steady: bool,
     /// The services by address.
     pub services: Map<Address, Entry>,
@@ -196,26 +201,26 @@
 
     /// Whether this balancer may answer as an owner at `now`.
     ///
-    /// A thread that wakes from a freeze may hold a snapshot from long ago; others own the flows
-    /// by now.
+    /// A thread that resumes after the process was suspended may hold an old snapshot, and other
+    /// balancers may own the flows by then.
     #[must_use]
     pub fn is_owner(&self, now: u64) -> bool {
         self.owner && self.is_fresh(now)
     }
 
-    /// Whether the snapshot is recent enough at `now` to act on what it says of ownership.
+    /// Whether the snapshot is recent enough at `now` to rely on its ownership sets.
     #[must_use]
     pub fn is_fresh(&self, now: u64) -> bool {
         now <= self.fresh_until
     }
 
-    /// Whether `id` can be reached.
+    /// Whether balancer `id` is reachable.
     #[must_use]
     pub fn is_reachable(&self, id: u16) -> bool {
         self.reachable.contains(&id)
     }
 
-    /// The balancers that must know of the flow with hash `hash`.
+    /// Returns the balancers that must know of the flow with hash `hash`.
     #[must_use]
     pub fn chain(&self, hash: u64) -> Chain {
         let mut chain = Chain {
@@ -228,7 +233,7 @@
                 .filter(|node| among.contains(node))
                 .for_each(|node| chain.push(node.id));
         };
-        // One that was an owner and joins anew after a freeze is in `settled` but not in `ready`.
+        // A former owner that rejoins after being suspended is in `settled` but not in `ready`.
         add(&self.settled, &self.ready);
         if !self.steady {
             add(&self.ready, &self.alive);
@@ -238,7 +243,7 @@
         chain
     }
 
-    /// Whether all that hold the pins of the flow can be reached, those gone for certain aside.
+    /// Whether all balancers that may hold a pin of the flow are reachable, ignoring removed ones.
     #[must_use]
     pub fn reaches_owners(&self, hash: u64) -> bool {
         let is_reachable = |node: Node| {
@@ -251,32 +256,33 @@
             .all(is_reachable)
     }
 
-    /// Whether owners have been out of hearing for so long that a flow opened now is none of theirs.
+    /// Whether owners have been unreachable for so long that a flow opened now can't have a pin at
+    /// them.
     ///
-    /// A data centre that is cut off must go on serving new callers. An opening that the missing
-    /// owners pinned before the cut has been resent by then, and while any owner is missing new
-    /// flows go to their base on both sides of a cut, so that both choose the same server.
+    /// A partitioned data centre must keep serving new callers. An opening that the missing owners
+    /// pinned before the partition has been retransmitted by then. While any owner is missing, new
+    /// flows go to their base on both sides of the partition, so that both choose the same server.
     #[must_use]
     pub fn is_partitioned(&self, now: u64) -> bool {
         !self.off_base_allowed && now >= self.partitioned_from
     }
 
-    /// Whether an owner has been out of hearing since a pin was made: the packet that should have told
-    /// that owner may be lost.
+    /// Whether an owner became unreachable after the pin was last replicated, so that the packet
+    /// that should have replicated it may be lost.
     #[must_use]
     pub fn was_owner_unreachable_since(&self, pin: &Pin) -> bool {
         u64::from(pin.synced_at) * 1_000 <= self.owner_unreachable_at
     }
 
-    /// Whether this balancer, having no pin of the flow, knows that there is none.
+    /// Whether a flow without a pin at this balancer is known to have no pin anywhere.
     #[must_use]
     pub fn knows_all_pins(&self, hash: u64) -> bool {
         let owners = top_two(hash, &self.settled);
-        let known = |node: &Node| *node == self.me;
-        let lost = |node: &Node| !self.alive.contains(node) && !self.missing.contains(node);
+        let is_me = |node: &Node| *node == self.me;
+        let is_removed = |node: &Node| !self.alive.contains(node) && !self.missing.contains(node);
         if self.has_unmerged_owners {
             return false;
         }
-        owners.iter().flatten().any(known) || owners.iter().flatten().all(lost)
+        owners.iter().flatten().any(is_me) || owners.iter().flatten().all(is_removed)
     }
 }
