--- a/crates/flow/src/resolve.rs
+++ b/crates/flow/src/resolve.rs
@@ -13,9 +13,9 @@
     verdict::{Action, Arrival, Notice, Placement, Request, Verdict},
 };
 
-/// Decides what to do with `packet`, which came to this balancer at `now`.
+/// Decides what to do with `packet`, which reached this balancer at `now`.
 ///
-/// `shard` is the one that holds the packet's flow. `place` chooses the server of a new flow.
+/// `shard` must be the shard of the packet's flow. `place` chooses the server of a new flow.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -24,7 +24,7 @@
 /// use acacia_flow::{verdict::{Action, Arrival}, Control, Shards};
 /// use acacia_wire::{flow::{Key, Protocol}, packet::{Kind, Packet}};
 ///
-/// // A single balancer with one service of two servers.
+/// // A single balancer and one service with two servers.
 /// let address = Address { ip: [198, 51, 100, 1].into(), port: 443, protocol: Protocol::Tcp };
 /// let table: Arc<[u16]> = build(4_096, &[(1, 10), (2, 10)], &[]).into();
 /// let up = Server { state: State::Up, weight: 10 };
@@ -62,7 +62,7 @@
         return drop(Code::OpeningWithData);
     }
     let hash = packet.key.hash();
-    let mut step = Step {
+    let mut resolution = Resolution {
         snapshot,
         entry,
         service: &entry.service,
@@ -74,9 +74,11 @@
         hops: 0,
         place,
     };
-    let verdict = step.answer(arrival);
+    let verdict = resolution.resolve(arrival);
     match verdict.action {
-        Action::Forward { server } if step.has_lost_path(server) => Action::End { server }.into(),
+        Action::Forward { server } if resolution.is_path_broken(server) => {
+            Action::End { server }.into()
+        }
         _ => verdict,
     }
 }
@@ -89,8 +91,8 @@
     Action::Forward { server }.into()
 }
 
-/// One packet at one balancer.
-struct Step<'a> {
+/// Context for resolving one packet at one balancer.
+struct Resolution<'a> {
     snapshot: &'a Snapshot,
     entry: &'a Entry,
     service: &'a Service,
@@ -103,46 +105,46 @@
     place: &'a mut dyn FnMut(&Request<'_>) -> Placement,
 }
 
-impl Step<'_> {
-    fn answer(&mut self, arrival: Arrival) -> Verdict {
+impl Resolution<'_> {
+    fn resolve(&mut self, arrival: Arrival) -> Verdict {
         match arrival {
             Arrival::Ingress => self.ingress(),
             Arrival::Redirected(header) => {
                 self.hops = header.hops;
                 match header.purpose {
-                    Purpose::Resolve => self.asked(&header),
-                    Purpose::Replicate | Purpose::Release => self.told(&header),
+                    Purpose::Resolve => self.resolve_redirected(&header),
+                    Purpose::Replicate | Purpose::Release => self.replicate(&header),
                 }
             }
         }
     }
 
-    /// Whether the caller resends what the server no longer acknowledges. Only a packet on its way
-    /// to the flow's own server is counted, so that nothing is ended on a guess.
-    fn has_lost_path(&mut self, server: u16) -> bool {
+    /// Whether the caller retransmits data that the server no longer acknowledges. Counts only
+    /// packets that are forwarded to the flow's own server, so that no flow is reset on a guess.
+    fn is_path_broken(&mut self, server: u16) -> bool {
         let (since, now) = (self.service.since, self.now);
         self.packet.kind == Kind::Middle
             && self
                 .shard
-                .watch
-                .is_lost(self.hash, self.packet, since, server, now)
+                .broken_paths
+                .is_path_broken(self.hash, self.packet, since, server, now)
     }
 
     fn ingress(&mut self) -> Verdict {
         let flagged =
             !self.snapshot.are_flags_complete(self.now) || self.entry.flags.contains(self.bucket);
         match self.packet.kind {
-            Kind::Opening { .. } if flagged || self.entry.guarded => self.find_owner(),
+            Kind::Opening { .. } if flagged || self.entry.guarded => self.consult_owner(),
             Kind::Opening { .. } => self.open_on_base(),
             _ if !flagged => self.forward_to(self.base()),
             Kind::Closing | Kind::Reset => {
                 self.shard.forget(&self.packet.key);
-                self.find_owner()
+                self.consult_owner()
             }
             Kind::Middle | Kind::Datagram | Kind::Error => {
                 match self.shard.cached(&self.packet.key, self.now) {
                     Some(server) => self.forward_to(server),
-                    None => self.find_owner(),
+                    None => self.consult_owner(),
                 }
             }
         }
@@ -160,7 +162,7 @@
         }
     }
 
-    /// A new flow in a bucket without pins: nobody has to know of it.
+    /// Opens a flow in a bucket that is not flagged; it needs no pin.
     fn open_on_base(&mut self) -> Verdict {
         match self.ask_policy(false, false) {
             Placement::Server(_) => self.forward_to(self.base()),
@@ -180,8 +182,9 @@
         })
     }
 
-    /// Whether this balancer can ask `id` about the flow, or answer itself.
-    fn is_able(&self, id: u16) -> bool {
+    /// Whether balancer `id` can be asked about the flow; for the local one, whether it is an
+    /// owner.
+    fn can_ask(&self, id: u16) -> bool {
         if id == self.snapshot.me.id {
             self.snapshot.is_owner(self.now)
         } else {
@@ -189,13 +192,14 @@
         }
     }
 
-    fn first_able(&self, chain: &Chain) -> Option<u16> {
-        chain.ids().iter().copied().find(|&id| self.is_able(id))
+    fn first_available(&self, chain: &Chain) -> Option<u16> {
+        chain.ids().iter().copied().find(|&id| self.can_ask(id))
     }
 
-    fn find_owner(&mut self) -> Verdict {
+    /// Decides as the first available owner, or redirects the packet to it.
+    fn consult_owner(&mut self) -> Verdict {
         let chain = self.snapshot.chain(self.hash);
-        match self.first_able(&chain) {
+        match self.first_available(&chain) {
             None => drop(Code::OwnersUnreachable),
             Some(id) if id == self.snapshot.me.id => self.decide(&chain),
             Some(id) => self.redirect(id, Purpose::Resolve, NO_SERVER, Told::default()),
@@ -211,31 +215,32 @@
             hops: self.hops + 1,
             sender: self.snapshot.me.id,
             server,
-            // Not the ingress: some other balancer took this one for the owner.
+            // Set if this balancer is not the ingress: the sender considered this one the owner.
             passed_on: purpose == Purpose::Resolve && self.hops > 0,
             told,
         };
         Action::Redirect { to, header }.into()
     }
 
-    /// Another balancer takes this one for the flow's owner.
-    fn asked(&mut self, header: &Redirect) -> Verdict {
+    /// Handles a packet redirected by a balancer that considers this one an owner of the flow.
+    fn resolve_redirected(&mut self, header: &Redirect) -> Verdict {
         let chain = self.snapshot.chain(self.hash);
-        let first = self.first_able(&chain);
+        let first = self.first_available(&chain);
         let is_owner = self.snapshot.is_owner(self.now);
-        let knows = is_owner && self.known_pin().is_some();
+        let has_pin = is_owner && self.known_pin().is_some();
         let mut verdict = match first {
-            _ if knows => self.decide(&chain),
+            _ if has_pin => self.decide(&chain),
             None => drop(Code::OwnersUnreachable),
             Some(id) if id == self.snapshot.me.id => self.decide(&chain),
-            // Two balancers that each take the other for the first would pass it back and forth.
+            // Two balancers that each consider the other the first owner would redirect the packet
+            // back and forth.
             Some(_) if header.passed_on => drop(Code::OwnersDisagree),
             Some(id) => self.redirect(id, Purpose::Resolve, NO_SERVER, Told::default()),
         };
         if let Action::Forward { server } = verdict.action
             && matches!(self.packet.kind, Kind::Middle | Kind::Datagram)
-            && self.shard.hint(self.hash, self.now)
-            && (self.known_pin().is_some() || self.mark(Phase::Open))
+            && self.shard.should_send_hint(self.hash, self.now)
+            && (self.known_pin().is_some() || self.store_short_lived_pin(Phase::Open))
         {
             let key = self.packet.key;
             verdict.notice = Some((header.sender, Notice::Hint { key, server }));
