--- a/crates/flow/src/control.rs
+++ b/crates/flow/src/control.rs
@@ -25,12 +25,12 @@
 pub use peer::{Report, Wanted};
 pub use settings::{Member, Settings, Stage, Tables};
 
-/// The control thread's state.
+/// State of the control thread.
 ///
-/// Call order: [`Control::set_members`] and [`Control::set_tables`] when these change,
-/// [`Control::receive`] for each report, [`Control::sweep`] over all shards about once a second,
-/// then [`Control::snapshot`], and publish its outcome. Send [`Control::report`] to each member
-/// twice a second, and at once when [`Control::take_pending_report`].
+/// Call [`Control::set_members`] and [`Control::set_tables`] when these change,
+/// [`Control::receive`] for each report, and [`Control::sweep`] over all shards about once a
+/// second; then call [`Control::snapshot`] and publish the result. Send [`Control::report`] to each
+/// member twice a second, and immediately when [`Control::take_pending_report`] returns `true`.
 #[derive(Debug)]
 pub struct Control {
     me: Node,
@@ -43,43 +43,46 @@
     peers: Map<u16, Peer>,
     sent: VecDeque<(u32, u64)>,
     sequence: u32,
-    news: bool,
+    /// Whether peers should get a report before the next heartbeat.
+    report_pending: bool,
     settled: Arc<[Node]>,
-    /// The latest targets, oldest first: a peer may know that the handover to one is complete.
+    /// The latest targets, oldest first. A peer may report the handover to any of them as complete.
     targets: VecDeque<Arc<[Node]>>,
     previous: Arc<[Node]>,
     previous_until: u64,
     settled_at: u64,
     joining_since: u64,
-    /// Owners that are lost, and when the last of them was noticed to be.
+    /// Owners that are suspected dead or removed, and when the latest of them was noticed.
     lost: Vec<Node>,
     lost_at: u64,
-    /// Owners out of hearing, and when the last of them fell silent.
-    silent: Vec<Node>,
+    /// Unreachable owners, and when the latest of them became unreachable.
+    unreachable_owners: Vec<Node>,
     owner_unreachable_at: u64,
-    /// Since when some peer has gone by another settled set.
-    disagree_since: Option<u64>,
-    /// When copies of pins last came in.
-    copied_at: u64,
+    /// Since when some peer has used a different settled set.
+    disagreement_since: Option<u64>,
+    /// When a batch of pin copies was last received.
+    last_batch_at: u64,
     seen_members: bool,
-    turned: u64,
+    /// When the control thread last ran.
+    last_turn_at: u64,
     flags: Flags,
     handover: Handover,
 }
 
-/// Milliseconds for which balancers may go by different settled sets before all send all they
-/// hold: several start at once, or come back after each took the other for gone.
-const DISAGREE: u64 = 3_000;
-/// Most targets remembered: more than change while a balancer misses a few heartbeats.
-const TARGETS: usize = 8;
-/// Milliseconds for which a bucket stays flagged beyond the life of any snapshot in which flows
-/// could be placed off its base: two passes over the shards, in which their pins are met.
-const LINGER: u64 = 2_500;
-/// Most reports of which the time of sending is remembered: several seconds' worth for 64 peers.
-const REMEMBERED: usize = 4_096;
+/// Milliseconds for which balancers may use different settled sets before each sends all its pins
+/// to all balancers that need them. The sets differ for longer if several balancers start at once,
+/// or return after each removed the other.
+const MAX_DISAGREEMENT: u64 = 3_000;
+/// Maximum number of targets kept: more than occur while a balancer misses a few heartbeats.
+const MAX_TARGETS: usize = 8;
+/// Milliseconds for which a bucket stays flagged after the last snapshot that allowed placing flows
+/// off its base has expired. Covers two passes over the shards, which find the pins of such flows.
+const FLAG_LINGER: u64 = 2_500;
+/// Maximum number of reports whose sending time is kept: several seconds' worth for 64 peers.
+const MAX_SENT_REPORTS: usize = 4_096;
 
 impl Control {
-    /// The state of a balancer that has just started.
+    /// Creates the state of a balancer that has just started.
     #[must_use]
     pub fn new(me: Node, settings: Settings, now: u64) -> Self {
         Control {
@@ -93,7 +96,7 @@
             peers: Map::default(),
             sent: VecDeque::new(),
             sequence: 0,
-            news: true,
+            report_pending: true,
             settled: Arc::default(),
             targets: VecDeque::new(),
             previous: Arc::default(),
@@ -102,58 +105,60 @@
             joining_since: now,
             lost: Vec::new(),
             lost_at: now,
-            silent: Vec::new(),
+            unreachable_owners: Vec::new(),
             owner_unreachable_at: now,
-            disagree_since: None,
-            copied_at: 0,
+            disagreement_since: None,
+            last_batch_at: 0,
             seen_members: false,
-            turned: now,
+            last_turn_at: now,
             flags: Flags::default(),
             handover: Handover::new(settings.copy_rate, now),
         }
     }
 
-    /// Where this balancer is in its life; goes into its heartbeats.
+    /// Lifecycle stage of this balancer, to be sent in its heartbeats.
     #[must_use]
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Starts handing over. Once [`Control::may_leave`], [`Control::depart`], say goodbye, and go on
-    /// passing packets on for as long as others may not have heard it.
+    /// Starts to hand over all pins. Once [`Control::may_leave`] returns `true`, call
+    /// [`Control::depart`], announce the departure to the peers, and keep redirecting packets for
+    /// as long as a peer may not have received the announcement.
     pub fn leave(&mut self) {
         self.stage = Stage::Leaving;
-        self.news = true;
+        self.report_pending = true;
     }
 
-    /// Whether all pins are handed over, and every peer has finished its part.
+    /// Whether all pins are handed over and every peer has finished its part.
     #[must_use]
     pub fn may_leave(&self) -> bool {
         self.stage == Stage::Leaving && self.is_handed_over(digest(&self.target()))
     }
 
-    /// Stops to own flows, right before the goodbye to the others. From then on they no longer tell
-    /// this balancer of new flows; it must not answer for them, but can still pass packets on.
+    /// Stops owning flows, right before the departure is announced. Peers then no longer tell this
+    /// balancer of new flows, so it must not decide about flows any more, but it can still redirect
+    /// packets.
     pub fn depart(&mut self) {
         self.departed = true;
     }
 
-    /// Whether a peer should hear from this balancer before its next heartbeat is due.
+    /// Whether peers should get a report before the next heartbeat is due. Clears the mark.
     pub fn take_pending_report(&mut self) -> bool {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.report_pending)
     }
 
-    /// Takes over new tables; older ones than those in force are ignored.
+    /// Applies new tables, unless their version is older than or equal to the current one.
     pub fn set_tables(&mut self, tables: Tables, now: u64) {
         if tables.version <= self.tables.version && self.tables.version > 0 {
             return;
         }
-        self.flags.note_moves(&self.tables, &tables);
+        self.flags.record_moves(&self.tables, &tables);
         self.agreed = tables;
         self.apply(now);
     }
 
-    /// Notes that this balancer can't reach a server that the tables list, or can again.
+    /// Records whether this balancer considers a listed server unreachable.
     pub fn set_down(&mut self, address: Address, server: u16, down: bool, now: u64) {
         let changed = match down {
             true => self.down.insert((address, server)),
@@ -164,7 +169,7 @@
         }
     }
 
-    /// Brings the tables in use in line with what was agreed and what was found here.
+    /// Rebuilds the tables in use from the agreed tables and the servers found down locally.
     fn apply(&mut self, now: u64) {
         let mut services = self.agreed.services.clone();
         let listed = |address: &Address| {
@@ -185,18 +190,18 @@
             version: self.agreed.version,
             services,
         };
-        self.news = true;
+        self.report_pending = true;
         self.refresh(now);
     }
 
-    /// Takes over what the membership knows of all other balancers.
+    /// Applies the membership's view of all other balancers.
     pub fn set_members(&mut self, members: &[Member]) {
         self.peers
             .retain(|_, peer| members.iter().any(|member| member.node == peer.member.node));
         for &member in members.iter().filter(|member| member.node.id != self.me.id) {
             let peer = self.peers.entry(member.node.id);
             let peer = peer.or_insert_with(|| Peer::new(member));
-            self.news |= peer.member != member;
+            self.report_pending |= peer.member != member;
             peer.member = member;
             peer.has_joined |= member.stage == Stage::Joining;
         }
@@ -210,38 +215,38 @@
         self.peers.values().filter(|peer| !peer.member.dead)
     }
 
-    /// All balancers that are not taken for dead.
-    fn living(&self) -> Vec<Node> {
+    /// All balancers that are not suspected dead, including this one.
+    fn alive_nodes(&self) -> Vec<Node> {
         let others = self.alive().map(|peer| peer.member.node);
         others.chain([self.me]).collect()
     }
 
-    fn missing(&self) -> Vec<Node> {
+    fn suspected_dead(&self) -> Vec<Node> {
         let dead = self.peers.values().filter(|peer| peer.member.dead);
         dead.map(|peer| peer.member.node).collect()
     }
 
-    /// Those of them that can be reached.
+    /// Numbers of the reachable balancers, including this one.
     fn reachable(&self, now: u64) -> Vec<u16> {
-        let reach = self.settings.peer_timeout;
-        let reachable = self.alive().filter(|peer| peer.is_reachable(now, reach));
+        let timeout = self.settings.peer_timeout;
+        let reachable = self.alive().filter(|peer| peer.is_reachable(now, timeout));
         reachable
             .map(|peer| peer.member.node.id)
             .chain([self.me.id])
             .collect()
     }
 
-    /// Balancers that own flows now, in the order of their numbers.
+    /// Balancers that currently own flows, ordered by number.
     fn ready(&self) -> Arc<[Node]> {
-        self.collect(|stage| stage != Stage::Joining)
+        self.nodes_in(|stage| stage != Stage::Joining)
     }
 
-    /// Balancers that will own flows after those that join or leave have done so.
+    /// Balancers that will own flows after all pending joins and leaves.
     fn target(&self) -> Arc<[Node]> {
-        self.collect(|stage| stage != Stage::Leaving)
+        self.nodes_in(|stage| stage != Stage::Leaving)
     }
 
-    fn collect(&self, is_in: impl Fn(Stage) -> bool) -> Arc<[Node]> {
+    fn nodes_in(&self, is_in: impl Fn(Stage) -> bool) -> Arc<[Node]> {
         let mine = (is_in(self.stage) && !self.departed).then_some(self.me);
         let theirs = self.alive().filter(|peer| is_in(peer.member.stage));
         let mut nodes: Vec<Node> = theirs.map(|peer| peer.member.node).chain(mine).collect();
@@ -249,11 +254,11 @@
         nodes.into()
     }
 
-    /// Whether all have handed their pins over to `target`. One that joins has none of its own,
-    /// and goes by the settled set of the others.
+    /// Whether all balancers have handed over their pins to the owner set with digest `target`. A
+    /// joining balancer has no pins of its own and uses the settled set of the others.
     fn is_handed_over(&self, target: u64) -> bool {
         let joins = self.stage == Stage::Joining;
-        let mut sets = self.grown().map(|peer| peer.settled);
+        let mut sets = self.established().map(|peer| peer.settled);
         let mine = digest(&self.settled);
         let settled = if joins {
             sets.next().unwrap_or(mine)
@@ -263,61 +268,67 @@
         let same = if joins {
             sets.all(|set| set == settled)
         } else {
-            self.agrees()
+            self.agrees_on_settled()
         };
-        let done = handover::token(if same { settled } else { handover::APART }, target);
+        let done = handover::token(if same { settled } else { handover::DIVERGED }, target);
         let finished = self.handover.finished();
         let ended = if joins {
             finished.is_some()
         } else {
             finished == Some(done)
         };
-        ended && self.grown().all(|peer| peer.handed == done)
+        ended && self.established().all(|peer| peer.handed == done)
     }
 
-    fn grown(&self) -> impl Iterator<Item = &Peer> {
+    /// Alive peers that have finished joining.
+    fn established(&self) -> impl Iterator<Item = &Peer> {
         self.alive()
             .filter(|peer| peer.member.stage != Stage::Joining)
     }
 
-    /// Whether all go by the same settled set. For a moment they don't after each handover.
-    fn agrees(&self) -> bool {
-        self.disagree_since
-            .is_none_or(|since| self.turned < since + DISAGREE)
+    /// Whether all balancers use the same settled set. Short differences, as after each handover,
+    /// are ignored; see [`MAX_DISAGREEMENT`].
+    fn agrees_on_settled(&self) -> bool {
+        self.disagreement_since
+            .is_none_or(|since| self.last_turn_at < since + MAX_DISAGREEMENT)
     }
 
     fn refresh(&mut self, now: u64) {
-        let linger = self.settings.flags_timeout + LINGER;
-        let apart = !self.hears_all(now);
-        self.news |= self.flags.refresh(&self.tables, now, linger, apart);
+        let flag_linger = self.settings.flags_timeout + FLAG_LINGER;
+        let is_partitioned = !self.reaches_all(now);
+        self.report_pending |= self
+            .flags
+            .refresh(&self.tables, now, flag_linger, is_partitioned);
     }
 
-    /// Lets the policy choose among servers in every bucket of a service, or ends that. Without,
-    /// it can in buckets whose `next` differs from their base, or whose base takes no new flows.
-    /// All packets in mid-flow then pass an owner if they are not known where they come in.
-    pub fn allow_off_base(&mut self, address: Address, loose: bool, now: u64) {
-        self.flags.allow_off_base(address, loose);
+    /// Sets whether the policy may place flows off their base in every bucket of a service.
+    /// Otherwise it may only do so in buckets whose `next` differs from their base, or whose base
+    /// takes no new flows. While this is allowed, mid-flow packets go through an owner unless their
+    /// flow is cached at the ingress balancer.
+    pub fn allow_off_base(&mut self, address: Address, allowed: bool, now: u64) {
+        self.flags.allow_off_base(address, allowed);
         self.refresh(now);
     }
 
-    /// Guards a service, or ends that: openings then pass through the owners, who may refuse.
+    /// Sets whether a service is guarded. Openings of a guarded service go through the owners,
+    /// which may refuse them.
     pub fn guard(&mut self, address: Address, guarded: bool) {
-        self.news |= self.flags.guard(address, guarded);
+        self.report_pending |= self.flags.guard(address, guarded);
     }
 
-    /// Goes through shard `index` of `count`: drops what has lapsed, notes where pins are, and
-    /// lists those to be handed over. Call for every shard in turn.
+    /// Processes shard `index` of `count`: removes expired entries, records which buckets have
+    /// pins, and queues the pins to be handed over. Call it for every shard in turn.
     pub fn sweep(&mut self, shard: &mut Shard, index: usize, count: usize, now: u64) {
-        // An owner may have been lost since the last snapshot. Seen only there, after this sweep, the
-        // pins of this shard would be copied to its successor as openings that came to nothing, and
-        // their flows sent to their base once these lapse.
-        self.note_lost(now);
+        // An owner may have been lost since the last snapshot. If the loss were noticed only
+        // after this sweep, pins of this shard would be copied to the owner's successor as openings
+        // that were never established, and their flows would go to the base once those pins expire.
+        self.track_owner_failures(now);
         let (target, ready) = (self.target(), self.ready());
-        let (alive, missing) = (self.living(), self.missing());
+        let (alive, missing) = (self.alive_nodes(), self.suspected_dead());
         let view = handover::View {
             me: self.me,
             settled: &self.settled,
-            agreed: self.agrees(),
+            agreed: self.agrees_on_settled(),
             previous: &self.previous,
             target: &target,
             ready: &ready,
@@ -332,23 +343,24 @@
             .map(|service| (service.address, service))
             .collect();
         self.handover.start_shard(index, count, &view);
-        // A peer that knows of a change first sends its pins before this balancer has heard what
-        // they are for. It counts them as handed over; dropped here, they would be lost.
+        // A peer that learns of a change earlier may send its pins before this balancer knows that
+        // it is to own them. The peer counts them as handed over, so removing them here would lose
+        // them.
         let grace = self.settings.handover_grace;
-        let fresh = now < self.copied_at + grace;
+        let batch_is_recent = now < self.last_batch_at + grace;
         shard.sweep(now, |key: &Key, pin: &mut Pin| {
             let address = Address::of(key);
             let Some(service) = services.get(&address) else {
                 return false;
             };
             let hash = key.hash();
-            if !view.keeps(hash) && !fresh && pin.age(now) > grace {
+            if !view.keeps(hash) && !batch_is_recent && pin.age(now) > grace {
                 return false;
             }
             if !pin.short_lived {
-                self.flags.note_pin(service, service.bucket(hash));
+                self.flags.record_pin(service, service.bucket(hash));
             }
-            self.handover.note(key, pin, now, &view);
+            self.handover.process_pin(key, pin, now, &view);
             true
         });
         if index + 1 == count {
@@ -357,14 +369,14 @@
         }
     }
 
-    /// The batches of pins to send at `now`, within the byte budget.
+    /// Returns the batches of pins to send at `now`, within the byte rate.
     pub fn batches(&mut self, now: u64) -> Vec<(u16, Batch)> {
         let alive: Vec<u16> = self.alive().map(|peer| peer.member.node.id).collect();
         self.handover.batches(now, &alive)
     }
 
-    /// Takes in a batch of `from`: `adopt` hands each pin to [`Shard::adopt`] and gives its
-    /// answer. Send the acknowledgement back.
+    /// Processes a batch from balancer `from`. `adopt` must pass each pin to [`Shard::adopt`] and
+    /// return its result. Send the returned acknowledgement back.
     pub fn receive_batch(
         &mut self,
         from: u16,
@@ -377,14 +389,14 @@
             .services
             .iter()
             .find(|service| service.address == batch.address);
-        self.copied_at = now;
+        self.last_batch_at = now;
         for packed in &batch.pins {
             let (key, pin) = packed.unpack(&batch.address, now);
             if let Some(service) = service {
-                self.flags.note_pin(service, service.bucket(key.hash()));
+                self.flags.record_pin(service, service.bucket(key.hash()));
             }
-            if let Some(better) = adopt(key, pin) {
-                self.handover.list(from, &key, &better);
+            if let Some(local) = adopt(key, pin) {
+                self.handover.enqueue(from, &key, &local);
             }
         }
         self.refresh(now);
@@ -393,13 +405,14 @@
         }
     }
 
-    /// Takes in the answer to a batch sent to `from`.
+    /// Processes the acknowledgement of a batch sent to balancer `from`.
     pub fn receive_acknowledgement(&mut self, from: u16, answer: Acknowledgement) {
         self.handover.acknowledged(from, answer.number);
     }
 
-    /// Whether the server may be taken out of the base of its buckets: for the writer of tables.
-    /// True once every balancer has tables of `version`, in which it takes no new flows.
+    /// Whether every balancer has tables of at least `version`, and none is suspected dead. The
+    /// table writer then may remove a server that takes no new flows in `version` from the base of
+    /// its buckets.
     #[must_use]
     pub fn is_known_everywhere(&self, version: u64) -> bool {
         self.peers
@@ -408,7 +421,7 @@
     }
 }
 
-/// Whether flows may have to be placed elsewhere than on the base.
+/// Whether new flows in `bucket` may have to be placed off its base.
 fn is_off_base(service: &Service, bucket: usize) -> bool {
     let base = service.base[bucket];
     service.next[bucket] != base || !service.is_eligible(base)
--- a/crates/flow/src/control/flags.rs
+++ b/crates/flow/src/control/flags.rs
@@ -6,33 +6,35 @@
     snapshot::{Address, Service},
 };
 
-/// Which buckets this balancer wants flagged, and since when all others know.
+/// The buckets that this balancer wants flagged, and since when all others have known.
 #[derive(Debug)]
 pub(super) struct Flags {
-    /// Rises with every change of what is wanted. From 1: a peer that acknowledges 0 knows nothing.
+    /// Increases with every change of the wanted flags. Starts at 1, because a peer that
+    /// acknowledges version 0 has received no flags.
     pub(super) version: u32,
     services: Map<Address, Buckets>,
     guarded: Map<Address, Option<u64>>,
-    /// Moves of base buckets that wait until all balancers have the tables: version, buckets.
+    /// Buckets whose base changed, with the table version that every balancer must have before the
+    /// entry is cleared.
     moves: Map<Address, (u64, Bitmap)>,
     /// Services whose policy may place flows off base in any bucket.
-    loose: Set<Address>,
+    off_base_everywhere: Set<Address>,
     acknowledged: u32,
 }
 
 #[derive(Debug, Default)]
 struct Buckets {
     wanted: Bitmap,
-    /// Buckets of pins, as of the last complete pass over all shards.
+    /// Buckets with pins, as of the last complete pass over all shards or added since.
     pinned: Bitmap,
-    /// Buckets of pins met in the pass under way.
-    noted: Bitmap,
-    /// Per bucket, when all balancers had acknowledged its flag; 0 while they have not.
-    since: Vec<u64>,
-    /// Per bucket, when flows last had reason to be placed off its base; 0 for never.
-    needed: Vec<u64>,
-    /// Buckets in which they have now.
-    needs: Bitmap,
+    /// Buckets with pins found so far in the current pass.
+    found: Bitmap,
+    /// Per bucket, when all balancers had acknowledged its flag; 0 until they have.
+    flagged_since: Vec<u64>,
+    /// Per bucket, when there was last a reason to place flows off its base; 0 for never.
+    last_needed_at: Vec<u64>,
+    /// Buckets that currently have such a reason.
+    needs_off_base: Bitmap,
 }
 
 impl Default for Flags {
@@ -42,7 +44,7 @@
             services: Map::default(),
             guarded: Map::default(),
             moves: Map::default(),
-            loose: Set::default(),
+            off_base_everywhere: Set::default(),
             acknowledged: 0,
         }
     }
@@ -68,13 +70,14 @@
             .unwrap_or_default()
     }
 
-    /// Buckets that need flows off their base, flagged everywhere for `settle` milliseconds.
-    pub(super) fn open(&self, address: &Address, now: u64, settle: u64) -> Bitmap {
+    /// Buckets in which flows may be placed off their base: those that need it and have been
+    /// flagged everywhere for `settle` milliseconds.
+    pub(super) fn off_base(&self, address: &Address, now: u64, settle: u64) -> Bitmap {
         let mut open = Bitmap::default();
         if let Some(buckets) = self.services.get(address) {
-            let since = |bucket: usize| buckets.since.get(bucket).copied().unwrap_or(0);
+            let since = |bucket: usize| buckets.flagged_since.get(bucket).copied().unwrap_or(0);
             buckets
-                .needs
+                .needs_off_base
                 .iter()
                 .filter(|&bucket| since(bucket) > 0 && now >= since(bucket) + settle)
                 .for_each(|bucket| open.insert(bucket));
@@ -82,11 +85,12 @@
         open
     }
 
-    /// Whether every bucket that needs flows off its base is open for them, see [`Flags::open`].
-    pub(super) fn all_open(&self, now: u64, settle: u64) -> bool {
+    /// Whether flows may be placed off their base in every bucket that needs it, see
+    /// [`Flags::off_base`].
+    pub(super) fn all_off_base(&self, now: u64, settle: u64) -> bool {
         self.services.values().all(|buckets| {
-            let since = |bucket: usize| buckets.since.get(bucket).copied().unwrap_or(0);
-            let mut needs = buckets.needs.iter();
+            let since = |bucket: usize| buckets.flagged_since.get(bucket).copied().unwrap_or(0);
+            let mut needs = buckets.needs_off_base.iter();
             needs.all(|bucket| since(bucket) > 0 && now >= since(bucket) + settle)
         })
     }
@@ -111,9 +115,9 @@
         changed
     }
 
-    /// Notes buckets whose base differs between two tables: until every balancer has the new
-    /// ones, a flow on the new base needs a pin as if it were off base.
-    pub(super) fn note_moves(&mut self, old: &Tables, new: &Tables) {
+    /// Records the buckets whose base differs between two tables. Until every balancer has the new
+    /// tables, a flow on the new base needs a pin as if it were off base.
+    pub(super) fn record_moves(&mut self, old: &Tables, new: &Tables) {
         for service in &new.services {
             let before = old
                 .services
@@ -133,45 +137,52 @@
         }
     }
 
-    /// Ends the moves that every balancer knows of: `known` is the least version of tables.
-    pub(super) fn settle_moves(&mut self, known: u64) {
+    /// Clears the moves that every balancer knows. `known` is the lowest table version in use.
+    pub(super) fn clear_moves(&mut self, known: u64) {
         self.moves.retain(|_, (version, _)| *version > known);
     }
 
-    pub(super) fn note_pin(&mut self, service: &Service, bucket: usize) {
+    pub(super) fn record_pin(&mut self, service: &Service, bucket: usize) {
         let buckets = self.services.entry(service.address).or_default();
-        buckets.noted.insert(bucket);
+        buckets.found.insert(bucket);
         buckets.pinned.insert(bucket);
     }
 
-    /// A pass over all shards is complete: what it has not met holds no pins.
+    /// Completes a pass over all shards: buckets in which it found no pin have none.
     pub(super) fn finish_pass(&mut self) {
         for buckets in self.services.values_mut() {
-            buckets.pinned = std::mem::take(&mut buckets.noted);
+            buckets.pinned = std::mem::take(&mut buckets.found);
         }
     }
 
-    /// Gives the policy a choice of servers in every bucket of a service, or ends that.
-    pub(super) fn allow_off_base(&mut self, address: Address, loose: bool) {
-        if loose {
-            self.loose.insert(address);
+    /// Sets whether flows of a service may be placed off their base in every bucket.
+    pub(super) fn allow_off_base(&mut self, address: Address, allowed: bool) {
+        if allowed {
+            self.off_base_everywhere.insert(address);
         } else {
-            self.loose.remove(&address);
+            self.off_base_everywhere.remove(&address);
         }
     }
 
-    /// Brings what is wanted in line with tables and pins; gives whether it changed.
+    /// Recomputes the wanted flags from tables and pins; returns whether they changed.
     ///
-    /// While a balancer is `apart`, nothing can be placed off its base, and the owners that are out
-    /// of hearing can't be asked about a flow. A bucket flagged then would stop the flows that were
-    /// opened on its base without a pin, until the cut is over: callers inside a data centre that
-    /// was cut off waited 15 s and more. So a mere choice of servers waits until all are back or
-    /// gone. What guards against packets of another service, or to an old base, does not wait.
+    /// While `is_partitioned`, no flow can be placed off its base, and unreachable owners can't be
+    /// asked about a flow. Flagging a bucket then would block the flows that were opened on its
+    /// base without a pin until the partition ends: callers inside a partitioned data centre waited
+    /// 15 s and more. A bucket that would only be flagged to give a choice of servers is therefore
+    /// flagged after all balancers have returned or been removed. Flags that protect against
+    /// packets of another service, or to an old base, are not delayed.
     ///
-    /// A bucket stays flagged for `linger` milliseconds after new flows go to its base again: a
-    /// traffic thread with an older snapshot may still be pinning, and the next pass over the
-    /// shards has yet to meet those pins.
-    pub(super) fn refresh(&mut self, tables: &Tables, now: u64, linger: u64, apart: bool) -> bool {
+    /// A bucket stays flagged for `linger` milliseconds after new flows go to its base again,
+    /// because a traffic thread with an older snapshot may still create pins, and the next pass
+    /// over the shards has yet to find them.
+    pub(super) fn refresh(
+        &mut self,
+        tables: &Tables,
+        now: u64,
+        linger: u64,
+        is_partitioned: bool,
+    ) -> bool {
         let mut changed = false;
         let listed: Set<Address> = tables
             .services
@@ -181,30 +192,32 @@
         self.services.retain(|address, _| listed.contains(address));
         for service in &tables.services {
             let moved = self.moved(&service.address);
-            let loose = self.loose.contains(&service.address);
+            let everywhere = self.off_base_everywhere.contains(&service.address);
             let buckets = self.services.entry(service.address).or_default();
-            buckets.since.resize(service.base.len(), 0);
-            buckets.needed.resize(service.base.len(), 0);
+            buckets.flagged_since.resize(service.base.len(), 0);
+            buckets.last_needed_at.resize(service.base.len(), 0);
             let mut needs = moved;
             for bucket in 0..service.base.len() {
-                let chosen = loose || is_off_base(service, bucket);
-                let waits = apart && !buckets.wanted.contains(bucket);
-                if service.strict || (chosen && !waits) {
+                let has_choice = everywhere || is_off_base(service, bucket);
+                let is_delayed = is_partitioned && !buckets.wanted.contains(bucket);
+                if service.strict || (has_choice && !is_delayed) {
                     needs.insert(bucket);
                 }
             }
-            needs.iter().for_each(|bucket| buckets.needed[bucket] = now);
+            needs
+                .iter()
+                .for_each(|bucket| buckets.last_needed_at[bucket] = now);
             let mut wanted = Bitmap::new(service.base.len());
-            for (bucket, &needed) in buckets.needed.iter().enumerate() {
-                if needed > 0 && now <= needed + linger {
+            for (bucket, &last_needed_at) in buckets.last_needed_at.iter().enumerate() {
+                if last_needed_at > 0 && now <= last_needed_at + linger {
                     wanted.insert(bucket);
                 }
             }
             wanted.union(&buckets.pinned);
-            wanted.union(&buckets.noted);
-            buckets.needs = needs;
+            wanted.union(&buckets.found);
+            buckets.needs_off_base = needs;
             if wanted != buckets.wanted {
-                for (bucket, since) in buckets.since.iter_mut().enumerate() {
+                for (bucket, since) in buckets.flagged_since.iter_mut().enumerate() {
                     *since = if wanted.contains(bucket) { *since } else { 0 };
                 }
                 buckets.wanted = wanted;
@@ -215,7 +228,7 @@
         changed
     }
 
-    /// Every balancer has acknowledged the flags as they are now.
+    /// Records that every balancer has acknowledged the current flags.
     pub(super) fn acknowledge(&mut self, now: u64) {
         if self.acknowledged == self.version {
             return;
@@ -223,7 +236,11 @@
         self.acknowledged = self.version;
         for buckets in self.services.values_mut() {
             for bucket in buckets.wanted.iter() {
-                if let Some(since) = buckets.since.get_mut(bucket).filter(|since| **since == 0) {
+                if let Some(since) = buckets
+                    .flagged_since
+                    .get_mut(bucket)
+                    .filter(|since| **since == 0)
+                {
                     *since = now.max(1);
                 }
             }
--- a/crates/flow/src/control/handover.rs
+++ b/crates/flow/src/control/handover.rs
@@ -9,40 +9,40 @@
     snapshot::Address,
 };
 
-/// Most pins of a batch: it then fits a datagram of 1,280 bytes with its headers.
-const BATCH: usize = 90;
-/// Most pins queued for one peer and service: above the pins that a balancer may hold, so that a
-/// handover is never cut short. A peer that asks again and again can't make the queue grow further.
-const QUEUE: usize = 1 << 20;
-/// Milliseconds after which an unacknowledged batch is sent again.
-const REPEAT: u64 = 1_000;
-/// Bytes of a batch besides its pins: frame, UDP and IP headers, address, number.
-const ENVELOPE: usize = 84;
-/// Most that the byte budget saves up, in seconds' worth.
-const BURST: u64 = 2;
+/// Maximum number of pins in a batch, so that it fits a datagram of 1,280 bytes with its headers.
+const MAX_BATCH_PINS: usize = 90;
+/// Maximum number of pins queued for one peer and service. More than a balancer may hold, so that
+/// no handover is truncated; bounds the queue if a peer keeps sending queries.
+const MAX_QUEUED_PINS: usize = 1 << 20;
+/// Milliseconds after which an unacknowledged batch is retransmitted.
+const RETRANSMIT_DELAY: u64 = 1_000;
+/// Bytes of a batch besides its pins: frame, UDP and IP headers, address and number.
+const BATCH_OVERHEAD: usize = 84;
+/// Capacity of the token bucket for copies, in seconds of the byte rate.
+const BURST_SECONDS: u64 = 2;
 
-/// A pin in a [`Batch`]. 10 to 12 bytes encoded.
+/// A pin in a [`Batch`]. 10 to 12 bytes when encoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packed {
     client: [u8; 4],
     client_port: [u8; 2],
     server: u16,
-    /// Phase in the low bits, then the age in units of 128 s.
+    /// Phase in the low 3 bits, age in units of 128 s in the high 5 bits.
     state: u8,
 }
 
-/// Bytes of an encoded [`Packed`] at most.
-const PACKED: usize = 10;
-/// Stands in the place of the age where a pin is a question: whether the flow got further.
-const QUESTION: u8 = 31;
-/// Milliseconds in a unit of a packed pin's age.
-const AGE: u64 = 128_000;
+/// Maximum size of an encoded [`Packed`] in bytes.
+const PACKED_BYTES: usize = 10;
+/// Value of the age field that marks a pin as a query whether the flow was established.
+const QUERY: u8 = 31;
+/// Unit of the age in a packed pin, in milliseconds.
+const AGE_UNIT: u64 = 128_000;
 
 impl Packed {
     fn new(key: &Key, pin: &Pin, now: u64) -> Self {
         let age = match pin.queries > 0 && pin.phase == Phase::Opening {
-            true => QUESTION,
-            false => (pin.age(now) / AGE).min(u64::from(QUESTION) - 1) as u8,
+            true => QUERY,
+            false => (pin.age(now) / AGE_UNIT).min(u64::from(QUERY) - 1) as u8,
         };
         Packed {
             client: key.client.octets(),
@@ -62,12 +62,12 @@
         };
         let age = self.state >> 3;
         let pin = Pin {
-            synced_at: (now.saturating_sub(u64::from(age) * AGE) / 1_000) as u32,
+            synced_at: (now.saturating_sub(u64::from(age) * AGE_UNIT) / 1_000) as u32,
             isn: 0,
             server: self.server,
             phase: Phase::from_number(self.state & 7),
             short_lived: false,
-            queries: u8::from(age == QUESTION),
+            queries: u8::from(age == QUERY),
         };
         (key, pin)
     }
@@ -76,7 +76,7 @@
 /// Copies of pins for a new owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Tells it from the sender's other batches.
+    /// Identifies the batch among those of the sender.
     pub number: u32,
     /// The service of all its pins.
     pub address: Address,
@@ -84,31 +84,32 @@
     pub pins: Vec<Packed>,
 }
 
-/// The answer to a [`Batch`].
+/// The acknowledgement of a [`Batch`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acknowledgement {
     /// Number of the batch.
     pub number: u32,
 }
 
-/// The sets of owners that decide who sends what to whom.
+/// The owner sets that determine which balancer sends which pins to which.
 pub(super) struct View<'a> {
     pub(super) me: Node,
     pub(super) settled: &'a [Node],
-    /// Whether all balancers go by it. Without, each sends all it holds to all that should.
+    /// Whether all balancers use `settled`. Otherwise each sends all its pins to all that need
+    /// them.
     pub(super) agreed: bool,
     pub(super) previous: &'a [Node],
     pub(super) ready: &'a [Node],
     pub(super) target: &'a [Node],
     pub(super) alive: &'a [Node],
-    /// When an owner was last noticed to be lost.
+    /// When an owner was last noticed to be suspected dead or removed.
     pub(super) lost_at: u64,
-    /// Members that are taken for dead, but may be cut off.
+    /// Members that are suspected dead, but may be partitioned.
     pub(super) missing: &'a [Node],
 }
 
 impl View<'_> {
-    /// Whether this balancer has any business with a flow.
+    /// Whether this balancer must keep the pins of a flow.
     pub(super) fn keeps(&self, hash: u64) -> bool {
         let ranks = |set: &[Node]| top_two(hash, set).contains(&Some(self.me));
         let others = [self.target, self.ready, self.previous];
@@ -116,28 +117,30 @@
         ranks(self.settled) || others.any(|set| ranks(set))
     }
 
-    /// The other balancers that answer for the flow.
+    /// The other owners of the flow.
     fn others(&self, hash: u64) -> impl Iterator<Item = Node> + use<'_> {
         let owners = top_two(hash, self.settled).into_iter().flatten();
         owners.filter(|node| *node != self.me && self.alive.contains(node))
     }
 
-    fn lost_owner(&self, hash: u64) -> bool {
+    /// Whether an owner of the flow was removed.
+    fn has_lost_owner(&self, hash: u64) -> bool {
         let mut owners = top_two(hash, self.settled).into_iter().flatten();
         owners.any(|node| !self.alive.contains(&node) && !self.missing.contains(&node))
     }
 
-    /// Whether an owner of the flow is taken for dead and may come back with what it knows.
-    fn misses_owner(&self, hash: u64) -> bool {
+    /// Whether an owner of the flow is suspected dead but may return with its pins.
+    fn has_missing_owner(&self, hash: u64) -> bool {
         let mut owners = top_two(hash, self.settled).into_iter().flatten();
         owners.any(|node| self.missing.contains(&node))
     }
 
-    /// Who has to get a copy from this balancer: the new owners, from one of the old.
+    /// The balancers to which this one must send a copy: each new owner gets it from one old owner.
     fn receivers(&self, hash: u64) -> impl Iterator<Item = Node> + use<> {
         let old = top_two(hash, self.settled).map(|node| node.filter(|n| self.ready.contains(n)));
-        // Half of the flows each, so that one that leaves is not left to send all it holds alone.
-        // All go by the same settled set: a peer's report counts only if it names this one's.
+        // Each of the two old owners sends half of the flows, so that a leaving balancer does not
+        // have to send all its pins alone. This is safe because both use the same settled set: a
+        // peer's report counts only if it names the same set.
         let order = [old[hash as usize & 1], old[!hash as usize & 1]];
         let sender = order.into_iter().flatten().next();
         let sends = !self.agreed || sender.is_none_or(|sender| sender == self.me);
@@ -156,7 +159,7 @@
     batch: Batch,
 }
 
-/// What a pass over the shards works for.
+/// The owner sets for which a pass over the shards queues pins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Goal {
     target: u64,
@@ -164,65 +167,65 @@
     alive: u64,
 }
 
-/// Stands for the settled set where balancers go by different ones.
-pub(super) const APART: u64 = 0;
+/// Used instead of the digest of the settled set if balancers use different settled sets.
+pub(super) const DIVERGED: u64 = 0;
 
-/// Stands for a finished handover from the settled set to the target, by their digests. Two
-/// balancers that go by different settled sets may each take the other for the sender of a pin;
-/// their reports then differ in this, and neither counts.
+/// Identifies a finished handover by the digests of the settled set and the target. Two balancers
+/// with different settled sets may each expect the other to send a pin; their tokens then differ,
+/// and neither report counts.
 pub(super) fn token(settled: u64, target: u64) -> u64 {
     mix(mix(settled) ^ target)
 }
 
-/// Copies of pins on their way to new owners.
+/// Pending copies of pins for new owners.
 #[derive(Debug)]
 pub(super) struct Handover {
-    budget: u64,
+    rate: u64,
     tokens: u64,
     refilled: u64,
     number: u32,
     goal: Option<Goal>,
-    /// How many shards the pass has done, and of how many.
+    /// Number of shards processed in this pass, and the total.
     done: usize,
     count: usize,
-    /// Whether the shard under way belongs to the pass.
-    listing: bool,
+    /// Whether the current shard is the next one of the pass.
+    is_listing: bool,
     queues: BTreeMap<(u16, Address), Vec<(Key, Pin)>>,
     unacknowledged: Vec<Sent>,
 }
 
 impl Handover {
-    pub(super) fn new(budget: u32, now: u64) -> Self {
+    pub(super) fn new(rate: u32, now: u64) -> Self {
         Handover {
-            budget: u64::from(budget),
-            tokens: u64::from(budget),
+            rate: u64::from(rate),
+            tokens: u64::from(rate),
             refilled: now,
             number: 0,
             goal: None,
             done: 0,
             count: usize::MAX,
-            listing: false,
+            is_listing: false,
             queues: BTreeMap::new(),
             unacknowledged: Vec::new(),
         }
     }
 
-    /// The [`token`] of the handover that is complete on this side.
+    /// Returns the [`token`] of the handover if this balancer has completed its part.
     pub(super) fn finished(&self) -> Option<u64> {
         let sent = self.queues.is_empty() && self.unacknowledged.is_empty();
         let goal = self.goal?;
         (sent && self.done == self.count).then(|| token(goal.settled, goal.target))
     }
 
-    /// Begins with shard `index` of `count`. A new goal starts the pass anew at the first shard;
-    /// so does a death, since the dead one's part falls to others.
+    /// Starts shard `index` of `count`. When the owner sets change, the pass restarts at the first
+    /// shard. It also restarts when a balancer dies, because others take over its part.
     pub(super) fn start_shard(&mut self, index: usize, count: usize, view: &View<'_>) {
         let goal = Goal {
             target: digest(view.target),
             settled: if view.agreed {
                 digest(view.settled)
             } else {
-                APART
+                DIVERGED
             },
             alive: digest(view.alive),
         };
@@ -232,48 +235,49 @@
             self.queues.clear();
         }
         self.count = count;
-        self.listing = self.goal == Some(goal) && index == self.done;
-        self.done += usize::from(self.listing);
+        self.is_listing = self.goal == Some(goal) && index == self.done;
+        self.done += usize::from(self.is_listing);
     }
 
-    /// Lists a pin met in the pass for those that need a copy; and one of an opening that is on
-    /// its way out for the other owners, as a question.
-    pub(super) fn note(&mut self, key: &Key, pin: &mut Pin, now: u64, view: &View<'_>) {
+    /// Queues copies of a pin found in the pass for the balancers that need one. An expiring pin of
+    /// an opening is also queued for the other owners as a query.
+    pub(super) fn process_pin(&mut self, key: &Key, pin: &mut Pin, now: u64, view: &View<'_>) {
         if pin.short_lived {
             return;
         }
         let hash = key.hash();
-        let was_there = u64::from(pin.synced_at) * 1_000 <= view.lost_at;
-        if pin.phase == Phase::Opening && was_there && view.lost_owner(hash) {
-            // Only the lost one may have known that the flow got further. Forgetting it would send
-            // its next packet to another server; keeping an opening that came to nothing costs a
-            // pin until it has been idle for long. A pin made after the loss was never at the lost
-            // one. Taken for more than an opening, it would prevail over that of the owners who
-            // place the resent opening, and the flow would be sent to two servers.
+        let predates_loss = u64::from(pin.synced_at) * 1_000 <= view.lost_at;
+        if pin.phase == Phase::Opening && predates_loss && view.has_lost_owner(hash) {
+            // Perhaps only the lost owner knew that the flow was established. If the pin expired,
+            // the flow's next packet would go to another server; keeping the pin of an abandoned
+            // opening only costs memory until the idle timeout. A pin created after the loss was
+            // never at the lost owner. Treated as established, it would take precedence over the
+            // pin of the owners that place the retransmitted opening, and the flow would go to two
+            // servers.
             pin.phase = Phase::Open;
         }
-        if self.listing {
+        if self.is_listing {
             view.receivers(hash)
-                .for_each(|node| self.list(node.id, key, pin));
+                .for_each(|node| self.enqueue(node.id, key, pin));
         }
-        if pin.is_expiring(now) && view.misses_owner(hash) {
-            // A cut came between the opening and the caller's next packet, which only the owner out of
-            // hearing has seen. It can't be asked, and a question under way is dropped with its
-            // connection. Forgotten meanwhile, the flow would be sent to its base by an owner that
-            // seems to know all pins, and reset. So the pin is held as it is until the other can be
-            // asked, or is gone.
+        if pin.is_expiring(now) && view.has_missing_owner(hash) {
+            // A partition may have begun between the opening and the caller's next packet, so that
+            // only the missing owner saw that packet. It can't be queried, and a query in flight is
+            // dropped with its connection. If the pin expired now, an owner that appears to know
+            // all pins would send the flow to its base, which would reset it. The pin is therefore
+            // extended until the other owner can be queried or is removed.
             pin.extend_expiring(now);
         } else if pin.is_query_due(now) {
             pin.queries += 1;
             view.others(hash)
-                .for_each(|node| self.list(node.id, key, pin));
+                .for_each(|node| self.enqueue(node.id, key, pin));
         }
     }
 
-    /// Lists a copy of a pin for `to`.
-    pub(super) fn list(&mut self, to: u16, key: &Key, pin: &Pin) {
+    /// Queues a copy of a pin for balancer `to`.
+    pub(super) fn enqueue(&mut self, to: u16, key: &Key, pin: &Pin) {
         let queue = self.queues.entry((to, Address::of(key))).or_default();
-        if queue.len() < QUEUE {
+        if queue.len() < MAX_QUEUED_PINS {
             queue.push((*key, *pin));
         }
     }
@@ -286,7 +290,7 @@
         for at in 0..self.unacknowledged.len() {
             let cost = cost(self.unacknowledged[at].batch.pins.len());
             let sent = &mut self.unacknowledged[at];
-            if now >= sent.at + REPEAT && self.tokens >= cost {
+            if now >= sent.at + RETRANSMIT_DELAY && self.tokens >= cost {
                 self.tokens -= cost;
                 sent.at = now;
                 out.push((sent.to, sent.batch.clone()));
@@ -300,9 +304,9 @@
     }
 
     fn refill(&mut self, now: u64) {
-        let earned = (now - self.refilled) * self.budget / 1_000;
+        let earned = (now - self.refilled) * self.rate / 1_000;
         if earned > 0 {
-            self.tokens = (self.tokens + earned).min(self.budget * BURST);
+            self.tokens = (self.tokens + earned).min(self.rate * BURST_SECONDS);
             self.refilled = now;
         }
     }
@@ -311,8 +315,12 @@
         let mut entry = self.queues.first_entry()?;
         let (to, address) = *entry.key();
         let queue = entry.get_mut();
-        let most = (self.budget * BURST).saturating_sub(ENVELOPE as u64) / PACKED as u64;
-        let count = queue.len().min(BATCH).min(most.max(1) as usize);
+        let affordable =
+            (self.rate * BURST_SECONDS).saturating_sub(BATCH_OVERHEAD as u64) / PACKED_BYTES as u64;
+        let count = queue
+            .len()
+            .min(MAX_BATCH_PINS)
+            .min(affordable.max(1) as usize);
         if self.tokens < cost(count) {
             return None;
         }
@@ -342,7 +350,7 @@
     }
 }
 
-/// Bytes of a batch of `pins` on the wire.
+/// Bytes on the wire of a batch with `pins` pins.
 fn cost(pins: usize) -> u64 {
-    (ENVELOPE + pins * PACKED) as u64
+    (BATCH_OVERHEAD + pins * PACKED_BYTES) as u64
 }
--- a/crates/flow/src/control/peer.rs
+++ b/crates/flow/src/control/peer.rs
@@ -1,59 +1,61 @@
 use acacia_wire::collections::Map;
 use serde::{Deserialize, Serialize};
 
-use super::{Control, Member, REMEMBERED, Stage};
+use super::{Control, MAX_SENT_REPORTS, Member, Stage};
 use crate::{
     bitmap::Bitmap,
     rank::{Node, digest},
     snapshot::Address,
 };
 
-/// Flags that a balancer wants for one service.
+/// The flags that a balancer requests for one service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wanted {
     /// Buckets in which it may hold pins.
     pub buckets: Bitmap,
-    /// Whether openings pass through the owners in every bucket.
+    /// Whether openings go through the owners in every bucket.
     pub guarded: bool,
 }
 
-/// What one balancer tells another with each heartbeat. About 20 bytes, but for the flags, which
-/// go only until they are acknowledged.
+/// What one balancer tells another with each heartbeat. About 20 bytes without the flags, which are
+/// sent only until they are acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Rises with every report of the sender.
+    /// Increases with every report of the sender.
     pub sequence: u32,
-    /// The latest report of the receiver that the sender had got: proof that both hear each other
-    /// now. Reports that lay in a socket while the receiver was frozen prove nothing.
+    /// Sequence number of the latest report that the sender has received from the receiver. Proves
+    /// that the two currently reach each other; the arrival of a report alone does not, because it
+    /// may have waited in a socket while the receiver was suspended.
     pub echo: u32,
     /// Version of the sender's tables.
     pub tables: u64,
-    /// Version of the flags that the sender wants.
+    /// Version of the flags that the sender requests.
     pub version: u32,
-    /// Version of the receiver's flags that the sender goes by.
+    /// Version of the receiver's flags that the sender uses.
     pub acknowledged: u32,
-    /// Stands for the owners' sets between which the sender has handed over its pins.
+    /// Identifies the owner sets between which the sender has completed its handover; 0 if none.
     pub handed: u64,
-    /// Digest of the owners' set whose handover the sender knows to be complete.
+    /// Digest of the sender's settled owner set, whose handover is complete.
     pub settled: u64,
-    /// That set itself, unless the receiver goes by it. One that joins can't know it otherwise.
+    /// The settled owner set itself, unless the receiver uses the same one. A joining balancer has
+    /// no other way to learn it.
     pub owners: Option<Vec<Node>>,
     /// The flags of `version`, unless the receiver has acknowledged them.
     pub wanted: Option<Vec<(Address, Wanted)>>,
 }
 
-/// What is known of another balancer.
+/// What this balancer knows of another one.
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) member: Member,
-    /// When the latest report of ours that it has echoed was sent.
-    pub(super) echoed: u64,
+    /// When this balancer sent the latest report that the peer has echoed.
+    pub(super) echoed_at: u64,
     pub(super) tables: u64,
     pub(super) handed: u64,
     pub(super) settled: u64,
-    /// Whether the flags it wants are known.
+    /// Whether the flags it requests are known.
     pub(super) has_flags: bool,
-    /// Whether it was seen to join, and so had all pins copied to it.
+    /// Whether it was seen in [`Stage::Joining`], during which it received all its pins.
     pub(super) has_joined: bool,
     pub(super) wanted: Map<Address, Wanted>,
     version: u32,
@@ -65,7 +67,7 @@
     pub(super) fn new(member: Member) -> Self {
         Peer {
             member,
-            echoed: 0,
+            echoed_at: 0,
             tables: 0,
             handed: 0,
             settled: 0,
@@ -78,27 +80,27 @@
         }
     }
 
-    /// Asks for its flags anew, with its next report.
+    /// Discards the peer's flags, so that it sends them again with its next report.
     pub(super) fn forget_flags(&mut self) {
         self.has_flags = false;
         self.version = 0;
     }
 
-    pub(super) fn is_reachable(&self, now: u64, bound: u64) -> bool {
-        now <= self.echoed + bound
+    pub(super) fn is_reachable(&self, now: u64, timeout: u64) -> bool {
+        now <= self.echoed_at + timeout
     }
 }
 
 impl Control {
-    /// The report to send to `to` at `now`.
+    /// Creates the report to send to balancer `to` at `now`.
     pub fn report(&mut self, to: u16, now: u64) -> Report {
         self.sequence += 1;
         self.sent.push_back((self.sequence, now));
-        if self.sent.len() > REMEMBERED {
+        if self.sent.len() > MAX_SENT_REPORTS {
             self.sent.pop_front();
         }
         let peer = self.peers.get(&to);
-        let known = peer.is_some_and(|peer| peer.acknowledged == self.flags.version);
+        let are_flags_known = peer.is_some_and(|peer| peer.acknowledged == self.flags.version);
         let settled = digest(&self.settled);
         let agrees = self.stage == Stage::Joining || peer.is_none_or(|p| p.settled == settled);
         Report {
@@ -110,7 +112,7 @@
             handed: self.handover.finished().unwrap_or(0),
             settled,
             owners: (!agrees).then(|| self.settled.to_vec()),
-            wanted: (!known).then(|| self.wanted()),
+            wanted: (!are_flags_known).then(|| self.wanted()),
         }
     }
 
@@ -131,7 +133,7 @@
             .collect()
     }
 
-    /// Takes in a report of `from`, whose incarnation is `incarnation`.
+    /// Processes a report from balancer `from` with incarnation `incarnation`.
     pub fn receive(&mut self, from: u16, incarnation: u64, report: Report) {
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
@@ -146,7 +148,7 @@
             .iter()
             .find(|(sequence, _)| *sequence == report.echo)
         {
-            peer.echoed = peer.echoed.max(sent);
+            peer.echoed_at = peer.echoed_at.max(sent);
         }
         peer.tables = report.tables;
         peer.handed = report.handed;
@@ -156,41 +158,42 @@
         }
         peer.acknowledged = report.acknowledged;
         if let Some(wanted) = report.wanted {
-            // A sender that goes on sending them has not heard that they are known.
-            self.news |= peer.version != report.version || !peer.has_flags;
+            // A sender that keeps sending its flags has not received the acknowledgement.
+            self.report_pending |= peer.version != report.version || !peer.has_flags;
             peer.wanted = wanted.into_iter().collect();
             peer.version = report.version;
             peer.has_flags = true;
         }
-        let known = self
+        let oldest_tables = self
             .peers
             .values()
             .map(|peer| peer.tables)
             .min()
             .unwrap_or(u64::MAX);
         if !self.peers.values().any(|peer| peer.member.dead) {
-            self.flags.settle_moves(known);
+            self.flags.clear_moves(oldest_tables);
         }
     }
 
-    /// Notes since when every other balancer goes by the flags wanted here.
+    /// Records that every other balancer uses the flags requested here, once all have acknowledged
+    /// them.
     pub(super) fn acknowledge_flags(&mut self, now: u64) {
         let version = self.flags.version;
-        let heard = |peer: &Peer| peer.acknowledged == version;
+        let has_acknowledged = |peer: &Peer| peer.acknowledged == version;
         if self
             .peers
             .values()
             .filter(|peer| !peer.member.dead)
-            .all(heard)
+            .all(has_acknowledged)
         {
             self.flags.acknowledge(now);
         }
         if self.peers.is_empty() {
-            self.flags.settle_moves(u64::MAX);
+            self.flags.clear_moves(u64::MAX);
         }
     }
 
-    /// The digest of the owners' set that this balancer works towards.
+    /// Digest of the target owner set.
     #[must_use]
     pub fn target_digest(&self) -> u64 {
         digest(&self.target())
--- a/crates/flow/src/control/publish.rs
+++ b/crates/flow/src/control/publish.rs
@@ -2,7 +2,7 @@
 
 use acacia_wire::{collections::Map, flow::Protocol};
 
-use super::{Control, Peer, Stage, TARGETS};
+use super::{Control, MAX_TARGETS, Peer, Stage};
 use crate::{
     bitmap::Bitmap,
     pin::UDP_IDLE_TIMEOUT,
@@ -10,35 +10,37 @@
     snapshot::{Address, Entry, Service, Snapshot},
 };
 
-/// From what the control thread knows to what traffic threads use.
+/// Ownership changes and construction of snapshots.
 impl Control {
-    /// Joins anew after a freeze that may have outlasted this balancer's membership.
+    /// Rejoins after a suspension that may have outlasted this balancer's membership.
     pub(super) fn rejoin(&mut self, now: u64) {
-        let lapsed = now > self.turned + self.settings.stall_timeout;
-        self.turned = now;
-        if lapsed && self.stage == Stage::Ready {
+        let stalled = now > self.last_turn_at + self.settings.stall_timeout;
+        self.last_turn_at = now;
+        if stalled && self.stage == Stage::Ready {
             self.stage = Stage::Joining;
             self.joining_since = now;
             self.settled = self.ready();
             self.previous = Arc::clone(&self.settled);
             self.peers.values_mut().for_each(Peer::forget_flags);
-            self.news = true;
+            self.report_pending = true;
         }
     }
 
-    /// Balancers that were already owners when they were first heard of: after a cut that lasted
-    /// until each side took the other for gone, both hold pins that the other does not know.
+    /// Whether any balancer was already an owner when it was first seen. This happens after a
+    /// partition that lasted until each side removed the other, so that both hold pins that the
+    /// other does not know.
     pub(super) fn has_unmerged_owners(&self) -> bool {
-        let grown = self
+        let established = self
             .alive()
             .filter(|peer| peer.member.stage != Stage::Joining);
-        let mut unknown = grown.filter(|peer| !self.settled.contains(&peer.member.node));
+        let mut unknown = established.filter(|peer| !self.settled.contains(&peer.member.node));
         unknown.any(|peer| !peer.has_joined)
     }
 
-    /// Notes when an owner was last found to be lost.
-    pub(super) fn note_lost(&mut self, now: u64) {
-        let alive = self.living();
+    /// Records when an owner was last found to be lost, that is suspected dead or removed, and when
+    /// one was last found to be unreachable.
+    pub(super) fn track_owner_failures(&mut self, now: u64) {
+        let alive = self.alive_nodes();
         let lost: Vec<Node> = self
             .settled
             .iter()
@@ -50,23 +52,27 @@
         }
         self.lost = lost;
         let reachable = self.reachable(now);
-        let silent = self
+        let unreachable = self
             .settled
             .iter()
             .filter(|node| !reachable.contains(&node.id));
-        let silent: Vec<Node> = silent.copied().collect();
-        if silent.iter().any(|node| !self.silent.contains(node)) {
+        let unreachable: Vec<Node> = unreachable.copied().collect();
+        if unreachable
+            .iter()
+            .any(|node| !self.unreachable_owners.contains(node))
+        {
             self.owner_unreachable_at = now;
         }
-        self.silent = silent;
+        self.unreachable_owners = unreachable;
     }
 
-    /// From when on flows whose owners are out of hearing may be opened on their base: those owners
-    /// have stopped placing flows elsewhere, as they miss this balancer's echoes, and what they
-    /// placed before has been resent.
+    /// Time from which flows whose owners are unreachable may be opened on their base. By then
+    /// those owners have stopped placing flows off their base, because they miss this balancer's
+    /// echoes, and the openings that they placed before have been retransmitted.
     fn partitioned_from(&self) -> u64 {
-        let apart = !self.silent.is_empty() || self.peers.values().any(|peer| peer.member.dead);
-        match apart {
+        let is_partitioned =
+            !self.unreachable_owners.is_empty() || self.peers.values().any(|peer| peer.member.dead);
+        match is_partitioned {
             true => {
                 self.owner_unreachable_at
                     + self.settings.off_base_timeout
@@ -76,38 +82,48 @@
         }
     }
 
-    /// Brings ownership up to date: becomes ready, and lets a complete handover take effect.
+    /// Updates ownership: makes this balancer ready when it has joined, and adopts the owner set of
+    /// a completed handover.
     pub(super) fn advance(&mut self, now: u64) {
-        self.note_lost(now);
+        self.track_owner_failures(now);
         let target = self.target();
         let complete = self.is_handed_over(digest(&target));
-        let heard = self
+        let knows_all_flags = self
             .alive()
             .all(|peer| peer.has_flags && peer.is_reachable(now, self.settings.flags_timeout));
-        // An owner that may not yet place flows off their base sends new ones to a draining server.
-        // A change of flags that never settles must not keep it from owning flows for ever.
-        let patient = now < self.joining_since + self.settings.join_timeout;
-        let open = self.flags.all_open(now, self.settings.flag_settle_delay) || !patient;
-        if self.stage == Stage::Joining && complete && heard && open && self.seen_members {
+        // An owner that may not yet place flows off their base sends new ones to a draining server,
+        // so a joining balancer waits until it may. The wait is limited, because flags may keep
+        // changing.
+        let may_wait = now < self.joining_since + self.settings.join_timeout;
+        let may_place = self
+            .flags
+            .all_off_base(now, self.settings.flag_settle_delay)
+            || !may_wait;
+        if self.stage == Stage::Joining
+            && complete
+            && knows_all_flags
+            && may_place
+            && self.seen_members
+        {
             self.stage = Stage::Ready;
-            self.news = true;
+            self.report_pending = true;
         }
-        // One that is taken for dead may be cut off and hold pins that nobody else has.
-        let certain = !self.peers.values().any(|peer| peer.member.dead);
+        // A balancer suspected dead may be partitioned and hold pins that no other balancer has.
+        let none_suspected = !self.peers.values().any(|peer| peer.member.dead);
         if self.targets.back() != Some(&target) {
             self.targets.push_back(Arc::clone(&target));
-            if self.targets.len() > TARGETS {
+            if self.targets.len() > MAX_TARGETS {
                 self.targets.pop_front();
             }
         }
-        if certain && complete && *self.ready() == *target && self.settled != target {
+        if none_suspected && complete && *self.ready() == *target && self.settled != target {
             self.settle(target, now);
         } else if let Some(later) = self.settled_elsewhere() {
             self.settle(later, now);
         }
         let settled = digest(&self.settled);
-        let differs = self.grown().any(|peer| peer.settled != settled);
-        self.disagree_since = self.disagree_since.or(Some(now)).filter(|_| differs);
+        let disagrees = self.established().any(|peer| peer.settled != settled);
+        self.disagreement_since = self.disagreement_since.or(Some(now)).filter(|_| disagrees);
         if now > self.previous_until {
             self.previous = Arc::clone(&self.settled);
         }
@@ -119,8 +135,8 @@
         self.settled_at = now;
     }
 
-    /// A set of owners later than the settled one that a peer knows to be settled. This balancer
-    /// has missed the reports that said so, and the next handover waits for it.
+    /// Returns a later target than the settled set that some peer reports as settled. This balancer
+    /// missed the reports that completed that handover, and the next handover waits for it.
     fn settled_elsewhere(&self) -> Option<Arc<[Node]>> {
         let mine = self
             .targets
@@ -129,54 +145,59 @@
         let later = self.targets.iter().skip(mine.map_or(0, |at| at + 1));
         let known = |set: &&Arc<[Node]>| {
             let digest = digest(set);
-            let mut grown = self
+            let mut established = self
                 .alive()
                 .filter(|peer| peer.member.stage != Stage::Joining);
-            **set != self.settled && grown.any(|peer| peer.settled == digest)
+            **set != self.settled && established.any(|peer| peer.settled == digest)
         };
         later.rev().find(known).cloned()
     }
 
-    /// Whether no balancer is out of hearing or taken for dead. Only then may flows be placed off
-    /// their base.
-    pub(super) fn hears_all(&self, now: u64) -> bool {
+    /// Whether every balancer is reachable and none is suspected dead. Only then may flows be
+    /// placed off their base.
+    pub(super) fn reaches_all(&self, now: u64) -> bool {
         self.peers.values().all(|peer| {
             let joining = peer.member.stage == Stage::Joining;
             !peer.member.dead && (joining || peer.is_reachable(now, self.settings.off_base_timeout))
         })
     }
 
-    /// The view to publish to traffic threads at `now`.
+    /// Creates the snapshot to publish to traffic threads at `now`.
     pub fn snapshot(&mut self, now: u64) -> Snapshot {
         self.rejoin(now);
         self.advance(now);
         self.acknowledge_flags(now);
-        let sure = self.settings.flags_timeout;
-        // One that joins holds no pins that others do not, and redirects whatever it can't know.
-        let grown = |peer: &&Peer| peer.member.stage != Stage::Joining;
+        let flags_timeout = self.settings.flags_timeout;
+        // Joining balancers are left out: they hold no pins that others don't, and redirect every
+        // packet that they can't decide.
+        let is_established = |peer: &&Peer| peer.member.stage != Stage::Joining;
         let oldest = self
             .alive()
-            .filter(grown)
-            .map(|peer| peer.echoed)
+            .filter(is_established)
+            .map(|peer| peer.echoed_at)
             .min()
             .unwrap_or(now);
-        let latest = self.alive().map(|peer| peer.echoed).max().unwrap_or(now);
-        let informed = self.alive().filter(grown).all(|peer| peer.has_flags) && self.seen_members;
+        let latest = self.alive().map(|peer| peer.echoed_at).max().unwrap_or(now);
+        let informed = self
+            .alive()
+            .filter(is_established)
+            .all(|peer| peer.has_flags)
+            && self.seen_members;
         let (ready, target) = (self.ready(), self.target());
-        let reaches_all = self.hears_all(now);
+        let reaches_all = self.reaches_all(now);
         let owns = self.stage != Stage::Joining && !self.departed;
         let steady = self.settled == ready && ready == target && self.previous == self.settled;
         Snapshot {
             me: self.me,
-            flags_complete_until: if informed { oldest + sure } else { 0 },
-            fresh_until: latest + sure,
+            flags_complete_until: if informed { oldest + flags_timeout } else { 0 },
+            fresh_until: latest + flags_timeout,
             owner: owns,
             off_base_allowed: reaches_all && owns,
             has_unmerged_owners: self.has_unmerged_owners(),
-            missing: self.missing().into(),
+            missing: self.suspected_dead().into(),
             partitioned_from: self.partitioned_from(),
             owner_unreachable_at: self.owner_unreachable_at,
-            alive: self.living().into(),
+            alive: self.alive_nodes().into(),
             reachable: self.reachable(now).into(),
             settled: Arc::clone(&self.settled),
             previous: Arc::clone(&self.previous),
@@ -200,12 +221,12 @@
             Entry {
                 service: Arc::clone(service),
                 flags,
-                off_base: self.flags.open(&address, now, settle),
+                off_base: self.flags.off_base(&address, now, settle),
                 udp_observed: match address.protocol {
                     Protocol::Tcp => Bitmap::default(),
                     // A new owner has not seen the flows that are on their base.
                     Protocol::Udp if now < self.settled_at + UDP_IDLE_TIMEOUT => Bitmap::default(),
-                    Protocol::Udp => self.flags.open(&address, now, UDP_IDLE_TIMEOUT),
+                    Protocol::Udp => self.flags.off_base(&address, now, UDP_IDLE_TIMEOUT),
                 },
                 moved: self.flags.moved(&address),
                 guarded: self.flags.is_guarded(&address) || guarded.into_iter().any(|w| w.guarded),
