--- a/crates/flow/tests/it/datagrams.rs
+++ b/crates/flow/tests/it/datagrams.rs
@@ -17,11 +17,11 @@
     fleet.flows.get(key).and_then(|truth| truth.server)
 }
 
-/// Callers send datagrams while a server drains. Nothing marks the first of a flow: one that was
-/// taken for new would leave its server in the middle of an exchange. Flows that live stay, and
-/// once every live one has been seen, new ones go elsewhere.
+/// Callers send datagrams while a server drains. Nothing marks the first datagram of a flow, so a
+/// live flow mistaken for a new one would move to another server in mid-exchange. Live flows must
+/// stay, and once every live flow has been seen, new ones must avoid the draining server.
 #[test]
-fn datagrams_stay_with_their_server_and_new_flows_leave_it() {
+fn live_udp_flows_stay_on_a_draining_server_and_new_ones_avoid_it() {
     let mut fleet = Fleet::new(4, 3, tables(service(Protocol::Udp, 0..4, 1)));
     (0..60).for_each(|number| fleet.spray(&datagram(number)));
     fleet.change(1_000, |s| set_state(s, 1, State::Draining));
@@ -38,8 +38,8 @@
     assert!((100..200).all(|n| server(&fleet, &key(Protocol::Udp, n)) != Some(1)));
 }
 
-/// A router reports that an answer was too large for its link. The report must reach the server
-/// that sent it, or large answers stall; and it must never look like traffic of the flow.
+/// A router reports that an answer was too large for its link. The ICMP error must reach the server
+/// that sent the answer, or large answers stall, and it must not count as traffic of the flow.
 #[test]
 fn icmp_errors_follow_their_flow_and_leave_no_state() {
     let mut fleet = Fleet::new(4, 3, tables(service(Protocol::Tcp, 0..4, 1)));
--- a/crates/flow/tests/it/main.rs
+++ b/crates/flow/tests/it/main.rs
@@ -1,4 +1,5 @@
-//! Tests of flow resolution: several cores joined by queues that delay, lose, repeat and reorder.
+//! Tests of flow resolution with several balancers, connected by simulated queues that delay, drop,
+//! duplicate and reorder messages.
 
 mod bounds;
 mod datagrams;
--- a/crates/flow/tests/it/openings.rs
+++ b/crates/flow/tests/it/openings.rs
@@ -11,11 +11,11 @@
 proptest! {
     #![proptest_config(config(24))]
 
-    /// The answer to an opening packet is lost, and the caller sends it again through another
-    /// balancer, while a drain begins or the service refuses new work. A second server would get
-    /// the same request, or a caller that was served would be told that nothing had run.
+    /// The answer to an opening packet is lost, and the caller retransmits it through another
+    /// balancer, while a server starts to drain or the service refuses new flows. Guards against a
+    /// second server getting the same request, and against refusing a flow that was served.
     #[test]
-    fn a_resent_opening_reaches_one_server(
+    fn a_retransmitted_opening_reaches_one_server(
         seed: u64,
         change_at in 0..40u32,
         refuse_at in 20..80u32,
@@ -36,7 +36,8 @@
                 let guarded = address(Protocol::Tcp);
                 fleet.balancers.iter_mut().for_each(|b| b.control.guard(guarded, guard));
             }
-            // Each caller sends its opening now, 1 s and 3 s later; then data, if it was heard.
+            // Each caller sends its opening now and again after 1 s and 3 s; then data, if it was
+            // answered.
             (step * 3..step * 3 + 3).for_each(|number| fleet.spray(&opening(number)));
             for age in [10, 30u32] {
                 let first = step.saturating_sub(age) * 3;
@@ -58,8 +59,8 @@
     }
 }
 
-/// Sends data of every flow that is open, through all balancers.
-fn chatter(fleet: &mut Fleet) {
+/// Sends data on every open flow, several times and through random balancers.
+fn send_on_open_flows(fleet: &mut Fleet) {
     for _ in 0..8 {
         for number in 0..80 {
             let truth = fleet.flows.get(&key(Protocol::Tcp, number));
@@ -71,10 +72,10 @@
     }
 }
 
-/// A flow ends and the caller's ports are used again at once. A balancer that still remembered
-/// the old flow would send the new one's packets to the old server.
+/// A flow ends and its ports are reused immediately. A balancer with a stale cache entry would send
+/// packets of the new flow to the old server.
 #[test]
-fn reused_ports_meet_no_memory_of_the_old_flow() {
+fn reused_ports_use_no_stale_cache_entry() {
     let service = service(Protocol::Tcp, 0..5, 1);
     let limits = Limits {
         hints: 1_000_000,
@@ -86,7 +87,7 @@
     open(&mut fleet, 0, 80);
     fleet.change(500, |s| set_state(s, 1, State::Draining));
     fleet.run(6_000);
-    chatter(&mut fleet);
+    send_on_open_flows(&mut fleet);
 
     for number in 0..80 {
         fleet.spray(&packet(key(Protocol::Tcp, number), Kind::Closing, 0));
@@ -96,12 +97,12 @@
     let again = |number| packet(key(Protocol::Tcp, number), Kind::Opening { isn: 99 }, 0);
     (0..80).for_each(|number| fleet.spray(&again(number)));
     fleet.run(50);
-    chatter(&mut fleet);
+    send_on_open_flows(&mut fleet);
     fleet.run(6_000);
     for number in 0..80 {
         assert!(insist(&mut fleet, &again(number)));
     }
-    chatter(&mut fleet);
+    send_on_open_flows(&mut fleet);
 
     assert_eq!(fleet.failures, Vec::<String>::new());
     let server = |number| fleet.flows[&key(Protocol::Tcp, number)].server;
--- a/crates/flow/tests/it/silent.rs
+++ b/crates/flow/tests/it/silent.rs
@@ -9,7 +9,7 @@
     plan::{config, key, open, packet, service, tables},
 };
 
-/// A segment of flow `number`; `answered` counts the server's answers that the caller has got.
+/// A segment of flow `number`; `answered` is the number of answers that the caller has received.
 fn segment(number: u32, answered: u32, payload: u16) -> Packet {
     let middle = packet(key(Protocol::Tcp, number), Kind::Middle, payload);
     Packet {
@@ -22,18 +22,19 @@
 proptest! {
     #![proptest_config(config(12))]
 
-    /// Something between a phone and the servers has lost track of one connection, while new ones
-    /// work. The phone resends into the void, and its crew leader waits for a feed that is dead.
-    /// Other flows rest for minutes, with keep-alives or without, and must be left alone.
+    /// A middlebox has lost the state of one connection, so the caller retransmits without an
+    /// answer, while other connections work. That flow must be reset; flows that are idle for
+    /// minutes, with or without keep-alives, must not.
     #[test]
-    fn a_silent_flow_is_ended_and_an_idle_one_is_not(seed: u64, probe in 0..2u16) {
+    fn a_broken_flow_is_reset_and_an_idle_one_is_not(seed: u64, probe in 0..2u16) {
         let mut fleet = Fleet::new(3, seed, tables(service(Protocol::Tcp, 0..2, 1)));
         open(&mut fleet, 0, 40);
 
         let (mut due, mut pause) = (fleet.now, 400);
-        let begun = fleet.now;
+        let started_at = fleet.now;
         for second in 0..600u32 {
-            // Flow 0 has lost its path, 1 is idle with keep-alives, 2 without; the others work.
+            // The path of flow 0 is broken, flow 1 is idle with keep-alives, flow 2 without; the
+            // rest work.
             if fleet.now >= due && fleet.ends.is_empty() {
                 fleet.spray(&segment(0, 0, 100));
                 due = fleet.now + pause;
@@ -48,13 +49,13 @@
 
         let ended: Vec<_> = fleet.ends.keys().copied().collect();
         prop_assert_eq!(ended, vec![key(Protocol::Tcp, 0)]);
-        let after = fleet.ends[&key(Protocol::Tcp, 0)] - begun;
+        let after = fleet.ends[&key(Protocol::Tcp, 0)] - started_at;
         prop_assert!(after <= 360_000, "ended after {} ms", after);
     }
 }
 
-/// A backend server hangs as a whole. Its callers all resend; ending their flows would only make
-/// them come back together, and the hang may pass.
+/// A backend server hangs, and all its callers retransmit. Resetting their flows would make them
+/// reconnect all at once, and the server may recover.
 #[test]
 fn a_hanging_server_keeps_its_flows() {
     let mut fleet = Fleet::new(3, 9, tables(service(Protocol::Tcp, 0..2, 1)));
