--- a/crates/flow/tests/it/bounds.rs
+++ b/crates/flow/tests/it/bounds.rs
@@ -32,11 +32,11 @@
 proptest! {
     #![proptest_config(config(8))]
 
-    /// During a drain somebody floods the service with openings and with packets of flows that
-    /// never were, from made-up addresses. A feed whose pin was pushed out would be reset, and
-    /// the balancers' own traffic would outgrow its budget.
+    /// During a drain the service is flooded with openings and with packets of flows that were
+    /// never opened, from spoofed addresses. Guards against evicting the pin of a live flow, which
+    /// would reset it, and against control traffic above its rate.
     #[test]
-    fn a_flood_pushes_out_no_pin(seed: u64, mixed: bool) {
+    fn a_flood_evicts_no_pin(seed: u64, mixed: bool) {
         let service = service(Protocol::Tcp, 0..4, 1);
         let mut fleet = Fleet::with_limits(4, seed, tables(service), LIMITS);
         fleet.change(500, |s| set_state(s, 1, State::Draining));
@@ -70,8 +70,8 @@
     }
 }
 
-/// Flows close, are reset, or are abandoned in their opening. Their pins would fill the memory of
-/// balancers that run for months.
+/// Flows are closed, reset, or abandoned before they are established. If their pins stayed, the
+/// memory of balancers that run for months would fill up.
 #[test]
 fn ended_flows_leave_no_state() {
     let mut fleet = Fleet::new(4, 8, tables(service(Protocol::Tcp, 0..4, 1)));
@@ -98,16 +98,17 @@
     assert_eq!(fleet.failures, Vec::<String>::new());
 }
 
-/// A feed rests for longer than any flow may. Its pin goes, and with it the last that is kept.
+/// Flows are idle for longer than the idle timeout. Their pins must stay until then, and expire
+/// afterwards.
 #[test]
-fn a_flow_idle_for_too_long_leaves_the_state() {
+fn pins_of_idle_flows_expire_after_the_idle_timeout() {
     let mut fleet = Fleet::new(3, 8, tables(service(Protocol::Tcp, 0..4, 1)));
     fleet.change(500, |s| set_state(s, 1, State::Draining));
     fleet.run(6_000);
     open(&mut fleet, 0, 60);
     let held: usize = pins(&fleet).iter().sum();
 
-    fleet.pace = 1_000;
+    fleet.turn_interval = 1_000;
     fleet.run(acacia_flow::pin::IDLE_TIMEOUT - 60_000);
     let before: usize = pins(&fleet).iter().sum();
     fleet.run(120_000);
@@ -116,11 +117,11 @@
     assert_eq!(pins(&fleet).iter().sum::<usize>(), 0);
 }
 
-/// A balancer dies that held many pins, and all others copy theirs to its successor. Sent at once,
-/// the copies would crowd out heartbeats on small machines; sent too slowly, a second death in the
-/// meantime would lose pins.
+/// A balancer with many pins dies, and all others copy pins to its successor. Sent at once, the
+/// copies would delay heartbeats on small machines; sent too slowly, the death of a second balancer
+/// in the meantime would lose pins.
 #[test]
-fn copies_keep_to_their_budget() {
+fn pin_copies_stay_within_their_rate() {
     let settings = Settings {
         copy_rate: 150,
         ..Settings::default()
@@ -135,17 +136,17 @@
         id: 2,
         incarnation: 2,
     });
-    let (begun, before): (u64, Vec<u64>) = (
+    let (started_at, before): (u64, Vec<u64>) = (
         fleet.now,
         fleet.balancers.iter().map(|b| b.control_bytes).collect(),
     );
 
-    while fleet.balancers[2].control.stage() != Stage::Ready && fleet.now < begun + 120_000 {
+    while fleet.balancers[2].control.stage() != Stage::Ready && fleet.now < started_at + 120_000 {
         fleet.run(1_000);
     }
 
     assert_eq!(fleet.balancers[2].control.stage(), Stage::Ready);
-    let seconds = (fleet.now - begun) / 1_000;
+    let seconds = (fleet.now - started_at) / 1_000;
     for (balancer, before) in fleet.balancers.iter().zip(before) {
         let sent = balancer.control_bytes - before;
         assert!(sent <= 150 * (seconds + 3), "{sent} bytes in {seconds} s");
--- a/crates/flow/tests/it/fleet.rs
+++ b/crates/flow/tests/it/fleet.rs
@@ -1,4 +1,4 @@
-//! Balancers' decision cores joined by queues, and callers that spray packets over them.
+//! Simulated balancers connected by queues, and callers whose packets the fabric sprays over them.
 
 mod callers;
 
@@ -23,16 +23,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Milliseconds between two turns of a control thread, unless a test has to go on for hours.
-const TURN: u64 = 100;
-/// Milliseconds of traffic that fit the sockets of a balancer that is frozen.
+/// Milliseconds between two iterations of a control thread, unless a test simulates hours.
+const TURN_INTERVAL: u64 = 100;
+/// Milliseconds of traffic that fit into the socket buffers of a suspended balancer.
 const BUFFERED: u64 = 2_000;
-/// Number of the first flow that a fleet opens on its own.
-const CHATS: u32 = 1 << 20;
-/// Milliseconds of silence after which a member is taken for dead.
-const DEAD: u64 = 4_000;
+/// Number of the first flow that [`Fleet::replace`] opens as background traffic.
+const FIRST_BACKGROUND_FLOW: u32 = 1 << 20;
+/// Milliseconds of silence after which a member is suspected dead.
+const SUSPECT_TIMEOUT: u64 = 4_000;
 /// Milliseconds after which the platform's list shows that a process has ended.
-const LISTED: u64 = 6_000;
+const LIST_DELAY: u64 = 6_000;
 
 pub struct Balancer {
     pub node: Node,
@@ -40,9 +40,10 @@
     pub shards: Shards,
     pub snapshot: Snapshot,
     pub running: bool,
-    pub frozen_at: u64,
-    pub frozen_until: u64,
+    pub suspended_at: u64,
+    pub suspended_until: u64,
     pub group: u8,
+    /// When each other balancer was last heard, and its stage then.
     heard: BTreeMap<Node, (u64, Stage)>,
     left: Vec<Node>,
     reported: u64,
@@ -67,7 +68,7 @@
     message: Message,
 }
 
-/// What the network between balancers does.
+/// Faults of the network between balancers.
 #[derive(Debug, Clone, Copy)]
 pub struct Faults {
     pub loss: f64,
@@ -75,14 +76,14 @@
     pub delay: u64,
 }
 
-/// What is true of a flow, whatever the balancers know.
+/// Actual state of a flow, independent of what the balancers know.
 #[derive(Debug, Clone, Copy)]
 pub struct Truth {
-    /// The service that its opening reached.
+    /// Service that its opening reached.
     pub service: Option<u64>,
     pub server: Option<u16>,
     pub data: bool,
-    /// When its opening first reached a server, and whether anything after it did.
+    /// When its opening first reached a server, and whether any later packet did.
     pub opened_at: u64,
     pub established: bool,
     pub delivered: u32,
@@ -90,8 +91,9 @@
 }
 
 impl Truth {
-    /// Whether the server has stopped to resend its answer to the opening, as nothing came back.
-    pub fn is_given_up(&self, now: u64) -> bool {
+    /// Whether the server has stopped retransmitting its answer to the opening because the caller
+    /// never acknowledged it.
+    pub fn is_abandoned(&self, now: u64) -> bool {
         self.server.is_some() && !self.established && now > self.opened_at + 60_000
     }
 }
@@ -107,23 +109,24 @@
     pub flows: BTreeMap<Key, Truth>,
     pub failures: Vec<String>,
     pub drops: BTreeMap<Code, u32>,
-    /// Flows that were ended towards both ends, and when.
+    /// Flows that were reset towards both ends, and when.
     pub ends: BTreeMap<Key, u64>,
     pub limits: Limits,
-    /// Used by balancers that start from now on.
+    /// Settings for balancers that are started from now on.
     pub settings: Settings,
-    /// Milliseconds between two turns of a control thread.
-    pub pace: u64,
+    /// Milliseconds between two iterations of a control thread.
+    pub turn_interval: u64,
     pub refusing: bool,
-    /// Pairs of balancers that don't reach each other, whatever their groups.
-    pub apart: Vec<(u16, u16)>,
-    /// Whether notices between balancers are lost; nothing may depend on them.
+    /// Pairs of balancers that can't reach each other, whatever their groups.
+    pub unreachable_pairs: Vec<(u16, u16)>,
+    /// Whether notices between balancers are lost; correctness must not depend on them.
     pub loses_notices: bool,
-    /// Latest opening of a flow on each server.
-    pub last_new: Map<u16, u64>,
+    /// When a flow was last opened on each server.
+    pub last_opened_at: Map<u16, u64>,
     /// Number of the next flow that [`Fleet::replace`] opens.
-    chats: u32,
-    /// Processes that the platform's list shows as ended, since when, and to which side of a cut.
+    next_background_flow: u32,
+    /// Processes that the platform's list shows as ended, since when, and to which side of a
+    /// partition (all if `None`).
     ended: Vec<(Node, u64, Option<u8>)>,
     events: BTreeMap<(u64, u64), Event>,
     sequence: u64,
@@ -156,12 +159,12 @@
             ends: BTreeMap::new(),
             limits,
             settings,
-            pace: TURN,
+            turn_interval: TURN_INTERVAL,
             refusing: false,
-            apart: Vec::new(),
+            unreachable_pairs: Vec::new(),
             loses_notices: false,
-            last_new: Map::default(),
-            chats: CHATS,
+            last_opened_at: Map::default(),
+            next_background_flow: FIRST_BACKGROUND_FLOW,
             ended: Vec::new(),
             events: BTreeMap::new(),
             sequence: 0,
@@ -181,7 +184,7 @@
         self.tables = tables;
     }
 
-    /// Starts a process that knows the other balancers from the platform's list, and the latest
+    /// Starts a process that has the other balancers from the platform's list, and the latest
     /// tables from one of them.
     pub fn start(&mut self, node: Node) {
         let mut control = Control::new(node, self.settings, self.now);
@@ -197,8 +200,8 @@
             shards: Shards::new(2, self.limits),
             snapshot,
             running: true,
-            frozen_at: 0,
-            frozen_until: 0,
+            suspended_at: 0,
+            suspended_until: 0,
             group: 0,
             heard,
             left: Vec::new(),
@@ -215,20 +218,21 @@
         }
     }
 
-    /// Ends a process without notice.
+    /// Ends a process abruptly.
     pub fn crash(&mut self, id: u16) {
         let balancer = &mut self.balancers[usize::from(id)];
         balancer.running = false;
         self.ended.push((balancer.node, self.now, None));
     }
 
-    /// The platform's list wrongly shows a process as ended, to one side of a cut or to all.
+    /// Makes the platform's list wrongly show a process as ended, to one side of a partition or to
+    /// all.
     pub fn delist(&mut self, id: u16, seen_by: Option<u8>) {
         self.ended
             .push((self.balancers[usize::from(id)].node, self.now, seen_by));
     }
 
-    /// The platform's list is right again, and names all balancers to each other.
+    /// Corrects the platform's list, and makes all balancers known to each other.
     pub fn relist(&mut self) {
         self.ended.clear();
         let running = self.balancers.iter().filter(|balancer| balancer.running);
@@ -240,12 +244,12 @@
         }
     }
 
-    /// Stops a process in order and starts its successor.
+    /// Stops a process gracefully and starts its successor, with background traffic throughout.
     pub fn replace(&mut self, id: u16) {
         let at = usize::from(id);
         self.balancers[at].control.leave();
         for _ in 0..600 {
-            self.chat();
+            self.run_background_traffic();
             if self.balancers[at].control.may_leave() {
                 break;
             }
@@ -259,36 +263,36 @@
                 message: Message::Bye,
             });
         }
-        (0..10).for_each(|_| self.chat());
+        (0..10).for_each(|_| self.run_background_traffic());
         self.crash(id);
-        (0..5).for_each(|_| self.chat());
+        (0..5).for_each(|_| self.run_background_traffic());
         self.start(Node {
             id,
             incarnation: node.incarnation + 1,
         });
         for _ in 0..600 {
-            self.chat();
+            self.run_background_traffic();
             if self.balancers[at].control.stage() == Stage::Ready {
                 break;
             }
         }
-        (0..10).for_each(|_| self.chat());
+        (0..10).for_each(|_| self.run_background_traffic());
     }
 
-    /// One turn in which callers open flows and send.
-    fn chat(&mut self) {
-        let first = self.chats;
-        self.chats += 4;
+    /// Runs one turn with background traffic: callers open flows and send data.
+    fn run_background_traffic(&mut self) {
+        let first = self.next_background_flow;
+        self.next_background_flow += 4;
         (first..first + 4).for_each(|number| self.spray(&opening(number)));
-        self.run(TURN);
-        for number in first.saturating_sub(40).max(CHATS)..first + 4 {
+        self.run(TURN_INTERVAL);
+        for number in first.saturating_sub(40).max(FIRST_BACKGROUND_FLOW)..first + 4 {
             if self.flows[&key(Protocol::Tcp, number)].server.is_some() {
                 self.spray(&data(number));
             }
         }
     }
 
-    /// Puts new tables in force, at each balancer after its own delay of up to `spread`.
+    /// Delivers new tables to each balancer after a random delay of up to `spread` milliseconds.
     pub fn publish(&mut self, tables: Tables, spread: u64) {
         self.adopt(tables.clone());
         for at in 0..self.balancers.len() {
@@ -306,7 +310,7 @@
         }
     }
 
-    /// Changes the only service's tables.
+    /// Publishes a changed version of the only service.
     pub fn change(&mut self, spread: u64, edit: impl FnOnce(&mut Service)) {
         let mut tables = self.tables.clone();
         tables.version += 1;
@@ -332,11 +336,11 @@
         }
     }
 
-    /// Lets `duration` milliseconds pass.
+    /// Simulates `duration` milliseconds.
     pub fn run(&mut self, duration: u64) {
         let end = self.now + duration;
         while self.now < end {
-            let turn = (self.now / self.pace + 1) * self.pace;
+            let turn = (self.now / self.turn_interval + 1) * self.turn_interval;
             let until = turn.min(end);
             while let Some((&(at, sequence), _)) = self.events.first_key_value() {
                 if at > until {
@@ -357,16 +361,16 @@
     fn turn(&mut self, at: usize) {
         let now = self.now;
         let balancer = &mut self.balancers[at];
-        if !balancer.running || now < balancer.frozen_until {
+        if !balancer.running || now < balancer.suspended_until {
             return;
         }
-        let silent = |since: u64| now.saturating_sub(since);
+        let silence = |since: u64| now.saturating_sub(since);
         let group = balancer.group;
         let sees = |seen_by: &Option<u8>| seen_by.is_none_or(|seen_by| seen_by == group);
         let ended = self
             .ended
             .iter()
-            .filter(|(_, at, by)| now > at + LISTED && sees(by));
+            .filter(|(_, at, by)| now > at + LIST_DELAY && sees(by));
         let ended: Vec<Node> = ended.map(|(node, ..)| *node).collect();
         balancer
             .heard
@@ -377,7 +381,7 @@
             .map(|(&node, &(since, stage))| Member {
                 node,
                 stage,
-                dead: silent(since) > DEAD,
+                dead: silence(since) > SUSPECT_TIMEOUT,
             })
             .collect();
         balancer.control.set_members(&members);
@@ -419,16 +423,17 @@
             .iter()
             .find(|other| other.node.id == event.from.id);
         let pair = (event.from.id.min(event.to), event.from.id.max(event.to));
-        let cut = self.apart.contains(&pair)
+        let is_cut_off = self.unreachable_pairs.contains(&pair)
             || sender.is_some_and(|sender| sender.group != self.balancers[to].group);
         let balancer = &mut self.balancers[to];
-        if !balancer.running || cut {
+        if !balancer.running || is_cut_off {
             return;
         }
-        if now < balancer.frozen_until {
-            // What came first waits in its sockets; the rest finds their buffers full.
-            let until = balancer.frozen_until;
-            if now < balancer.frozen_at + BUFFERED {
+        if now < balancer.suspended_until {
+            // Early messages wait in its socket buffers; once these are full, later ones are
+            // dropped.
+            let until = balancer.suspended_until;
+            if now < balancer.suspended_at + BUFFERED {
                 self.schedule(until, event);
             }
             return;
--- a/crates/flow/tests/it/fleet/callers.rs
+++ b/crates/flow/tests/it/fleet/callers.rs
@@ -9,9 +9,9 @@
 
 use super::{Event, Fleet, Message, Truth};
 
-/// Callers, backend servers, and what they see.
+/// Callers and backend servers, and the checks of what reaches them.
 impl Fleet {
-    /// Hands `packet` to a balancer that the fabric chooses.
+    /// Sends `packet` to a random running balancer, as the fabric does.
     pub fn spray(&mut self, packet: &Packet) {
         let running: Vec<u16> = self.running();
         if running.is_empty() {
@@ -26,7 +26,7 @@
         running.map(|balancer| balancer.node.id).collect()
     }
 
-    /// Hands `packet` to balancer `id`.
+    /// Sends `packet` to balancer `id`.
     pub fn send(&mut self, id: u16, packet: &Packet) {
         self.flows.entry(packet.key).or_insert(Truth {
             service: None,
@@ -37,7 +37,7 @@
             delivered: 0,
             refused: false,
         });
-        if self.now < self.balancers[usize::from(id)].frozen_until {
+        if self.now < self.balancers[usize::from(id)].suspended_until {
             return;
         }
         self.arrive(id, packet, Arrival::Ingress);
@@ -83,12 +83,12 @@
         };
         truth.refused = true;
         if truth.data {
-            let line = format!("{} said not run after data, {packet:?}", self.now);
+            let line = format!("{} flow refused after it sent data, {packet:?}", self.now);
             self.failures.push(line);
         }
     }
 
-    /// A packet reaches a backend server.
+    /// Delivers a packet to a backend server, and records a failure if it is the wrong one.
     pub(super) fn deliver(&mut self, server: u16, packet: &Packet) {
         let service = self.owner_of[&server];
         let Some(truth) = self.flows.get_mut(&packet.key) else {
@@ -97,12 +97,12 @@
         let now = self.now;
         if *truth.service.get_or_insert(service) != service {
             self.failures.push(format!(
-                "{now} another service's server {server}, {packet:?}"
+                "{now} server {server} of another service, {packet:?}"
             ));
             return;
         }
-        if truth.is_given_up(now) {
-            // It reached its server all the same; that nobody answers there is not the balancers' doing.
+        if truth.is_abandoned(now) {
+            // The balancers forwarded the packet correctly; the server has merely dropped the flow.
             truth.delivered += u32::from(truth.server == Some(server));
             return;
         }
@@ -113,7 +113,7 @@
         if opens && truth.server.is_none() {
             truth.server = Some(server);
             truth.opened_at = now;
-            self.last_new.insert(server, now);
+            self.last_opened_at.insert(server, now);
         } else if truth.server != Some(server) {
             let right = truth.server;
             self.failures
--- a/crates/flow/tests/it/handover.rs
+++ b/crates/flow/tests/it/handover.rs
@@ -7,7 +7,7 @@
     plan::{address, data, key, open, opening, service, set_state, tables, talk},
 };
 
-/// Five balancers; one of the servers drains, and its buckets are flagged.
+/// Starts five balancers with one draining server, whose buckets are flagged.
 fn draining(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(5, seed, tables(service(Protocol::Tcp, 0..5, 1)));
     fleet.change(500, |s| set_state(s, 1, State::Draining));
@@ -20,11 +20,11 @@
     truth.is_some_and(|truth| truth.server.is_some())
 }
 
-/// The packet that tells the second owner of a flow that it is established gets lost between two
-/// balancers, and the feed rests. The second owner would forget the pin as an opening that came to
-/// nothing; when the first one dies days later, the feed is reset.
+/// The packet that tells the second owner that a flow is established is lost between two balancers,
+/// and the flow is then idle. If the second owner let its pin expire as an abandoned opening, the
+/// flow would be reset when the first owner dies later.
 #[test]
-fn a_lost_word_between_owners_loses_no_pin() {
+fn a_lost_packet_between_owners_loses_no_pin() {
     let mut fleet = draining(21);
     (0..200).for_each(|number| fleet.spray(&opening(number)));
     fleet.run(50);
@@ -61,21 +61,21 @@
     }
 }
 
-/// A packet in mid-flow of each of the first `count` flows that are open.
-fn talk_on(fleet: &mut Fleet, count: u32) {
+/// Sends a mid-flow packet on each open flow among the first `count`.
+fn send_on_open_flows(fleet: &mut Fleet, count: u32) {
     let open: Vec<u32> = (0..count).filter(|&n| is_open(fleet, n)).collect();
     open.into_iter().for_each(|n| fleet.spray(&data(n)));
 }
 
-/// A balancer is paused for so long that the platform lists it as ended, and the others go on
-/// without it. On waking it believes that it still knows all pins, and would send the flows opened
-/// meanwhile to their base.
+/// A balancer is suspended for so long that the platform lists it as ended, and the others remove
+/// it. If it resumed as an owner that knows all pins, it would send flows opened in the meantime to
+/// their base.
 #[test]
-fn a_balancer_that_was_given_up_joins_anew() {
+fn a_balancer_removed_while_suspended_rejoins() {
     let mut fleet = draining(22);
     let now = fleet.now;
-    fleet.balancers[0].frozen_at = now;
-    fleet.balancers[0].frozen_until = now + 34_000;
+    fleet.balancers[0].suspended_at = now;
+    fleet.balancers[0].suspended_until = now + 34_000;
     fleet.delist(0, None);
     fleet.run(20_000);
     open(&mut fleet, 0, 150);
@@ -84,7 +84,7 @@
 
     for _ in 0..50 {
         fleet.run(100);
-        talk_on(&mut fleet, 150);
+        send_on_open_flows(&mut fleet, 150);
     }
     fleet.run(20_000);
     let lost = talk(&mut fleet, 0, 150);
@@ -93,11 +93,11 @@
     assert_eq!(lost, Vec::<u32>::new(), "drops {:?}", fleet.drops);
 }
 
-/// Two data centres are cut apart for so long that each takes the other's balancers for gone and
-/// places flows on its own. When the cut heals, packets reach balancers of the other side, which
-/// know nothing of these flows and would send them to their base.
+/// Two data centres are partitioned for so long that each removes the other's balancers and places
+/// flows independently. After the partition heals, packets reach balancers of the other side, which
+/// must not send these flows to their base before they have received the pins.
 #[test]
-fn sides_that_gave_each_other_up_exchange_pins_first() {
+fn sides_that_removed_each_other_exchange_pins_first() {
     let mut fleet = draining(23);
     let side = |id: u16| u8::from(id < 2);
     (0..5u16).for_each(|id| fleet.balancers[usize::from(id)].group = side(id));
@@ -119,7 +119,7 @@
 
     for _ in 0..20 {
         fleet.run(500);
-        talk_on(&mut fleet, 300);
+        send_on_open_flows(&mut fleet, 300);
     }
     fleet.run(20_000);
     let lost = talk(&mut fleet, 0, 300);
@@ -128,18 +128,18 @@
     assert_eq!(lost, Vec::<u32>::new(), "drops {:?}", fleet.drops);
 }
 
-/// A cut swallows the packet that should tell the second owner of a new pin. The caller opens the
-/// flow again through the other side, which places it on its base; the first owner must not follow
-/// its half-made pin, neither during the cut nor after. The notice by which the second owner sets it
-/// right may be lost or late.
+/// A partition drops the packet that should replicate a new pin to the second owner. The caller
+/// retransmits its opening through the other side, which places the flow on its base. The first
+/// owner must not use its unreplicated pin, neither during the partition nor after it. The notice
+/// by which the second owner corrects that pin may be lost or late.
 ///
-/// A feed was reset so just after a cut between data centres, where the fabric sprays over both sides:
-/// the first owner took the next packet of the caller for proof that its pin was right, passed it on,
-/// and went by itself from then on, one second before the notice came.
+/// This reset a feed just after a partition between data centres, with the fabric spraying packets
+/// over both sides: the first owner took the caller's next packet as proof that its pin was right,
+/// passed it on, and from then on used the pin alone, one second before the notice arrived.
 #[rstest]
 #[case::notices_arrive(false)]
 #[case::notices_are_lost(true)]
-fn a_half_made_pin_is_not_followed(#[case] loses_notices: bool) {
+fn an_unreplicated_pin_is_not_used_alone(#[case] loses_notices: bool) {
     let mut fleet = draining(24);
     (0..2).for_each(|at| fleet.balancers[at].group = 1);
     for step in 0..160u32 {
@@ -170,44 +170,45 @@
     assert_eq!(lost, Vec::<u32>::new(), "drops {:?}", fleet.drops);
 }
 
-/// The line between two data centres comes back, and balancers hear of each other one after another.
-/// In that moment callers send the openings again that the cut had swallowed. An owner places them on
-/// their base, as it has heard nothing of the other owner for long, and passes them on through a
-/// balancer that hears both; the other owner holds half-made pins. If it went by these, the opening
-/// would meet one server and the caller's next packet another, which resets it.
+/// A partition between two data centres heals, and balancers become reachable one after another.
+/// Meanwhile callers retransmit the openings that the partition dropped. One owner places them on
+/// their base, because the other owner has been unreachable for long, and passes them on through a
+/// balancer that reaches both; the other owner holds unreplicated pins. If it used these, the
+/// opening would go to one server and the caller's next packet to another, which resets the flow.
 #[test]
-fn openings_resent_as_the_line_comes_back_open_one_flow_each() {
+fn openings_retransmitted_as_a_partition_heals_open_one_flow_each() {
     let mut fleet = draining(27);
     (0..2).for_each(|at| fleet.balancers[at].group = 1);
     (0..400).for_each(|number| fleet.spray(&opening(number)));
     fleet.run(9_000);
     (0..2).for_each(|at| fleet.balancers[at].group = 0);
-    fleet.apart = vec![(1, 2), (1, 3), (1, 4)];
+    fleet.unreachable_pairs = vec![(1, 2), (1, 3), (1, 4)];
     fleet.run(1_000);
-    let resent: Vec<u32> = (0..400).filter(|&n| !is_open(&fleet, n)).collect();
+    let retransmitted: Vec<u32> = (0..400).filter(|&n| !is_open(&fleet, n)).collect();
 
-    resent.iter().for_each(|&n| fleet.spray(&opening(n)));
+    retransmitted.iter().for_each(|&n| fleet.spray(&opening(n)));
     for _ in 0..10 {
         fleet.run(30);
-        let open = resent.iter().filter(|&&n| is_open(&fleet, n));
+        let open = retransmitted.iter().filter(|&&n| is_open(&fleet, n));
         let open: Vec<u32> = open.copied().collect();
         open.into_iter().for_each(|n| fleet.spray(&data(n)));
     }
-    fleet.apart.clear();
+    fleet.unreachable_pairs.clear();
     fleet.run(10_000);
     let lost = talk(&mut fleet, 0, 400);
 
-    assert!(resent.len() > 50, "{}", resent.len());
+    assert!(retransmitted.len() > 50, "{}", retransmitted.len());
     assert_eq!(fleet.failures, Vec::<String>::new());
     assert_eq!(lost, Vec::<u32>::new(), "drops {:?}", fleet.drops);
 }
 
-/// A data centre is cut off. Callers there open flows, which go to their base and are known to
-/// nobody. Then a server there falls silent, and the balancers would rather choose freely among the
-/// others. The owners out of hearing could not be asked about the flows that are open; without
-/// need, as nothing is placed off its base during a cut. Callers would wait until the cut has healed.
+/// A data centre is partitioned from the others. Callers there open flows, which go to their base
+/// and have no pins. Then a server there stops answering, and the policy asks to place flows off
+/// their base. If the buckets were flagged now, packets of the open flows would need an unreachable
+/// owner, and callers would wait until the partition heals; needlessly, because no flow is placed
+/// off its base during a partition.
 #[test]
-fn a_choice_of_servers_that_comes_up_during_a_cut_stops_no_flow() {
+fn allowing_off_base_during_a_partition_blocks_no_flow() {
     let mut fleet = Fleet::new(6, 26, tables(service(Protocol::Tcp, 0..5, 1)));
     (0..2).for_each(|at| fleet.balancers[at].group = 1);
     fleet.run(12_000);
@@ -233,10 +234,10 @@
     assert_eq!(fleet.failures, Vec::<String>::new());
 }
 
-/// A balancer starts while another is leaving and hands over slowly. If the newcomer went by an
-/// owners' set of its own, no later handover would end, and a crash would lose pins.
+/// A balancer starts while another one is leaving and hands over slowly. If the new balancer used
+/// an owner set of its own, no later handover would complete, and a crash would lose pins.
 #[test]
-fn a_start_in_the_middle_of_a_handover_settles() {
+fn a_balancer_started_during_a_handover_adopts_the_settled_set() {
     let mut fleet = draining(25);
     open(&mut fleet, 0, 200);
     fleet.crash(3);
--- a/crates/flow/tests/it/plan.rs
+++ b/crates/flow/tests/it/plan.rs
@@ -1,4 +1,4 @@
-//! Services, packets and callers that several tests share.
+//! Services, packets and callers shared by several tests.
 
 use std::sync::Arc;
 
@@ -17,8 +17,9 @@
 
 pub const BUCKETS: usize = 64;
 
-/// The same cases in every run. `ACACIA_CASES` and `ACACIA_SEED` in the environment play more and
-/// others by hand; under cargo, which sets `PROPTEST_RNG_SEED`, that one goes before `ACACIA_SEED`.
+/// Runs the same cases every time. The environment variables `ACACIA_CASES` and `ACACIA_SEED`
+/// select another number of cases and another seed. `PROPTEST_RNG_SEED`, which is set under cargo,
+/// takes precedence over `ACACIA_SEED`.
 pub fn config(cases: u32) -> Config {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     Config {
@@ -68,7 +69,7 @@
     }
 }
 
-/// Recomputes where new flows go.
+/// Recomputes the table for new flows.
 pub fn retarget(service: &mut Service) {
     let eligible = service
         .servers
@@ -117,8 +118,8 @@
     packet(key(Protocol::Tcp, number), Kind::Middle, 100)
 }
 
-/// Sends `packet` until it is delivered, as a caller's transport would; gives whether it was
-/// within 40 s.
+/// Retransmits `packet` until it is delivered, as a caller's transport would. Returns whether it
+/// was delivered within about 40 s.
 pub fn insist(fleet: &mut Fleet, packet: &Packet) -> bool {
     for attempt in 0..12 {
         let before = fleet
@@ -134,7 +135,7 @@
     false
 }
 
-/// Opens flows `from..to`; each caller sends an acknowledgement and one request.
+/// Opens flows `from..to`; each caller then sends an acknowledgement.
 pub fn open(fleet: &mut Fleet, from: u32, to: u32) {
     for number in from..to {
         fleet.spray(&opening(number));
@@ -149,11 +150,12 @@
     fleet.run(50);
 }
 
-/// Every flow sends once; gives the numbers of those whose packet was not delivered.
+/// Sends data on every open flow of `from..to`, with retransmissions. Returns the numbers of the
+/// flows whose packet was not delivered.
 pub fn talk(fleet: &mut Fleet, from: u32, to: u32) -> Vec<u32> {
     let opened = |fleet: &Fleet, number| {
         let truth = fleet.flows[&key(Protocol::Tcp, number)];
-        truth.server.is_some() && !truth.is_given_up(fleet.now)
+        truth.server.is_some() && !truth.is_abandoned(fleet.now)
     };
     let numbers: Vec<u32> = (from..to).filter(|&number| opened(fleet, number)).collect();
     let delivered = |fleet: &Fleet, number: u32| fleet.flows[&key(Protocol::Tcp, number)].delivered;
@@ -165,12 +167,12 @@
         .iter()
         .for_each(|&number| fleet.spray(&data(number)));
     fleet.run(100);
-    let silent = numbers
+    let undelivered = numbers
         .iter()
         .zip(before)
         .filter(|(number, b)| delivered(fleet, **number) == *b);
-    let silent: Vec<u32> = silent.map(|(number, _)| *number).collect();
-    silent
+    let undelivered: Vec<u32> = undelivered.map(|(number, _)| *number).collect();
+    undelivered
         .into_iter()
         .filter(|&number| !insist(fleet, &data(number)))
         .collect()
--- a/crates/flow/tests/it/services.rs
+++ b/crates/flow/tests/it/services.rs
@@ -13,9 +13,9 @@
 proptest! {
     #![proptest_config(config(24))]
 
-    /// A service is removed and another created at the same address while the balancers take over
-    /// the tables one by one. A check-in sent to the old service would reach the map service's
-    /// servers, or the other way round.
+    /// A service is removed and another is created at the same address, while the balancers apply
+    /// the tables one after another. Guards against packets of one service reaching servers of the
+    /// other.
     #[test]
     fn a_reused_address_mixes_no_services(
         seed: u64,
@@ -57,9 +57,9 @@
         prop_assert_eq!(lost, Vec::<u32>::new(), "drops {:?}", fleet.drops);
     }
 
-    /// A backend server starts to leave while callers keep opening flows, and its balancers hear
-    /// of it one after another. New flows that still land on it would be cut off at its deadline;
-    /// its old flows must stay until they end.
+    /// A backend server starts to drain while callers keep opening flows, and the balancers learn
+    /// of it one after another. New flows placed on it would be cut off at its deadline; its
+    /// existing flows must stay until they end.
     #[test]
     fn a_draining_server_gets_no_new_flow_after_seconds(seed: u64, server in 0..5u16) {
         let (fleet, last, lost) = drain(seed, server);
@@ -70,7 +70,8 @@
     }
 }
 
-/// Heartbeats and openings that are lost in a bad moment put a new flow on a draining server.
+/// Regression cases: heartbeats or openings lost at a critical moment put a new flow on a draining
+/// server.
 #[rstest]
 #[case::owner_unheard_for_a_moment(16531288742342242348, 0)]
 #[case::owner_unheard_as_flags_settle(13160912353699380198, 0)]
@@ -85,14 +86,14 @@
     assert_eq!(lost, Vec::<u32>::new(), "drops {:?}", fleet.drops);
 }
 
-/// Lets a server drain while callers keep opening flows for more than nine seconds; gives the fleet,
-/// how long after the change the last new flow met the server, and the flows that were lost.
+/// Drains a server while callers keep opening flows for more than nine seconds. Returns the fleet,
+/// how long after the change the last new flow reached the server, and the flows that were lost.
 fn drain(seed: u64, server: u16) -> (Fleet, u64, Vec<u32>) {
     let mut fleet = Fleet::new(5, seed, tables(service(Protocol::Tcp, 0..5, 1)));
     fleet.faults.loss = 0.02;
     open(&mut fleet, 0, 60);
 
-    let learned = fleet.now;
+    let changed_at = fleet.now;
     fleet.change(1_000, |s| set_state(s, server, State::Draining));
     for round in 0..40 {
         open(&mut fleet, 60 + round * 10, 70 + round * 10);
@@ -100,14 +101,14 @@
     }
     let lost = talk(&mut fleet, 0, 460);
 
-    assert!(fleet.now > learned + 9_000);
-    let last = fleet.last_new.get(&server).copied().unwrap_or(0);
-    (fleet, last.saturating_sub(learned), lost)
+    assert!(fleet.now > changed_at + 9_000);
+    let last = fleet.last_opened_at.get(&server).copied().unwrap_or(0);
+    (fleet, last.saturating_sub(changed_at), lost)
 }
 
-/// A backend server dies and its buckets get another base, while some balancers still have the
-/// older table. A flow opened on the new base would find its next packet sent to the dead server,
-/// and a flow pinned in those buckets must stay where it is.
+/// A backend server dies and its buckets get another base, while some balancers still have the old
+/// table. These would send later packets of a flow opened on the new base to the dead server, and
+/// flows already pinned in those buckets must stay on their servers.
 #[test]
 fn a_new_base_keeps_the_pins_of_its_buckets() {
     let mut fleet = Fleet::new(5, 11, tables(service(Protocol::Tcp, 0..5, 1)));
@@ -132,10 +133,10 @@
     assert!(insist(&mut fleet, &data(5)));
 }
 
-/// The store comes back with an older answer than a balancer has heard from its peers. Flows would
-/// be placed as before the change, on servers that are leaving.
+/// After an outage the store returns older tables than a balancer has received from its peers.
+/// Applying them would place flows on servers that are draining.
 #[test]
-fn an_older_table_is_not_put_in_force() {
+fn an_older_table_is_not_applied() {
     let mut fleet = Fleet::new(2, 1, tables(service(Protocol::Tcp, 0..4, 1)));
     let old = fleet.tables.clone();
     fleet.change(0, |s| set_state(s, 1, State::Draining));
@@ -149,11 +150,11 @@
     assert!(!entry.service.is_eligible(1));
 }
 
-/// A server is taken out of the base in one step, without the version in between, and only one
-/// balancer has heard. A flow that it opens on the new base would find its next packet sent to the
-/// old server by all the others.
+/// A server is removed from the base in one step, without the intermediate version, and only one
+/// balancer has the new tables. All the others would send later packets of a flow that it opens on
+/// the new base to the old server.
 #[test]
-fn a_new_base_that_others_have_not_heard_of_needs_pins() {
+fn a_new_base_unknown_to_other_balancers_needs_pins() {
     let mut fleet = Fleet::new(5, 4, tables(service(Protocol::Tcp, 0..5, 1)));
     let mut changed = fleet.tables.clone();
     changed.version += 1;
@@ -172,7 +173,7 @@
         talk(&mut fleet, 0, 150);
     }
 
-    // Flows whose owner has the old table open on the old base, and stay there for now.
+    // Flows whose owner has the old table are opened on the old base, and stay there.
     fleet
         .failures
         .retain(|failure| !failure.contains("not Some(1)"));
