--- a/crates/bench/src/flows/balancer.rs
+++ b/crates/bench/src/flows/balancer.rs
@@ -173,7 +173,7 @@
                 self.shards.of(key.hash()).correct(&key, server);
             }
             Message::Notice(Notice::Hint { key, server }) => {
-                self.shards.of(key.hash()).remember(key, server, now);
+                self.shards.of(key.hash()).cache_hint(key, server, now);
             }
             Message::Bye => self.left.push(from),
         }
--- a/crates/flow/src/resolve.rs
+++ b/crates/flow/src/resolve.rs
@@ -138,7 +138,7 @@
             Kind::Opening { .. } => self.open_on_base(),
             _ if !flagged => self.forward_to(self.base()),
             Kind::Closing | Kind::Reset => {
-                self.shard.forget(&self.packet.key);
+                self.shard.evict_cached(&self.packet.key);
                 self.consult_owner()
             }
             Kind::Middle | Kind::Datagram | Kind::Error => {
--- a/crates/flow/src/shard.rs
+++ b/crates/flow/src/shard.rs
@@ -154,14 +154,14 @@
     }
 
     /// Caches the server from a hint for [`HINT_TTL`]. Does nothing when the cache is full.
-    pub fn remember(&mut self, key: Key, server: u16, now: u64) {
+    pub fn cache_hint(&mut self, key: Key, server: u16, now: u64) {
         if self.cache.len() < self.limits.cache {
             self.cache.insert(key, (server, now + HINT_TTL));
         }
     }
 
     /// Removes the cached server of a flow.
-    pub fn forget(&mut self, key: &Key) {
+    pub fn evict_cached(&mut self, key: &Key) {
         self.cache.remove(key);
     }
 
--- a/crates/flow/tests/it/fleet.rs
+++ b/crates/flow/tests/it/fleet.rs
@@ -478,7 +478,7 @@
                 balancer.shards.of(key.hash()).correct(&key, server);
             }
             Message::Notice(Notice::Hint { key, server }) => {
-                balancer.shards.of(key.hash()).remember(key, server, now);
+                balancer.shards.of(key.hash()).cache_hint(key, server, now);
             }
             Message::Bye => balancer.left.push(event.from),
             Message::Tables(tables) => balancer.control.set_tables(tables, now),
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -415,7 +415,7 @@
 fn take_notice(notice: Notice, shards: &Shards, time: u64) {
     match notice {
         Notice::Correct { key, server } => shards.of(key.hash()).correct(&key, server),
-        Notice::Hint { key, server } => shards.of(key.hash()).remember(key, server, time),
+        Notice::Hint { key, server } => shards.of(key.hash()).cache_hint(key, server, time),
     }
 }
 
