--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -14,6 +14,8 @@
 
 /// Bucket sets and their compact encoding.
 pub mod bitmap;
+/// Detection of flows whose path to the server is broken.
+mod broken_path;
 /// State of the control thread: peers, bucket flags, ownership and pin handover.
 pub mod control;
 /// Pins and their timeouts.
@@ -26,8 +28,6 @@
 mod resolve;
 /// Per-flow state of the traffic threads.
 pub mod shard;
-/// Detection of flows whose path to the server is broken.
-mod silent;
 /// Immutable view that the control thread publishes to traffic threads.
 pub mod snapshot;
 /// Construction of bucket tables.
--- a/crates/flow/src/shard.rs
+++ b/crates/flow/src/shard.rs
@@ -3,8 +3,8 @@
 use acacia_wire::{collections::Map, flow::Key};
 
 use crate::{
+    broken_path::Detector,
     pin::{HINT_TTL, Phase, Pin},
-    silent::Detector,
 };
 
 /// Limits of one [`Shard`].
--- a/crates/flow/tests/it/bounds.rs
+++ b/crates/flow/tests/it/bounds.rs
@@ -8,8 +8,8 @@
 use proptest::prelude::*;
 
 use crate::{
+    fixture::{config, data, key, open, opening, packet, service, set_state, tables, talk},
     fleet::Fleet,
-    plan::{config, data, key, open, opening, packet, service, set_state, tables, talk},
 };
 
 const LIMITS: Limits = Limits {
--- a/crates/flow/tests/it/silent.rs
+++ b/crates/flow/tests/it/broken_path.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 
 use crate::{
+    fixture::{config, key, open, packet, service, tables},
     fleet::Fleet,
-    plan::{config, key, open, packet, service, tables},
 };
 
 /// A segment of flow `number`; `answered` is the number of answers that the caller has received.
--- a/crates/flow/tests/it/datagrams.rs
+++ b/crates/flow/tests/it/datagrams.rs
@@ -5,8 +5,8 @@
 };
 
 use crate::{
+    fixture::{key, opening, packet, service, set_state, tables},
     fleet::Fleet,
-    plan::{key, opening, packet, service, set_state, tables},
 };
 
 fn datagram(number: u32) -> Packet {
--- a/crates/flow/tests/it/faults.rs
+++ b/crates/flow/tests/it/faults.rs
@@ -4,8 +4,8 @@
 use rstest::rstest;
 
 use crate::{
+    fixture::{config, open, service, set_state, tables, talk},
     fleet::Fleet,
-    plan::{config, open, service, set_state, tables, talk},
 };
 
 #[derive(Debug, Clone)]
@@ -66,14 +66,14 @@
 fn run_with_traffic(fleet: &mut Fleet, time: u64, opened: &mut u32) {
     let end = fleet.now + time;
     while fleet.now < end {
-        (*opened..*opened + 6).for_each(|number| fleet.spray(&crate::plan::opening(number)));
+        (*opened..*opened + 6).for_each(|number| fleet.spray(&crate::fixture::opening(number)));
         *opened += 6;
         fleet.run(300);
         let started = opened.saturating_sub(40);
         for number in started..*opened {
-            let truth = fleet.flows[&crate::plan::key(Protocol::Tcp, number)];
+            let truth = fleet.flows[&crate::fixture::key(Protocol::Tcp, number)];
             if truth.server.is_some() {
-                fleet.spray(&crate::plan::data(number));
+                fleet.spray(&crate::fixture::data(number));
             }
         }
     }
--- a/crates/flow/tests/it/fleet.rs
+++ b/crates/flow/tests/it/fleet.rs
@@ -4,7 +4,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use crate::plan::{data, key, opening};
+use crate::fixture::{data, key, opening};
 use acacia_code::Code;
 use acacia_flow::{
     Control, Shards, Snapshot,
--- a/crates/flow/tests/it/handover.rs
+++ b/crates/flow/tests/it/handover.rs
@@ -3,8 +3,8 @@
 use rstest::rstest;
 
 use crate::{
+    fixture::{address, data, key, open, opening, service, set_state, tables, talk},
     fleet::Fleet,
-    plan::{address, data, key, open, opening, service, set_state, tables, talk},
 };
 
 /// Starts five balancers with one draining server, whose buckets are flagged.
--- a/crates/flow/tests/it/main.rs
+++ b/crates/flow/tests/it/main.rs
@@ -2,12 +2,12 @@
 //! duplicate and reorder messages.
 
 mod bounds;
+mod broken_path;
 mod datagrams;
 mod faults;
+mod fixture;
 mod fleet;
 mod handover;
 mod openings;
-mod plan;
 mod planned;
 mod services;
-mod silent;
--- a/crates/flow/tests/it/openings.rs
+++ b/crates/flow/tests/it/openings.rs
@@ -4,8 +4,10 @@
 use rand::RngExt;
 
 use crate::{
+    fixture::{
+        address, config, data, insist, key, open, opening, packet, service, set_state, tables,
+    },
     fleet::Fleet,
-    plan::{address, config, data, insist, key, open, opening, packet, service, set_state, tables},
 };
 
 proptest! {
--- a/crates/flow/tests/it/planned.rs
+++ b/crates/flow/tests/it/planned.rs
@@ -4,8 +4,8 @@
 use rstest::rstest;
 
 use crate::{
+    fixture::{config, open, retarget, service, set_state, tables, talk},
     fleet::Fleet,
-    plan::{config, open, retarget, service, set_state, tables, talk},
 };
 use acacia_wire::flow::Protocol;
 
--- a/crates/flow/tests/it/services.rs
+++ b/crates/flow/tests/it/services.rs
@@ -6,8 +6,8 @@
 use rstest::rstest;
 
 use crate::{
+    fixture::{config, data, insist, key, open, opening, service, set_state, tables, talk},
     fleet::Fleet,
-    plan::{config, data, insist, key, open, opening, service, set_state, tables, talk},
 };
 
 proptest! {
@@ -146,7 +146,7 @@
     fleet.balancers[0].control.set_tables(old, now);
 
     let snapshot = fleet.balancers[0].control.snapshot(now);
-    let entry = &snapshot.services[&crate::plan::address(Protocol::Tcp)];
+    let entry = &snapshot.services[&crate::fixture::address(Protocol::Tcp)];
     assert!(!entry.service.is_eligible(1));
 }
 
