--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -3,7 +3,7 @@
 use acacia_config::Config;
 use acacia_flow::{
     pin::{Phase, Pin},
-    rank::{Node, pair},
+    rank::{Node, top_two},
     snapshot::State,
 };
 use acacia_node::{control::core::Outgoing, message::Message, view::View};
@@ -138,12 +138,12 @@
             .map(|id| Node { id, incarnation: 0 })
             .collect();
         let pin = Pin {
-            synced: self.now.as_secs() as u32,
+            synced_at: self.now.as_secs() as u32,
             isn: 1,
             server: PINNED_TO,
             phase: Phase::Open,
-            light: false,
-            asked: 0,
+            short_lived: false,
+            queries: 0,
         };
         let flows = u64::from(size.pins) * u64::from(size.peers) / 2;
         for flow in 0..flows {
@@ -155,7 +155,7 @@
                 service_port: 443,
                 protocol: Protocol::Tcp,
             };
-            for owner in pair(key.hash(), &nodes).into_iter().flatten() {
+            for owner in top_two(key.hash(), &nodes).into_iter().flatten() {
                 let shards = &self.balancers[usize::from(owner.id)].shards;
                 shards.of(key.hash()).store(key, pin);
             }
--- a/crates/bench/src/flows/balancer.rs
+++ b/crates/bench/src/flows/balancer.rs
@@ -121,7 +121,7 @@
         let mut out: Vec<_> = batches
             .map(|(to, batch)| (to, Message::Batch(batch)))
             .collect();
-        if self.control.has_news() || now >= self.reported + HEARTBEAT {
+        if self.control.take_pending_report() || now >= self.reported + HEARTBEAT {
             self.reported = now;
             let stage = self.control.stage();
             for member in &members {
@@ -173,7 +173,7 @@
                 self.shards.of(key.hash()).correct(&key, server);
             }
             Message::Notice(Notice::Hint { key, server }) => {
-                self.shards.of(key.hash()).remember(key, server, now);
+                self.shards.of(key.hash()).cache_hint(key, server, now);
             }
             Message::Bye => self.left.push(from),
         }
--- a/crates/bench/src/speed/scene.rs
+++ b/crates/bench/src/speed/scene.rs
@@ -3,7 +3,7 @@
 use acacia_flow::{
     Snapshot,
     bitmap::Bitmap,
-    rank::{Node, pair},
+    rank::{Node, top_two},
     snapshot::{Address, Entry, Server, Service, State},
     table::build,
 };
@@ -64,7 +64,7 @@
 #[must_use]
 pub fn keys(seed: u64, count: usize, owned: bool) -> Vec<Key> {
     let nodes = nodes();
-    let is_owned = |key: &Key| pair(key.hash(), &nodes)[0].map(|node| node.id) == Some(ME);
+    let is_owned = |key: &Key| top_two(key.hash(), &nodes)[0].map(|node| node.id) == Some(ME);
     let all = (0..).map(|index| key(seed, index));
     all.filter(|key| is_owned(key) == owned)
         .take(count)
@@ -85,17 +85,17 @@
             id: ME,
             incarnation: 1,
         },
-        sure_until: u64::MAX,
-        awake_until: u64::MAX,
+        flags_complete_until: u64::MAX,
+        fresh_until: u64::MAX,
         owner: true,
-        free: true,
+        off_base_allowed: true,
         alive: Arc::clone(&set),
-        heard: (0..BALANCERS).collect(),
+        reachable: (0..BALANCERS).collect(),
         settled: Arc::clone(&set),
         missing: Arc::default(),
-        parted_from: u64::MAX,
-        silent_at: 0,
-        strangers: false,
+        partitioned_from: u64::MAX,
+        owner_unreachable_at: 0,
+        has_unmerged_owners: false,
         ready: Arc::clone(&set),
         target: Arc::clone(&set),
         previous: set,
@@ -135,9 +135,9 @@
                 .map(|(id, _)| (*id, server))
                 .collect::<Map<_, _>>(),
         }),
-        open: flags.clone(),
+        off_base: flags.clone(),
         flags,
-        aged: Bitmap::default(),
+        udp_observed: Bitmap::default(),
         moved: Bitmap::default(),
         guarded: false,
         refusable: false,
--- a/crates/flow/tests/it/main.rs
+++ b/crates/flow/tests/it/main.rs
@@ -1,12 +1,13 @@
-//! Tests of flow resolution: several cores joined by queues that delay, lose, repeat and reorder.
+//! Tests of flow resolution with several balancers, connected by simulated queues that delay, drop,
+//! duplicate and reorder messages.
 
 mod bounds;
+mod broken_path;
 mod datagrams;
 mod faults;
+mod fixture;
 mod fleet;
 mod handover;
 mod openings;
-mod plan;
 mod planned;
 mod services;
-mod silent;
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -306,7 +306,7 @@
         if !self.leaving {
             self.group.set_phase(phase(self.flow.stage()));
         }
-        if self.flow.has_news() {
+        if self.flow.take_pending_report() {
             self.group.request_prompt_answers();
         }
         self.agree(now, unix);
@@ -415,7 +415,7 @@
 fn take_notice(notice: Notice, shards: &Shards, time: u64) {
     match notice {
         Notice::Correct { key, server } => shards.of(key.hash()).correct(&key, server),
-        Notice::Hint { key, server } => shards.of(key.hash()).remember(key, server, time),
+        Notice::Hint { key, server } => shards.of(key.hash()).cache_hint(key, server, time),
     }
 }
 
