--- a/crates/tables/src/document.rs
+++ b/crates/tables/src/document.rs
@@ -21,7 +21,7 @@
 /// for half a percent.
 pub const BUCKETS: usize = 4_096;
 /// The server number of buckets for which there is no server.
-pub const NOBODY: u16 = 0;
+pub const NO_SERVER: u16 = 0;
 
 /// The agreed tables of all services.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -170,9 +170,9 @@
             let mut numbers = service.servers.iter().map(|server| server.number);
             let rising = service.servers.is_sorted_by(|a, b| a.number < b.number);
             ensure(rising, "server numbers don't rise")?;
-            let used = |number| number != NOBODY && u32::from(number) < service.next_number;
+            let used = |number| number != NO_SERVER && u32::from(number) < service.next_number;
             ensure(numbers.all(used), "a server number was never given out")?;
-            let known = |number: &u16| *number == NOBODY || service.server(*number).is_some();
+            let known = |number: &u16| *number == NO_SERVER || service.server(*number).is_some();
             let named = service.base.iter().chain(service.next.iter());
             ensure(
                 named.into_iter().all(known),
--- a/crates/tables/src/follow/service.rs
+++ b/crates/tables/src/follow/service.rs
@@ -7,7 +7,7 @@
 use acacia_wire::collections::{Map, Set};
 
 use crate::{
-    document::{BUCKETS, NOBODY, Server, Service, State},
+    document::{BUCKETS, NO_SERVER, Server, Service, State},
     follow::UNIT,
 };
 
@@ -92,7 +92,7 @@
                 let first = table::build(BUCKETS, &weights, &[]);
                 let is_empty = first.is_empty();
                 let first = if is_empty {
-                    vec![NOBODY; BUCKETS]
+                    vec![NO_SERVER; BUCKETS]
                 } else {
                     first
                 };
@@ -120,12 +120,12 @@
             |server: &&Server| server.state == State::Gone && server.closed.is_some_and(&is_known);
         let leaving = self.servers.iter().filter(is_leaving);
         let mut leaving: Set<u16> = leaving.map(|server| server.number).collect();
-        leaving.insert(NOBODY);
+        leaving.insert(NO_SERVER);
         if self.next.iter().any(|next| leaving.contains(next)) {
             let next = self.next.iter();
             let next = next.map(|next| {
                 if leaving.contains(next) {
-                    NOBODY
+                    NO_SERVER
                 } else {
                     *next
                 }
--- a/crates/tables/src/lib.rs
+++ b/crates/tables/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod writer;
 
 pub use compare::{Unserved, closing, unserved};
-pub use document::{BUCKETS, Document, FORMAT, KEY, MAX_SIZE, NOBODY, Server, Service, State};
+pub use document::{BUCKETS, Document, FORMAT, KEY, MAX_SIZE, NO_SERVER, Server, Service, State};
 pub use error::Error;
 pub use follow::{Situation, UNIT, follow};
 pub use lookup::{Lookup, tables};
--- a/crates/tables/tests/it/follow.rs
+++ b/crates/tables/tests/it/follow.rs
@@ -2,7 +2,7 @@
 
 use acacia_config::Service;
 use acacia_flow::{pin::IDLE, snapshot::Address};
-use acacia_tables::{BUCKETS, Lookup, MAX_RETIRED, NOBODY, Retired, closing, tables, unserved};
+use acacia_tables::{BUCKETS, Lookup, MAX_RETIRED, NO_SERVER, Retired, closing, tables, unserved};
 
 use crate::fixture::{
     Chain,
@@ -50,7 +50,7 @@
     chain.now = 50;
     chain.step();
     let base = &chain.document.services[0].base;
-    assert_eq!(count(base, Some(NOBODY)), BUCKETS / 2);
+    assert_eq!(count(base, Some(NO_SERVER)), BUCKETS / 2);
     assert_eq!(count(base, chain.number(2)), BUCKETS / 2);
 
     chain.now = 60;
--- a/crates/tables/tests/it/invariant.rs
+++ b/crates/tables/tests/it/invariant.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-use acacia_tables::{Document, NOBODY, Service, State};
+use acacia_tables::{Document, NO_SERVER, Service, State};
 
 use crate::fixture::front;
 
@@ -70,7 +70,7 @@
             .zip(new.base.iter())
             .filter(|(from, to)| from != to);
         let moved: BTreeSet<u16> = moved.map(|(from, _)| *from).collect();
-        for from in moved.into_iter().filter(|&from| from != NOBODY) {
+        for from in moved.into_iter().filter(|&from| from != NO_SERVER) {
             assert!(
                 new.server(from)
                     .is_none_or(|server| server.state == State::Gone)
