--- a/crates/node/src/control/load.rs
+++ b/crates/node/src/control/load.rs
@@ -13,7 +13,7 @@
     pool::{self, Server},
     report::Report,
 };
-use acacia_tables::{Document, State, UNIT};
+use acacia_tables::{Document, NOMINAL_WEIGHT, State};
 use acacia_wire::collections::Map;
 
 use crate::load::{Counts, Flows, Policies, Policy, policies};
@@ -197,7 +197,10 @@
             if writes && let Some(weights) = entry.controller.weights(now) {
                 let named = entry.names.iter().zip(weights);
                 self.weights.extend(named.map(|(name, weight)| {
-                    (Arc::clone(name), (weight * f64::from(UNIT)).round() as u32)
+                    (
+                        Arc::clone(name),
+                        (weight * f64::from(NOMINAL_WEIGHT)).round() as u32,
+                    )
                 }));
             }
         }
--- a/crates/tables/src/follow.rs
+++ b/crates/tables/src/follow.rs
@@ -16,7 +16,7 @@
 mod service;
 
 /// The weight of a server of average speed, and of one whose speed is not known.
-pub const UNIT: u32 = 1_000;
+pub const NOMINAL_WEIGHT: u32 = 1_000;
 
 /// What the next tables depend on besides the tables before and the configuration.
 #[derive(Clone, Copy)]
@@ -26,7 +26,7 @@
     /// Whether every balancer is known to have tables of a version
     /// ([`acacia_flow::Control::is_known_everywhere`]).
     pub is_known: &'a dyn Fn(u64) -> bool,
-    /// The weight of a server of a service, by their names, in [`UNIT`]s of 1,000; none leaves it
+    /// The weight of a server of a service, by their names, in [`NOMINAL_WEIGHT`]s of 1,000; none leaves it
     /// as it is.
     pub weight: &'a dyn Fn(&str, &str) -> Option<u32>,
 }
--- a/crates/tables/src/follow/service.rs
+++ b/crates/tables/src/follow/service.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     document::{BUCKETS, NO_SERVER, Server, Service, State},
-    follow::UNIT,
+    follow::NOMINAL_WEIGHT,
 };
 
 impl Service {
@@ -70,7 +70,7 @@
         for server in &mut self.servers {
             let old = before.and_then(|before| before.server(server.number));
             let old = old.filter(|old| old.state == State::Up);
-            let kept = || old.map_or(UNIT, |old| old.weight);
+            let kept = || old.map_or(NOMINAL_WEIGHT, |old| old.weight);
             server.weight = match server.state {
                 State::Up => weight(&self.name, &server.name).unwrap_or_else(kept),
                 State::Draining { .. } | State::Gone => 0,
--- a/crates/tables/src/writer.rs
+++ b/crates/tables/src/writer.rs
@@ -140,7 +140,7 @@
         self.rank = rank;
     }
 
-    /// Measured weights of servers by name, in [`UNIT`](crate::UNIT)s. Servers left out keep theirs.
+    /// Measured weights of servers by name, in [`NOMINAL_WEIGHT`](crate::NOMINAL_WEIGHT)s. Servers left out keep theirs.
     pub fn set_weights(&mut self, weights: Map<Arc<str>, u32>) {
         self.weights = weights;
     }
--- a/crates/tables/src/writer/weight.rs
+++ b/crates/tables/src/writer/weight.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     document::{Document, State},
-    follow::UNIT,
+    follow::NOMINAL_WEIGHT,
 };
 
 /// Difference to the weight in force, in percent, below which a new one is noise.
@@ -11,7 +11,7 @@
 /// Whether a measured weight differs from the one in force by more than noise.
 pub(super) fn is_other(old: u32, new: u32) -> bool {
     /// Below this a percentage means nothing.
-    const LEAST: u32 = UNIT / 10;
+    const LEAST: u32 = NOMINAL_WEIGHT / 10;
     let difference = u64::from(old.abs_diff(new)) * 100;
     let is_ended = (old == 0) != (new == 0);
     is_ended || difference > u64::from(HYSTERESIS) * u64::from(old.max(LEAST))
--- a/crates/tables/tests/it/writer.rs
+++ b/crates/tables/tests/it/writer.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
 use acacia_tables::{
-    Document, Error, UNIT,
+    Document, Error, NOMINAL_WEIGHT,
     writer::{Action, Answer, LONGEST_PAUSE, Moment, RANK_DELAY, WEIGHT_PERIOD, Writer},
 };
 use rstest::rstest;
@@ -116,7 +116,7 @@
     let mut first = writer(0);
     let mut versions = Vec::new();
     for now in (0..=3 * WEIGHT_PERIOD).step_by(100) {
-        weigh(&mut first, UNIT / 2 + (now % 7_000) as u32);
+        weigh(&mut first, NOMINAL_WEIGHT / 2 + (now % 7_000) as u32);
         if let Action::Write { document, .. } = step(&mut first, now) {
             versions.push(document.version);
             let revision = document.version;
@@ -126,8 +126,8 @@
     assert_eq!(versions, [2, 3, 4]);
 
     let (mut noise, mut second) = (writer(0), writer(1));
-    weigh(&mut noise, UNIT + UNIT / 20);
-    weigh(&mut second, UNIT * 2);
+    weigh(&mut noise, NOMINAL_WEIGHT + NOMINAL_WEIGHT / 20);
+    weigh(&mut second, NOMINAL_WEIGHT * 2);
     assert_eq!(step(&mut noise, 60_000), Action::Idle);
     for now in (60_000..70_000).step_by(500) {
         assert_eq!(step(&mut second, now), Action::Idle);
@@ -139,14 +139,14 @@
 #[test]
 fn a_change_of_configuration_does_not_wait_for_weights() {
     let mut writer = writer(0);
-    weigh(&mut writer, UNIT * 2);
+    weigh(&mut writer, NOMINAL_WEIGHT * 2);
     reconfigure(&mut writer);
     let (_, document) = written(step(&mut writer, 1));
     let weights = document.services[0]
         .servers
         .iter()
         .map(|server| server.weight);
-    assert_eq!(weights.collect::<Vec<_>>(), [UNIT; 3]);
+    assert_eq!(weights.collect::<Vec<_>>(), [NOMINAL_WEIGHT; 3]);
 }
 
 /// A drain's deadline passes while nobody touches the configuration, and something that needs no
@@ -198,6 +198,6 @@
     let later = Error::Later { format: 2 };
     assert_eq!(writer.saw_store(7, Some("{\"format\":2}"), 0), Err(later));
     reconfigure(&mut writer);
-    weigh(&mut writer, UNIT * 2);
+    weigh(&mut writer, NOMINAL_WEIGHT * 2);
     assert_eq!(step(&mut writer, 100_000), Action::Idle);
 }
