--- a/crates/node/src/control/core/status.rs
+++ b/crates/node/src/control/core/status.rs
@@ -9,7 +9,7 @@
 use acacia_flow::{Shards, control::Stage};
 use acacia_member::{Member, State};
 use acacia_rollout::Version;
-use acacia_tables::{Situation, follow};
+use acacia_tables::{UpdateContext, follow};
 use acacia_wire::collections::Map;
 
 use super::{Core, member::MACHINE};
@@ -149,7 +149,7 @@
             return true;
         };
         // What a change brings at once: bases move later, when all know of it.
-        let situation = Situation {
+        let situation = UpdateContext {
             now: unix.as_secs(),
             is_known: &|_| false,
             weight: &|_, _| None,
--- a/crates/node/tests/it/status.rs
+++ b/crates/node/tests/it/status.rs
@@ -13,7 +13,7 @@
     settings::Settings,
 };
 use acacia_rollout::Answer;
-use acacia_tables::{Situation, follow};
+use acacia_tables::{UpdateContext, follow};
 
 use crate::settings::valid;
 
@@ -59,7 +59,7 @@
 }
 
 pub fn tables(before: Option<&acacia_tables::Document>, of: &Document) -> acacia_tables::Document {
-    let situation = Situation {
+    let situation = UpdateContext {
         now: 0,
         is_known: &|_| true,
         weight: &|_, _| None,
--- a/crates/tables/src/follow.rs
+++ b/crates/tables/src/follow.rs
@@ -20,7 +20,7 @@
 
 /// What the next tables depend on besides the tables before and the configuration.
 #[derive(Clone, Copy)]
-pub struct Situation<'a> {
+pub struct UpdateContext<'a> {
     /// Seconds of Unix time.
     pub now: u64,
     /// Whether every balancer is known to have tables of a version
@@ -45,7 +45,7 @@
 ///
 /// ```
 /// use acacia_config::{Config, Server, Service, document};
-/// use acacia_tables::{Situation, follow};
+/// use acacia_tables::{UpdateContext, follow};
 ///
 /// let mut config = Config::default();
 /// config
@@ -59,17 +59,17 @@
 ///     in_force: None,
 /// };
 /// let accepted = document::Document::follow(None, &draft)?;
-/// let situation = Situation { now: 0, is_known: &|_| false, weight: &|_, _| None };
-/// let first = follow(None, &accepted, &situation)?.ok_or("a document")?;
+/// let context = UpdateContext { now: 0, is_known: &|_| false, weight: &|_, _| None };
+/// let first = follow(None, &accepted, &context)?.ok_or("a document")?;
 /// assert_eq!((first.version, first.config), (1, 1));
 /// assert_eq!(first.services[0].base, first.services[0].next);
-/// assert_eq!(follow(Some(&first), &accepted, &situation)?, None);
+/// assert_eq!(follow(Some(&first), &accepted, &context)?, None);
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 pub fn follow(
     previous: Option<&Document>,
     accepted: &config::document::Document,
-    situation: &Situation<'_>,
+    context: &UpdateContext<'_>,
 ) -> Result<Option<Document>, Error> {
     let empty = Document::default();
     let before = previous.unwrap_or(&empty);
@@ -78,7 +78,7 @@
     }
     let config = accepted.config()?;
     let fronts = fronts(accepted, &config)?;
-    let next = Step::new(before, &config, situation).run(&fronts);
+    let next = Step::new(before, &config, context).run(&fronts);
     if previous.is_some() && next.services == before.services {
         return Ok(None);
     }
@@ -137,19 +137,19 @@
 struct Step<'a> {
     before: &'a Document,
     config: &'a Config,
-    situation: &'a Situation<'a>,
+    context: &'a UpdateContext<'a>,
     version: u64,
     retired: Vec<Retired>,
     released: Vec<Released>,
 }
 
 impl<'a> Step<'a> {
-    fn new(before: &'a Document, config: &'a Config, situation: &'a Situation<'a>) -> Self {
-        let waiting = |released: &&Released| !(situation.is_known)(released.version);
+    fn new(before: &'a Document, config: &'a Config, context: &'a UpdateContext<'a>) -> Self {
+        let waiting = |released: &&Released| !(context.is_known)(released.version);
         Step {
             before,
             config,
-            situation,
+            context,
             version: before.version + 1,
             retired: before.retired.clone(),
             released: before.released.iter().filter(waiting).copied().collect(),
@@ -175,7 +175,7 @@
             self.finish(service);
         }
         let mut fold = self.before.fold;
-        number::fold(&mut self.retired, &mut fold, self.situation.now);
+        number::fold(&mut self.retired, &mut fold, self.context.now);
         let beyond = self.released.len().saturating_sub(MAX_RELEASED);
         self.released.drain(..beyond);
         Document {
@@ -193,7 +193,7 @@
         self.retired.push(Retired {
             address: old.address,
             next_number: old.next_number,
-            at: self.situation.now,
+            at: self.context.now,
         });
         for server in &old.servers {
             self.release(server.address);
@@ -212,12 +212,12 @@
         if let Some(old) = olds.iter().find(|old| is_same(front, old)) {
             let mut service = old.clone();
             service.name = Arc::clone(&front.service.name);
-            let is_over = |until: u64| until <= self.situation.now;
+            let is_over = |until: u64| until <= self.context.now;
             service.strict_until = old.strict_until.filter(|until| !is_over(*until));
-            service.age(self.config, front.service, self.situation.now, self.version);
+            service.age(self.config, front.service, self.context.now, self.version);
             return service;
         }
-        let now = self.situation.now;
+        let now = self.context.now;
         let (next_number, strict_until) =
             number::revive(&mut self.retired, &self.before.fold, &front.address, now);
         Service {
@@ -251,7 +251,7 @@
         };
         let servers = self.config.servers_of(&front.name).iter();
         servers
-            .filter(|server| !server.state.is_gone(self.situation.now))
+            .filter(|server| !server.state.is_gone(self.context.now))
             .filter(|server| !listed.contains(&server.address) && !in_use(server.address))
             .map(|server| (server, server.limit_in(front)))
             .collect()
@@ -263,9 +263,9 @@
         let before = before
             .clone()
             .find(|old| old.address == service.address && old.instance == service.instance);
-        service.weigh(before, self.situation.weight);
+        service.weigh(before, self.context.weight);
         service.place_new(before);
-        let known = self.situation.is_known;
+        let known = self.context.is_known;
         service.move_base(|closed| closed < self.version && known(closed));
         let servers = std::mem::take(&mut service.servers);
         let (kept, gone): (Vec<_>, Vec<_>) = servers
--- a/crates/tables/src/lib.rs
+++ b/crates/tables/src/lib.rs
@@ -20,7 +20,7 @@
 pub use compare::{Unserved, closing, unserved};
 pub use document::{BUCKETS, Document, FORMAT, KEY, MAX_SIZE, NO_SERVER, Server, Service, State};
 pub use error::Error;
-pub use follow::{NOMINAL_WEIGHT, Situation, follow};
+pub use follow::{NOMINAL_WEIGHT, UpdateContext, follow};
 pub use lookup::{Lookup, tables};
 pub use number::{Fold, MAX_RELEASED, MAX_RETIRED, Released, Retired};
 pub use writer::Writer;
--- a/crates/tables/src/writer.rs
+++ b/crates/tables/src/writer.rs
@@ -14,7 +14,7 @@
 use crate::{
     Error,
     document::{Document, State},
-    follow::{Situation, follow},
+    follow::{UpdateContext, follow},
 };
 
 mod event;
@@ -348,12 +348,12 @@
             let is_kept = !is_weighing && current.is_some_and(|c| is_up(c, service, server));
             self.weights.get(server).filter(|_| !is_kept).copied()
         };
-        let situation = Situation {
+        let context = UpdateContext {
             now: now.unix,
             is_known,
             weight: &weight,
         };
-        Ok(follow(current, config, &situation)?.map(Arc::new))
+        Ok(follow(current, config, &context)?.map(Arc::new))
     }
 
     /// What puts the store right. Where it holds another document of the same version, balancers
--- a/crates/tables/tests/it/fixture.rs
+++ b/crates/tables/tests/it/fixture.rs
@@ -5,7 +5,7 @@
     document::{self, Draft, Id},
 };
 use acacia_flow::snapshot::Address;
-use acacia_tables::{Document, Situation, follow};
+use acacia_tables::{Document, UpdateContext, follow};
 use acacia_wire::flow::Protocol;
 
 /// Where packets for the server on a host go.
@@ -129,13 +129,13 @@
 
     /// Makes the next tables; gives whether there are any.
     pub fn step(&mut self) -> bool {
-        let situation = Situation {
+        let context = UpdateContext {
             now: self.now,
             is_known: &|version| version <= self.known,
             weight: &|_, _| None,
         };
         let before = Some(&self.document);
-        let next = follow(before, &self.operator.accepted(), &situation).expect("tables");
+        let next = follow(before, &self.operator.accepted(), &context).expect("tables");
         next.map(|next| self.document = next).is_some()
     }
 
