--- a/crates/bench/src/control/document.rs
+++ b/crates/bench/src/control/document.rs
@@ -1,5 +1,5 @@
 use acacia_platform::machine::{Machine, State};
-use acacia_tables::{UpdateContext, follow};
+use acacia_tables::{UpdateContext, next_document};
 
 use super::{
     line::Line,
@@ -83,7 +83,7 @@
         is_known: &|_| false,
         weight: &|_, _| None,
     };
-    let tables = follow(None, &config, &situation)?;
+    let tables = next_document(None, &config, &situation)?;
     let tables = tables.map_or(Ok(String::new()), |tables| tables.encode())?;
     Ok([config.encode().len(), tables.len()])
 }
--- a/crates/node/src/control/core/status.rs
+++ b/crates/node/src/control/core/status.rs
@@ -9,7 +9,7 @@
 use acacia_flow::{Shards, control::Stage};
 use acacia_member::{Member, State};
 use acacia_rollout::Version;
-use acacia_tables::{UpdateContext, follow};
+use acacia_tables::{UpdateContext, next_document};
 use acacia_wire::collections::Map;
 
 use super::{Core, member::MACHINE};
@@ -154,7 +154,7 @@
             is_known: &|_| false,
             weight: &|_, _| None,
         };
-        !matches!(follow(Some(document), config, &situation), Ok(None))
+        !matches!(next_document(Some(document), config, &situation), Ok(None))
     }
 
     /// Whether operators have to ask the member whether a change is in force there: all but those
--- a/crates/node/tests/it/status.rs
+++ b/crates/node/tests/it/status.rs
@@ -13,7 +13,7 @@
     settings::Settings,
 };
 use acacia_rollout::Answer;
-use acacia_tables::{UpdateContext, follow};
+use acacia_tables::{UpdateContext, next_document};
 
 use crate::settings::valid;
 
@@ -64,7 +64,7 @@
         is_known: &|_| true,
         weight: &|_, _| None,
     };
-    follow(before, of, &situation).unwrap().unwrap()
+    next_document(before, of, &situation).unwrap().unwrap()
 }
 
 pub fn stored(tables: &acacia_tables::Document) -> News {
--- a/crates/tables/src/compare.rs
+++ b/crates/tables/src/compare.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     document::{Document, Service, State},
-    follow::address,
+    update::address,
 };
 
 /// Part of a configuration that the tables don't serve.
--- a/crates/tables/src/lib.rs
+++ b/crates/tables/src/lib.rs
@@ -1,7 +1,7 @@
 //! The agreed bucket tables: their stored form, their construction, and who writes them when.
 //!
 //! All balancers send a flow by the same tables. A [`Document`] in the platform's store holds them
-//! with a version that only rises. [`follow`] makes the next document from the one before and the
+//! with a version that only rises. [`next_document`] makes the next document from the one before and the
 //! operators' configuration, [`Writer`] decides which balancer writes it and when, and
 //! [`tables`] and [`Lookup`] give what a balancer has in force. docs/DESIGN.md, section 7, gives
 //! the rules.
@@ -11,16 +11,16 @@
 mod compare;
 mod document;
 mod error;
-mod follow;
 mod lookup;
 mod number;
 mod pack;
+mod update;
 pub mod writer;
 
 pub use compare::{Unserved, closing, unserved};
 pub use document::{BUCKETS, Document, FORMAT, KEY, MAX_SIZE, NO_SERVER, Server, Service, State};
 pub use error::Error;
-pub use follow::{NOMINAL_WEIGHT, UpdateContext, follow};
 pub use lookup::{Lookup, tables};
 pub use number::{Fold, MAX_RELEASED, MAX_RETIRED, Released, Retired};
+pub use update::{NOMINAL_WEIGHT, UpdateContext, next_document};
 pub use writer::Writer;
--- a/crates/tables/src/follow.rs
+++ b/crates/tables/src/update.rs
@@ -45,7 +45,7 @@
 ///
 /// ```
 /// use acacia_config::{Config, Server, Service, document};
-/// use acacia_tables::{UpdateContext, follow};
+/// use acacia_tables::{UpdateContext, next_document};
 ///
 /// let mut config = Config::default();
 /// config
@@ -60,13 +60,13 @@
 /// };
 /// let accepted = document::Document::follow(None, &draft)?;
 /// let context = UpdateContext { now: 0, is_known: &|_| false, weight: &|_, _| None };
-/// let first = follow(None, &accepted, &context)?.ok_or("a document")?;
+/// let first = next_document(None, &accepted, &context)?.ok_or("a document")?;
 /// assert_eq!((first.version, first.config), (1, 1));
 /// assert_eq!(first.services[0].base, first.services[0].next);
-/// assert_eq!(follow(Some(&first), &accepted, &context)?, None);
+/// assert_eq!(next_document(Some(&first), &accepted, &context)?, None);
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
-pub fn follow(
+pub fn next_document(
     previous: Option<&Document>,
     accepted: &config::document::Document,
     context: &UpdateContext<'_>,
@@ -281,7 +281,7 @@
 }
 
 impl Document {
-    /// How many things may let [`follow`] give another document under the same configuration:
+    /// How many things may let [`next_document`] give another document under the same configuration:
     /// deadlines that have passed, and changes that every balancer knows of. It only rises as long
     /// as the document is the same, so a look is in vain while the number is. Cheap, so that it
     /// can be asked often.
--- a/crates/tables/src/follow/service.rs
+++ b/crates/tables/src/update/service.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     document::{BUCKETS, NO_SERVER, Server, Service, State},
-    follow::NOMINAL_WEIGHT,
+    update::NOMINAL_WEIGHT,
 };
 
 impl Service {
--- a/crates/tables/src/writer.rs
+++ b/crates/tables/src/writer.rs
@@ -14,7 +14,7 @@
 use crate::{
     Error,
     document::{Document, State},
-    follow::{UpdateContext, follow},
+    update::{UpdateContext, next_document},
 };
 
 mod event;
@@ -353,7 +353,7 @@
             is_known,
             weight: &weight,
         };
-        Ok(follow(current, config, &context)?.map(Arc::new))
+        Ok(next_document(current, config, &context)?.map(Arc::new))
     }
 
     /// What puts the store right. Where it holds another document of the same version, balancers
--- a/crates/tables/src/writer/weight.rs
+++ b/crates/tables/src/writer/weight.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     document::{Document, State},
-    follow::NOMINAL_WEIGHT,
+    update::NOMINAL_WEIGHT,
 };
 
 /// Difference to the weight in force, in percent, below which a new one is noise.
--- a/crates/tables/tests/it/fixture.rs
+++ b/crates/tables/tests/it/fixture.rs
@@ -5,7 +5,7 @@
     document::{self, Draft, Id},
 };
 use acacia_flow::snapshot::Address;
-use acacia_tables::{Document, UpdateContext, follow};
+use acacia_tables::{Document, UpdateContext, next_document};
 use acacia_wire::flow::Protocol;
 
 /// Where packets for the server on a host go.
@@ -135,7 +135,7 @@
             weight: &|_, _| None,
         };
         let before = Some(&self.document);
-        let next = follow(before, &self.operator.accepted(), &context).expect("tables");
+        let next = next_document(before, &self.operator.accepted(), &context).expect("tables");
         next.map(|next| self.document = next).is_some()
     }
 
--- a/crates/tables/tests/it/main.rs
+++ b/crates/tables/tests/it/main.rs
@@ -3,6 +3,6 @@
 mod document;
 mod fixture;
 mod fleet;
-mod follow;
 mod invariant;
+mod update;
 mod writer;
