--- a/crates/node/src/control/core/weigh.rs
+++ b/crates/node/src/control/core/weigh.rs
@@ -5,7 +5,7 @@
 use acacia_burn::{Count, Mark};
 use acacia_code::Code;
 use acacia_flow::snapshot::Address;
-use acacia_tables::closing;
+use acacia_tables::withdrawn_servers;
 
 use super::Core;
 use crate::{clock::millis, load::Counts};
@@ -27,7 +27,7 @@
             .pools
             .renew(&held.config, revision, document, self.settings.threads);
         if renewed {
-            let closing = closing(document, &held.config);
+            let closing = withdrawn_servers(document, &held.config);
             self.close(closing, millis(now));
         }
         let view = self.group.view(now);
--- a/crates/tables/src/compare.rs
+++ b/crates/tables/src/compare.rs
@@ -78,11 +78,11 @@
 /// ([`acacia_flow::Control::set_down`]), since that moves no base.
 ///
 /// ```
-/// use acacia_tables::{Document, closing};
-/// assert_eq!(closing(&Document::default(), &acacia_config::Config::default()), []);
+/// use acacia_tables::{Document, withdrawn_servers};
+/// assert_eq!(withdrawn_servers(&Document::default(), &acacia_config::Config::default()), []);
 /// ```
 #[must_use]
-pub fn closing(document: &Document, config: &Config) -> Vec<(Address, u16)> {
+pub fn withdrawn_servers(document: &Document, config: &Config) -> Vec<(Address, u16)> {
     let active = config.servers().iter().filter(|server| server.is_active());
     let front = |server: &acacia_config::Server| address(config.service(&server.service)?);
     let active: Set<_> = active
--- a/crates/tables/src/lib.rs
+++ b/crates/tables/src/lib.rs
@@ -17,7 +17,7 @@
 mod update;
 pub mod writer;
 
-pub use compare::{Unserved, closing, unserved};
+pub use compare::{Unserved, unserved, withdrawn_servers};
 pub use document::{BUCKETS, Document, FORMAT, KEY, MAX_SIZE, NO_SERVER, Server, Service, State};
 pub use error::Error;
 pub use lookup::{Lookup, tables};
--- a/crates/tables/tests/it/update.rs
+++ b/crates/tables/tests/it/update.rs
@@ -2,7 +2,9 @@
 
 use acacia_config::Service;
 use acacia_flow::{pin::IDLE, snapshot::Address};
-use acacia_tables::{BUCKETS, Lookup, MAX_RETIRED, NO_SERVER, Retired, closing, tables, unserved};
+use acacia_tables::{
+    BUCKETS, Lookup, MAX_RETIRED, NO_SERVER, Retired, tables, unserved, withdrawn_servers,
+};
 
 use crate::fixture::{
     Chain,
@@ -125,7 +127,7 @@
     for change in [Drain(2, None), Remove(3), Place(4, 2)] {
         chain.operator.change(change);
     }
-    let closing = closing(&chain.document, &chain.operator.config());
+    let closing = withdrawn_servers(&chain.document, &chain.operator.config());
     let wanted = [2, 3, 4].map(|at| (front(1), chain.number(at).expect("a number")));
     assert_eq!(closing, wanted);
 }
