--- a/crates/tables/src/document.rs
+++ b/crates/tables/src/document.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     Error,
-    number::{Fold, Released, Retired},
+    number::{Released, Retired, RetiredSummary},
     pack,
 };
 
@@ -36,7 +36,7 @@
     /// Addresses that had a service before.
     pub retired: Vec<Retired>,
     /// What is left of older ones.
-    pub fold: Fold,
+    pub fold: RetiredSummary,
     /// Backend servers that some balancers may still use for their former service.
     pub released: Vec<Released>,
 }
--- a/crates/tables/src/number.rs
+++ b/crates/tables/src/number.rs
@@ -10,7 +10,7 @@
 ///
 /// Load: services that come and go, at most a few thousand changes a day. Harm: a list that only
 /// grows fills the store's megabyte. 4,096 take about 300 KB, and stand for more than a day of the
-/// 3,800 changes that we design for. What is beyond goes into the [`Fold`], which stays correct.
+/// 3,800 changes that we design for. What is beyond goes into the [`RetiredSummary`], which stays correct.
 pub const MAX_RETIRED: usize = 4_096;
 /// Addresses of backend servers that are remembered until all balancers stopped using them.
 ///
@@ -32,7 +32,7 @@
 
 /// What is still known of retired addresses that are no longer listed, all taken together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fold {
+pub struct RetiredSummary {
     /// The first server number at an address that is not listed: above all that were used at any
     /// of the addresses folded.
     pub next_number: u32,
@@ -41,9 +41,9 @@
     pub strict_until: u64,
 }
 
-impl Default for Fold {
+impl Default for RetiredSummary {
     fn default() -> Self {
-        Fold {
+        RetiredSummary {
             next_number: 1,
             strict_until: 0,
         }
@@ -69,7 +69,7 @@
 /// service there is strict.
 pub(crate) fn revive(
     retired: &mut Vec<Retired>,
-    fold: &Fold,
+    fold: &RetiredSummary,
     address: &Address,
     now: u64,
 ) -> (u32, Option<u64>) {
@@ -83,7 +83,7 @@
 
 /// Folds what is beyond the bound. Those go first that can have no live flows any longer, and
 /// among these the ones with the lowest numbers, which use up the fewest numbers elsewhere.
-pub(crate) fn fold(retired: &mut Vec<Retired>, fold: &mut Fold, now: u64) {
+pub(crate) fn fold(retired: &mut Vec<Retired>, fold: &mut RetiredSummary, now: u64) {
     let is_young = |old: &Retired| now < old.at + STRICT;
     while retired.len() > MAX_RETIRED {
         let order = |at: &usize| (is_young(&retired[*at]), retired[*at].next_number);
--- a/crates/tables/src/update.rs
+++ b/crates/tables/src/update.rs
@@ -288,10 +288,10 @@
     ///
     /// ```
     /// use acacia_tables::Document;
-    /// assert_eq!(Document::default().due(0, &|_| true), 0);
+    /// assert_eq!(Document::default().due_updates(0, &|_| true), 0);
     /// ```
     #[must_use]
-    pub fn due(&self, now: u64, is_known: &dyn Fn(u64) -> bool) -> usize {
+    pub fn due_updates(&self, now: u64, is_known: &dyn Fn(u64) -> bool) -> usize {
         let is_over = |until: Option<u64>| until.is_some_and(|until| until <= now);
         let is_due = |server: &&crate::Server| match server.state {
             State::Up => false,
--- a/crates/tables/src/writer.rs
+++ b/crates/tables/src/writer.rs
@@ -299,7 +299,7 @@
         Some(Look {
             version: current.version,
             config: self.config.as_ref()?.revision,
-            due: current.due(now.unix, is_known),
+            due: current.due_updates(now.unix, is_known),
         })
     }
 
