--- a/crates/node/src/control/agreement.rs
+++ b/crates/node/src/control/agreement.rs
@@ -7,7 +7,9 @@
 use acacia_config::document::Document as Config;
 use acacia_flow::{control::Tables, snapshot::Address};
 use acacia_member::{State, View};
-use acacia_rollout::{Action, Answer, Event, Held, Options, Peer, Rollout, Version, WATCHERS};
+use acacia_rollout::{
+    Action, ActiveConfig, Answer, Event, Options, Peer, Rollout, Version, WATCHERS,
+};
 use acacia_tables::{
     Document, tables,
     writer::{self, Moment, Writer},
@@ -122,13 +124,13 @@
     /// The configuration in force.
     #[must_use]
     pub fn config(&self) -> Option<&Arc<Config>> {
-        self.rollout.held().map(|held| &held.document)
+        self.rollout.active().map(|held| &held.document)
     }
 
     /// The configuration in force, decoded.
     #[must_use]
-    pub fn held(&self) -> Option<&Held> {
-        self.rollout.held()
+    pub fn held(&self) -> Option<&ActiveConfig> {
+        self.rollout.active()
     }
 
     /// Its version, for heartbeats.
--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -2,7 +2,7 @@
 
 use acacia_config::document::Document;
 
-use crate::{Held, Version};
+use crate::{ActiveConfig, Version};
 
 /// Another balancer.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -81,7 +81,7 @@
         peer: u16,
     },
     /// Put a document in force.
-    Enforce(Held),
+    Enforce(ActiveConfig),
     /// From now on this balancer may serve: it holds the highest version it could learn of.
     Ready,
     /// A newer document can't be understood and is left alone; this is its version.
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -18,6 +18,6 @@
 mod watch;
 
 pub use event::{Action, Answer, Event, Peer};
-pub use rollout::{Held, Options, Rollout};
+pub use rollout::{ActiveConfig, Options, Rollout};
 pub use version::Version;
 pub use watch::WATCHERS;
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -19,7 +19,7 @@
 
 /// A document and what it says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct ActiveConfig {
     /// The document, as it is passed on to peers.
     pub document: Arc<Document>,
     /// The configuration in it.
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct Rollout {
     me: Peer,
-    held: Option<Held>,
+    active: Option<ActiveConfig>,
     /// Newer versions that could not be understood.
     rejected: BTreeSet<Version>,
     peers: Peers,
@@ -57,7 +57,7 @@
     pub fn new(options: Options, now: Duration) -> Self {
         Rollout {
             me: options.me,
-            held: None,
+            active: None,
             rejected: BTreeSet::new(),
             peers: Peers::default(),
             watch: Watch::new(now),
@@ -69,14 +69,14 @@
 
     /// What is in force here, for serving and for passing on to peers that fetch it.
     #[must_use]
-    pub fn held(&self) -> Option<&Held> {
-        self.held.as_ref()
+    pub fn active(&self) -> Option<&ActiveConfig> {
+        self.active.as_ref()
     }
 
     /// The version in force here, for the heartbeats.
     #[must_use]
     pub fn version(&self) -> Option<Version> {
-        self.held.as_ref().map(|held| Version::of(&held.document))
+        self.active.as_ref().map(|held| Version::of(&held.document))
     }
 
     /// Whether this balancer may serve. Once true it stays true.
@@ -139,8 +139,8 @@
         match document.config() {
             Ok(config) => {
                 let config = Arc::new(config);
-                let held = Held { document, config };
-                self.held = Some(held.clone());
+                let held = ActiveConfig { document, config };
+                self.active = Some(held.clone());
                 self.rejected = self.rejected.split_off(&version);
                 actions.push(Action::Enforce(held));
             }
@@ -165,7 +165,7 @@
             let above = self.watch.begin(now);
             actions.extend(above.map(|above| Action::Watch { above }));
         }
-        let highest = self.held.is_some() && behind.is_none();
+        let highest = self.active.is_some() && behind.is_none();
         if self.join.becomes_ready(now, highest) {
             actions.push(Action::Ready);
         }
--- a/crates/rollout/tests/it/world.rs
+++ b/crates/rollout/tests/it/world.rs
@@ -232,7 +232,7 @@
         if !self.linked(id, peer) {
             return;
         }
-        let held = self.balancers[usize::from(peer)].core.held();
+        let held = self.balancers[usize::from(peer)].core.active();
         let document = held.map(|held| Arc::clone(&held.document));
         self.balancers[usize::from(id)].fetch = None;
         self.step(id, Event::Fetched { peer, document });
