--- a/crates/bench/src/control/store.rs
+++ b/crates/bench/src/control/store.rs
@@ -5,7 +5,7 @@
     agreement::{Entry, Order},
     platform::News,
 };
-use acacia_rollout::Answer;
+use acacia_rollout::StoreEntry;
 use acacia_tables::writer;
 
 /// How long the client lets a watch wait for something new (`acacia_platform::Options`).
@@ -76,7 +76,7 @@
     fn answer(&mut self, order: &Order, late: bool) -> Option<News> {
         match order {
             Order::WatchConfig { above } => {
-                let answer = Answer {
+                let answer = StoreEntry {
                     revision: self.config.revision,
                     document: Some(Arc::clone(&self.config)),
                 };
--- a/crates/node/src/control/agreement.rs
+++ b/crates/node/src/control/agreement.rs
@@ -8,7 +8,7 @@
 use acacia_flow::{control::Tables, snapshot::Address};
 use acacia_member::{State, View};
 use acacia_rollout::{
-    Action, ActiveConfig, Answer, Event, Options, Peer, Rollout, Version, WATCHERS,
+    Action, ActiveConfig, Event, Options, Peer, Rollout, StoreEntry, Version, WATCHERS,
 };
 use acacia_tables::{
     Document, tables,
@@ -215,7 +215,7 @@
     }
 
     /// The end of a watch of the configuration; none if the store could not be reached.
-    pub fn saw_config(&mut self, now: Duration, answer: Option<Answer>) -> Outcome {
+    pub fn saw_config(&mut self, now: Duration, answer: Option<StoreEntry>) -> Outcome {
         self.step_rollout(now, Event::Store(answer))
     }
 
--- a/crates/node/src/control/platform.rs
+++ b/crates/node/src/control/platform.rs
@@ -16,7 +16,7 @@
     machine::Machine,
     store::{Outcome, Swap},
 };
-use acacia_rollout::Answer;
+use acacia_rollout::StoreEntry;
 use acacia_tables::writer;
 use crossbeam_channel::{Sender, TrySendError};
 use tokio::{
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum News {
     /// The end of a watch of the configuration.
-    Config(Option<Answer>),
+    Config(Option<StoreEntry>),
     /// The end of a watch of the tables.
     Tables(Option<Entry>),
     /// The end of a read of the tables.
@@ -168,7 +168,7 @@
     match order {
         Order::WatchConfig { above } => {
             let entry = client.watch(&config, above).await;
-            News::Config(note(entry).map(|entry| Answer {
+            News::Config(note(entry).map(|entry| StoreEntry {
                 revision: entry.revision,
                 document: entry.value.and_then(|value| decode(&value)),
             }))
--- a/crates/node/tests/it/status.rs
+++ b/crates/node/tests/it/status.rs
@@ -12,7 +12,7 @@
     control::{agreement::Entry, core::Core, platform::News},
     settings::Settings,
 };
-use acacia_rollout::Answer;
+use acacia_rollout::StoreEntry;
 use acacia_tables::{UpdateContext, next_document};
 
 use crate::settings::valid;
@@ -52,7 +52,7 @@
 }
 
 pub fn config(document: &Document) -> News {
-    News::Config(Some(Answer {
+    News::Config(Some(StoreEntry {
         revision: document.revision,
         document: Some(Arc::new(document.clone())),
     }))
--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -15,26 +15,26 @@
 
 /// What the store holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct StoreEntry {
     /// The key's revision in the store, for the next watch.
     pub revision: u64,
     /// The document; none if the key holds none, or nothing that can be decoded.
     pub document: Option<Arc<Document>>,
 }
 
-impl Answer {
+impl StoreEntry {
     /// The answer that a read or watch of the store's key gave. What can't be decoded counts as
     /// nothing: serving goes on by what is in force.
     ///
     /// ```
-    /// use acacia_rollout::Answer;
-    /// assert_eq!(Answer::read(7, Some("no document")).document, None);
-    /// assert_eq!(Answer::read(7, None).revision, 7);
+    /// use acacia_rollout::StoreEntry;
+    /// assert_eq!(StoreEntry::read(7, Some("no document")).document, None);
+    /// assert_eq!(StoreEntry::read(7, None).revision, 7);
     /// ```
     #[must_use]
     pub fn read(revision: u64, value: Option<&str>) -> Self {
         let document = value.and_then(|value| Document::decode(value).ok());
-        Answer {
+        StoreEntry {
             revision,
             document: document.map(Arc::new),
         }
@@ -54,7 +54,7 @@
         version: Option<Version>,
     },
     /// The end of the last [`Action::Watch`]; none if the store could not be reached.
-    Store(Option<Answer>),
+    Store(Option<StoreEntry>),
     /// The end of the last [`Action::Fetch`]; none if the peer did not answer or has none.
     Fetched {
         /// The peer.
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -17,7 +17,7 @@
 mod version;
 mod watch;
 
-pub use event::{Action, Answer, Event, Peer};
+pub use event::{Action, Event, Peer, StoreEntry};
 pub use rollout::{ActiveConfig, Options, Rollout};
 pub use version::Version;
 pub use watch::WATCHERS;
--- a/crates/rollout/tests/it/fixture.rs
+++ b/crates/rollout/tests/it/fixture.rs
@@ -5,7 +5,7 @@
     Config, Service,
     document::{Document, Draft, Id},
 };
-use acacia_rollout::{Answer, Options, Peer, Rollout};
+use acacia_rollout::{Options, Peer, Rollout, StoreEntry};
 
 /// So many cases from a fixed seed: the verdict is the same on every run.
 pub fn cases(cases: u32) -> ProptestConfig {
@@ -57,8 +57,8 @@
 }
 
 /// What a store answers that holds that revision.
-pub fn answer(revision: u64) -> Answer {
-    Answer {
+pub fn answer(revision: u64) -> StoreEntry {
+    StoreEntry {
         revision,
         document: Some(document(revision)),
     }
--- a/crates/rollout/tests/it/world.rs
+++ b/crates/rollout/tests/it/world.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use acacia_config::document::Document;
-use acacia_rollout::{Action, Answer, Event, Options, Peer, Rollout, Version};
+use acacia_rollout::{Action, Event, Options, Peer, Rollout, StoreEntry, Version};
 
 use crate::fixture::{document, ms, peer};
 
@@ -216,7 +216,7 @@
                 let document = revision
                     .checked_sub(1)
                     .map(|at| self.accepted[at as usize].clone());
-                Event::Store(Some(Answer { revision, document }))
+                Event::Store(Some(StoreEntry { revision, document }))
             }
             _ => return,
         };
