--- a/crates/node/src/control/agreement.rs
+++ b/crates/node/src/control/agreement.rs
@@ -207,7 +207,7 @@
         self.spread.heard(peer, tables);
         self.step_rollout(
             now,
-            Event::Heard {
+            Event::Heartbeat {
                 peer,
                 version: config,
             },
@@ -216,7 +216,7 @@
 
     /// The end of a watch of the configuration; none if the store could not be reached.
     pub fn saw_config(&mut self, now: Duration, answer: Option<StoreEntry>) -> Outcome {
-        self.step_rollout(now, Event::Store(answer))
+        self.step_rollout(now, Event::WatchEnded(answer))
     }
 
     /// A peer's answer to [`Ask::Config`].
--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -47,14 +47,14 @@
     /// The live balancers besides this one, whenever they change.
     View(Vec<Peer>),
     /// A heartbeat: the version that a peer has in force.
-    Heard {
+    Heartbeat {
         /// The peer.
         peer: u16,
         /// Its version, none if it has none yet.
         version: Option<Version>,
     },
     /// The end of the last [`Action::Watch`]; none if the store could not be reached.
-    Store(Option<StoreEntry>),
+    WatchEnded(Option<StoreEntry>),
     /// The end of the last [`Action::Fetch`]; none if the peer did not answer or has none.
     Fetched {
         /// The peer.
@@ -69,7 +69,7 @@
 /// Something to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Watch the store's key, and give its end as [`Event::Store`]. Takes the place of a watch
+    /// Watch the store's key, and give its end as [`Event::WatchEnded`]. Takes the place of a watch
     /// that is still waiting.
     Watch {
         /// The revision that the key must rise above.
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -90,15 +90,15 @@
         let mut actions = Vec::new();
         match event {
             Event::View(peers) => self.peers.view(peers),
-            Event::Heard { peer, version } => self.peers.heard(peer, version),
-            Event::Store(Some(answer)) => {
+            Event::Heartbeat { peer, version } => self.peers.heard(peer, version),
+            Event::WatchEnded(Some(answer)) => {
                 self.join.asked_store();
                 self.watch.answered(answer.revision, now);
                 if let Some(document) = answer.document {
                     self.offer(document, &mut actions);
                 }
             }
-            Event::Store(None) => {
+            Event::WatchEnded(None) => {
                 self.join.asked_store();
                 self.watch.failed(now, &mut self.random);
             }
--- a/crates/rollout/tests/it/core.rs
+++ b/crates/rollout/tests/it/core.rs
@@ -13,7 +13,7 @@
 
 fn heard(peer: u16, revision: u64) -> Event {
     let version = version(revision);
-    Event::Heard { peer, version }
+    Event::Heartbeat { peer, version }
 }
 
 fn fetched(peer: u16, revision: u64) -> Event {
@@ -36,7 +36,7 @@
         ms(0),
         Event::View(vec![peer(1, "hervanta"), peer(2, "lielahti")]),
     );
-    core.step(ms(10), Event::Store(Some(answer(revision))));
+    core.step(ms(10), Event::WatchEnded(Some(answer(revision))));
     core.step(ms(1500), Event::Tick);
     core
 }
@@ -53,7 +53,7 @@
         for (revision, source) in offers {
             now += ms(50);
             match source {
-                0 => drop(core.step(now, Event::Store(Some(answer(revision))))),
+                0 => drop(core.step(now, Event::WatchEnded(Some(answer(revision))))),
                 1 => drop(core.step(now, fetched(2, revision))),
                 _ => {
                     core.step(now, heard(2, revision));
@@ -72,7 +72,7 @@
 fn a_newborn_serves_only_by_the_highest_of_store_and_peers() {
     let mut core = rollout(9, "hervanta");
     core.step(ms(0), Event::View(vec![peer(1, "hervanta")]));
-    core.step(ms(10), Event::Store(Some(answer(4))));
+    core.step(ms(10), Event::WatchEnded(Some(answer(4))));
     let told = core.step(ms(500), heard(1, 5));
     let waiting = core.step(ms(1200), Event::Tick);
     let after = core.step(ms(1300), fetched(1, 5));
@@ -102,7 +102,7 @@
 #[test]
 fn a_newborn_that_knows_nothing_never_serves() {
     let mut core = rollout(9, "hervanta");
-    core.step(ms(10), Event::Store(None));
+    core.step(ms(10), Event::WatchEnded(None));
     let late = core.step(ms(60_000), Event::Tick);
     assert!(!late.contains(&Action::Ready));
 }
@@ -212,7 +212,7 @@
 fn a_late_heartbeat_of_a_dead_peer_holds_nobody_up() {
     let mut core = rollout(9, "hervanta");
     core.step(ms(0), Event::View(vec![peer(1, "hervanta")]));
-    core.step(ms(10), Event::Store(Some(answer(4))));
+    core.step(ms(10), Event::WatchEnded(Some(answer(4))));
     core.step(ms(500), Event::View(vec![]));
     let late = core.step(ms(600), heard(1, 9));
     let after = core.step(ms(1200), Event::Tick);
@@ -268,7 +268,7 @@
 #[test]
 fn a_watch_follows_a_restored_store_down() {
     let mut core = serving(7);
-    let restored = core.step(ms(2000), Event::Store(Some(answer(3))));
+    let restored = core.step(ms(2000), Event::WatchEnded(Some(answer(3))));
     assert_eq!(watches(&restored), [3]);
     assert_eq!(core.version(), version(7));
 }
@@ -291,8 +291,8 @@
     let mut begun = Vec::new();
     for at in 2_000..62_000 {
         let actions = match begun.last() {
-            Some(last) if at - last == 1 => core.step(ms(at), Event::Store(None)),
-            None => core.step(ms(at), Event::Store(None)),
+            Some(last) if at - last == 1 => core.step(ms(at), Event::WatchEnded(None)),
+            None => core.step(ms(at), Event::WatchEnded(None)),
             Some(_) => core.step(ms(at), Event::Tick),
         };
         if !watches(&actions).is_empty() {
--- a/crates/rollout/tests/it/world.rs
+++ b/crates/rollout/tests/it/world.rs
@@ -106,7 +106,7 @@
         if from != to && !self.balancers[usize::from(to)].paused {
             self.step(
                 to,
-                Event::Heard {
+                Event::Heartbeat {
                     peer: from,
                     version,
                 },
@@ -191,7 +191,7 @@
             self.balancers[usize::from(id)].told[usize::from(other)] = version;
             self.step(
                 id,
-                Event::Heard {
+                Event::Heartbeat {
                     peer: other,
                     version,
                 },
@@ -211,12 +211,12 @@
             stored
         };
         let event = match self.reach[usize::from(id)] {
-            false if waited >= ms(STORE_DEADLINE) => Event::Store(None),
+            false if waited >= ms(STORE_DEADLINE) => Event::WatchEnded(None),
             true if revision > above || waited >= ms(WATCH) => {
                 let document = revision
                     .checked_sub(1)
                     .map(|at| self.accepted[at as usize].clone());
-                Event::Store(Some(StoreEntry { revision, document }))
+                Event::WatchEnded(Some(StoreEntry { revision, document }))
             }
             _ => return,
         };
