--- a/crates/tables/src/error.rs
+++ b/crates/tables/src/error.rs
@@ -3,41 +3,41 @@
 
 use crate::document::MAX_SIZE;
 
-/// Why tables can't be read or made.
+/// Why tables can't be read or built.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The store's value is no document.
+    /// The stored value is not a document.
     #[error("the stored tables can't be decoded: {0}")]
     Undecodable(String),
-    /// A later version of the program wrote the document. It must not be written over: what this
-    /// version can't read, it would lose.
-    #[error("the stored tables have format {format}, which this version doesn't know")]
+    /// A later version of the program wrote the document. This version must not overwrite it, as
+    /// it would drop the content that it can't read.
+    #[error("the stored tables have format {format}, which this version doesn't support")]
     Later {
-        /// The format found.
+        /// The format number in the document.
         format: u32,
     },
-    /// The document contradicts itself.
+    /// Parts of the document contradict each other.
     #[error("the stored tables are inconsistent: {0}")]
     Inconsistent(&'static str),
-    /// The document would not fit into the store. It is never cut.
-    #[error("the tables have {size} bytes, the store holds {MAX_SIZE}")]
+    /// The document exceeds the store's size limit. It is never truncated.
+    #[error("the tables take {size} bytes; the store's limit is {MAX_SIZE}")]
     TooLarge {
-        /// Its size in bytes.
+        /// The document's size in bytes.
         size: usize,
     },
-    /// The configuration that the tables should follow can't be read.
-    #[error("the tables can't follow the configuration: {0}")]
+    /// The configuration to build the tables from can't be read.
+    #[error("the configuration for the tables can't be read: {0}")]
     Config(#[from] acacia_config::document::Error),
-    /// The configuration names a service without its instance number.
-    #[error("the configuration's service {service} has no instance number")]
+    /// The configuration has no instance number for a service.
+    #[error("service {service} has no instance number in the configuration")]
     InstanceMissing {
-        /// The service.
+        /// The service's name.
         service: std::sync::Arc<str>,
     },
 }
 
 impl Error {
-    /// The error's row in the table of result codes.
+    /// The result code of the error.
     ///
     /// ```
     /// assert_eq!(acacia_tables::Error::Later { format: 9 }.code().number(), 45);
--- a/crates/tables/src/lib.rs
+++ b/crates/tables/src/lib.rs
@@ -1,12 +1,13 @@
-//! The agreed bucket tables: their stored form, their construction, and who writes them when.
+//! The bucket tables that all balancers share: their stored format, how they are built, and which
+//! balancer writes them when.
 //!
-//! All balancers send a flow by the same tables. A [`Document`] in the platform's store holds them
-//! with a version that only rises. [`next_document`] makes the next document from the one before and the
-//! operators' configuration, [`Writer`] decides which balancer writes it and when, and
-//! [`tables`] and [`Lookup`] give what a balancer has in force. docs/DESIGN.md, section 7, gives
-//! the rules.
+//! Every balancer selects the server of a flow from the same tables. They are stored as a
+//! [`Document`] in the platform's store, under a version that only increases. [`next_document`]
+//! builds the next document from the previous one and the operators' configuration, [`Writer`]
+//! decides which balancer writes it and when, and [`tables`] and [`Lookup`] convert a document to
+//! what flow resolution needs. docs/DESIGN.md, section 7, gives the rules.
 //!
-//! Nothing here opens a socket, reads a clock or draws a random number.
+//! This crate does no I/O: it opens no socket, reads no clock and draws no random number.
 
 mod compare;
 mod document;
