--- a/crates/tables/src/compare.rs
+++ b/crates/tables/src/compare.rs
@@ -1,4 +1,5 @@
-//! What the tables don't hold of a configuration, or no longer should.
+//! Differences between the tables and a configuration: what the tables can't serve, and which
+//! servers they should no longer use.
 
 use std::sync::Arc;
 
@@ -12,20 +13,20 @@
     update::address,
 };
 
-/// Part of a configuration that the tables don't serve.
+/// A part of a configuration that the tables don't serve.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Unserved {
-    /// The service.
+    /// The service's name.
     pub service: Arc<str>,
-    /// The server; none if it is the whole service.
+    /// The server's name; `None` if the whole service is not served.
     pub server: Option<Arc<str>>,
-    /// Why not.
+    /// The reason.
     pub code: Code,
 }
 
-/// What of a configuration the tables leave out for good, to be logged when they change: services
-/// at addresses that can't be served, and servers for which no number is left. The rest of the
-/// configuration is in force all the same.
+/// Lists the parts of a configuration that the tables permanently leave out: services at addresses
+/// that can't be served, and servers for which no number is left. The rest of the configuration is
+/// in force regardless. Meant to be logged when the tables change.
 ///
 /// ```
 /// use acacia_config::{Config, Service};
@@ -47,8 +48,8 @@
             });
             continue;
         };
-        let used_up = |service: &&Service| service.next_number > u32::from(u16::MAX);
-        let Some(full) = document.service(&address).filter(used_up) else {
+        let has_no_numbers = |service: &&Service| service.next_number > u32::from(u16::MAX);
+        let Some(full) = document.service(&address).filter(has_no_numbers) else {
             continue;
         };
         let listed = |server: &acacia_config::Server| {
@@ -69,13 +70,13 @@
     found
 }
 
-/// The servers, by service address and number, that get new flows by the tables and none by a
-/// later configuration.
+/// Lists the servers, by service address and number, to which the tables send new flows although
+/// a later configuration does not.
 ///
-/// While the store can't be written, nobody can make the tables that follow a configuration which
-/// was accepted before, and a leaving server would go on getting work. Each balancer that hears of
-/// the configuration can keep new flows away from these by itself
-/// ([`acacia_flow::Control::set_down`]), since that moves no base.
+/// While the store can't be written, no balancer can store the tables for a configuration that was
+/// accepted before, and a server being drained would still get new flows. Each balancer that has
+/// the configuration can keep new flows away from these servers on its own
+/// ([`acacia_flow::Control::set_down`]), as that moves no bucket's base.
 ///
 /// ```
 /// use acacia_tables::{Document, withdrawn_servers};
@@ -84,9 +85,10 @@
 #[must_use]
 pub fn withdrawn_servers(document: &Document, config: &Config) -> Vec<(Address, u16)> {
     let active = config.servers().iter().filter(|server| server.is_active());
-    let front = |server: &acacia_config::Server| address(config.service(&server.service)?);
+    let service_address =
+        |server: &acacia_config::Server| address(config.service(&server.service)?);
     let active: Set<_> = active
-        .map(|server| (front(server), server.address))
+        .map(|server| (service_address(server), server.address))
         .collect();
     let services = document.services.iter();
     services
--- a/crates/tables/src/lookup.rs
+++ b/crates/tables/src/lookup.rs
@@ -8,7 +8,7 @@
 
 use crate::document::{Document, State};
 
-/// The tables as flow resolution takes them.
+/// Converts a document to the tables that flow resolution uses.
 ///
 /// ```
 /// use acacia_tables::{Document, tables};
@@ -40,14 +40,14 @@
     }
 }
 
-/// Where to send the packets of a server that a verdict names by number.
+/// Maps the server numbers in flow verdicts to the addresses that packets are sent to.
 #[derive(Debug, Clone, Default)]
 pub struct Lookup {
     servers: Map<(Address, u16), SocketAddr>,
 }
 
 impl Lookup {
-    /// The map of a document's servers. Made once for each version, by the control thread.
+    /// Builds the map of a document's servers. The control thread does this once per version.
     ///
     /// ```
     /// use acacia_tables::{Document, Lookup};
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The socket address of a server by its number at a service's address.
+    /// Returns the address of the server with a number, at a service's address.
     #[must_use]
     pub fn server(&self, service: &Address, number: u16) -> Option<SocketAddr> {
         self.servers.get(&(*service, number)).copied()
