--- a/crates/tables/src/number.rs
+++ b/crates/tables/src/number.rs
@@ -1,4 +1,4 @@
-//! What keeps server numbers from being used twice, and backend servers from being handed to
+//! Records that keep server numbers from being reused and backend servers from being assigned to
 //! another service too early.
 
 use std::net::SocketAddr;
@@ -6,38 +6,39 @@
 use acacia_flow::{pin::IDLE, snapshot::Address};
 use serde::{Deserialize, Serialize};
 
-/// Addresses without a service whose next server number is remembered one by one.
+/// Maximum number of retired addresses listed individually.
 ///
-/// Load: services that come and go, at most a few thousand changes a day. Harm: a list that only
-/// grows fills the store's megabyte. 4,096 take about 300 KB, and stand for more than a day of the
-/// 3,800 changes that we design for. What is beyond goes into the [`RetiredSummary`], which stays correct.
+/// Services are added and removed at most a few thousand times a day. An unbounded list would
+/// eventually exceed the store's limit of a megabyte. 4,096 entries take about 300 KB and cover
+/// more than a day at the design rate of 3,800 changes. Further entries are merged into the
+/// [`RetiredSummary`], which keeps numbers unique.
 pub const MAX_RETIRED: usize = 4_096;
-/// Addresses of backend servers that are remembered until all balancers stopped using them.
+/// Maximum number of backend servers remembered until all balancers have stopped using them.
 ///
-/// Load: removals while some balancer is cut off for days. Harm: as above. The oldest are dropped,
-/// as they have been out of use for the longest.
+/// The list grows by each removal while some balancer is unreachable for days, and would exceed
+/// the store's limit. The oldest entries are dropped, as they have been out of use for longest.
 pub const MAX_RELEASED: usize = 4_096;
 
 /// An address whose service was removed. Balancers with older tables may still hold pins that
-/// name its servers by number.
+/// refer to the service's servers by number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Retired {
-    /// The address.
+    /// The service's address.
     pub address: Address,
-    /// The next unused server number there; above `u16::MAX` when all are used.
+    /// The next unused server number at this address; above `u16::MAX` when all are used.
     pub next_number: u32,
-    /// When the service was removed, in seconds of Unix time.
+    /// The Unix time, in seconds, at which the service was removed.
     pub at: u64,
 }
 
-/// What is still known of retired addresses that are no longer listed, all taken together.
+/// Summary of all retired addresses that are no longer listed individually.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetiredSummary {
-    /// The first server number at an address that is not listed: above all that were used at any
-    /// of the addresses folded.
+    /// The first server number for a service at an address that is not listed. It is above every
+    /// number used at any of the addresses merged into the summary.
     pub next_number: u32,
-    /// Until when a service that appears at such an address may follow upon another, in seconds of
-    /// Unix time.
+    /// The Unix time, in seconds, until which a new service at an unlisted address may have had a
+    /// predecessor whose flows are still live.
     pub strict_until: u64,
 }
 
@@ -50,48 +51,49 @@
     }
 }
 
-/// A backend server that no table names any longer.
+/// A backend server that the tables no longer refer to.
 ///
-/// A balancer with older tables still sends it packets of its former service. It is not given to
-/// another one before all balancers are known to have stopped.
+/// A balancer with older tables still sends it packets of its former service. It is not assigned
+/// to another service before all balancers are known to have newer tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Released {
-    /// Where it takes encapsulated packets.
+    /// Where the server receives encapsulated packets.
     pub server: SocketAddr,
-    /// The first version of the tables without it.
+    /// The first version of the tables without the server.
     pub version: u64,
 }
 
-/// Seconds for which a service that follows upon another at its address is strict.
-pub(crate) const STRICT: u64 = IDLE / 1_000;
+/// Seconds for which a service is strict if its address had another service before.
+pub(crate) const STRICT_SECONDS: u64 = IDLE / 1_000;
 
-/// Takes the address out of those retired: the first number to use there, and until when a
-/// service there is strict.
-pub(crate) fn revive(
+/// Removes an address from the retired ones, for a new service there. Returns the first server
+/// number to use and the time until which the service is strict, if any.
+pub(crate) fn take_retired(
     retired: &mut Vec<Retired>,
-    fold: &RetiredSummary,
+    summary: &RetiredSummary,
     address: &Address,
     now: u64,
 ) -> (u32, Option<u64>) {
     let at = retired.iter().position(|old| old.address == *address);
     match at.map(|at| retired.remove(at)) {
-        Some(old) => (old.next_number, Some(now + STRICT)),
-        None if now < fold.strict_until => (fold.next_number, Some(now + STRICT)),
-        None => (fold.next_number, None),
+        Some(old) => (old.next_number, Some(now + STRICT_SECONDS)),
+        None if now < summary.strict_until => (summary.next_number, Some(now + STRICT_SECONDS)),
+        None => (summary.next_number, None),
     }
 }
 
-/// Folds what is beyond the bound. Those go first that can have no live flows any longer, and
-/// among these the ones with the lowest numbers, which use up the fewest numbers elsewhere.
-pub(crate) fn fold(retired: &mut Vec<Retired>, fold: &mut RetiredSummary, now: u64) {
-    let is_young = |old: &Retired| now < old.at + STRICT;
+/// Merges the retired addresses beyond [`MAX_RETIRED`] into the summary. Addresses that can have
+/// no live flows any more go first, and among these the ones with the lowest next number, as they
+/// skip the fewest numbers at other addresses.
+pub(crate) fn merge_excess(retired: &mut Vec<Retired>, summary: &mut RetiredSummary, now: u64) {
+    let may_have_flows = |old: &Retired| now < old.at + STRICT_SECONDS;
     while retired.len() > MAX_RETIRED {
-        let order = |at: &usize| (is_young(&retired[*at]), retired[*at].next_number);
+        let order = |at: &usize| (may_have_flows(&retired[*at]), retired[*at].next_number);
         let Some(at) = (0..retired.len()).min_by_key(order) else {
             return;
         };
         let old = retired.remove(at);
-        fold.next_number = fold.next_number.max(old.next_number);
-        fold.strict_until = fold.strict_until.max(old.at + STRICT);
+        summary.next_number = summary.next_number.max(old.next_number);
+        summary.strict_until = summary.strict_until.max(old.at + STRICT_SECONDS);
     }
 }
--- a/crates/tables/src/update.rs
+++ b/crates/tables/src/update.rs
@@ -15,33 +15,35 @@
 
 mod service;
 
-/// The weight of a server of average speed, and of one whose speed is not known.
+/// The weight of a server of average or unknown speed.
 pub const NOMINAL_WEIGHT: u32 = 1_000;
 
-/// What the next tables depend on besides the tables before and the configuration.
+/// Inputs of an update of the tables, besides the previous tables and the configuration.
 #[derive(Clone, Copy)]
 pub struct UpdateContext<'a> {
-    /// Seconds of Unix time.
+    /// The Unix time in seconds.
     pub now: u64,
-    /// Whether every balancer is known to have tables of a version
+    /// Whether every balancer is known to have at least the tables of a version
     /// ([`acacia_flow::Control::is_known_everywhere`]).
     pub is_known: &'a dyn Fn(u64) -> bool,
-    /// The weight of a server of a service, by their names, in [`NOMINAL_WEIGHT`]s of 1,000; none leaves it
-    /// as it is.
+    /// The weight to give a server, by the names of its service and itself, where
+    /// [`NOMINAL_WEIGHT`] stands for average speed; `None` keeps the weight it has.
     pub weight: &'a dyn Fn(&str, &str) -> Option<u32>,
 }
 
-/// The document that follows `previous` under a configuration; none if nothing changes, or if
-/// `previous` follows a later configuration.
+/// Builds the document that succeeds `previous` under a configuration. Returns `None` if nothing
+/// changes, or if `previous` was built from a later configuration.
 ///
 /// The base of a bucket moves only away from a server that is gone, and only once every balancer
-/// is known to have a version in which that server takes no new flows. So a change takes effect
-/// over several documents: call this again when more is known, or when a deadline has passed.
+/// is known to have a version in which that server gets no new flows. A change therefore takes
+/// effect over several documents: call this function again when balancers are known to have
+/// received a version, or when a deadline has passed.
 ///
-/// What can't be served is left out and does not hold up the rest: see [`unserved`].
+/// Services and servers that can't be served are left out and don't delay the others: see
+/// [`unserved`](crate::unserved).
 ///
 /// # Errors
-/// When the configuration can't be read, or the document would not fit into the store.
+/// If the configuration can't be read, or the document would exceed the store's size limit.
 ///
 /// ```
 /// use acacia_config::{Config, Server, Service, document};
@@ -77,8 +79,8 @@
         return Ok(None);
     }
     let config = accepted.config()?;
-    let fronts = fronts(accepted, &config)?;
-    let next = Step::new(before, &config, context).run(&fronts);
+    let served_services = served_services(accepted, &config)?;
+    let next = Update::new(before, &config, context).run(&served_services);
     if previous.is_some() && next.services == before.services {
         return Ok(None);
     }
@@ -90,34 +92,34 @@
     Ok(Some(next))
 }
 
-/// A service of the configuration that can be served.
-struct Front<'a> {
+/// A service of the configuration that the tables can serve.
+struct ServedService<'a> {
     service: &'a config::Service,
     address: Address,
     instance: u64,
 }
 
-fn fronts<'a>(
+fn served_services<'a>(
     accepted: &config::document::Document,
     config: &'a Config,
-) -> Result<Vec<Front<'a>>, Error> {
+) -> Result<Vec<ServedService<'a>>, Error> {
     let served = config.services().iter();
     let served = served.filter_map(|service| Some((service, address(service)?)));
-    let front = |(service, address): (&'a config::Service, Address)| {
+    let with_instance = |(service, address): (&'a config::Service, Address)| {
         let instance = accepted.instances.get(&service.name).copied();
         let missing = || Error::InstanceMissing {
             service: Arc::clone(&service.name),
         };
-        Ok(Front {
+        Ok(ServedService {
             service,
             address,
             instance: instance.ok_or_else(missing)?,
         })
     };
-    served.map(front).collect()
+    served.map(with_instance).collect()
 }
 
-/// Where callers reach a service; none at addresses that flow resolution doesn't carry.
+/// Returns the address that clients connect to; `None` if flow resolution doesn't support it.
 pub(crate) fn address(service: &config::Service) -> Option<Address> {
     let IpAddr::V4(ip) = service.address else {
         return None;
@@ -133,8 +135,8 @@
     })
 }
 
-/// One step from a document to the next.
-struct Step<'a> {
+/// The state of an update from one document to the next.
+struct Update<'a> {
     before: &'a Document,
     config: &'a Config,
     context: &'a UpdateContext<'a>,
@@ -143,10 +145,10 @@
     released: Vec<Released>,
 }
 
-impl<'a> Step<'a> {
+impl<'a> Update<'a> {
     fn new(before: &'a Document, config: &'a Config, context: &'a UpdateContext<'a>) -> Self {
         let waiting = |released: &&Released| !(context.is_known)(released.version);
-        Step {
+        Update {
             before,
             config,
             context,
@@ -156,28 +158,31 @@
         }
     }
 
-    fn run(mut self, fronts: &[Front<'_>]) -> Document {
+    fn run(mut self, served_services: &[ServedService<'_>]) -> Document {
         for old in &self.before.services {
-            let stays = |front: &Front<'_>| is_same(front, old);
-            if !fronts.iter().any(stays) {
+            let is_kept = |served: &ServedService<'_>| is_same_instance(served, old);
+            if !served_services.iter().any(is_kept) {
                 self.remove(old);
             }
         }
-        let mut services: Vec<Service> = fronts.iter().map(|front| self.aged(front)).collect();
+        let mut services: Vec<Service> = served_services
+            .iter()
+            .map(|served| self.carry_over(served))
+            .collect();
         let listed = services.iter().flat_map(|service| &service.servers);
         let mut listed: Set<SocketAddr> = listed.map(|server| server.address).collect();
         for service in &mut services {
-            let fresh = self.fresh(service, &listed);
-            listed.extend(fresh.iter().map(|(server, _)| server.address));
-            service.add(fresh, self.version);
+            let added = self.added_servers(service, &listed);
+            listed.extend(added.iter().map(|(server, _)| server.address));
+            service.add(added, self.version);
         }
         for service in &mut services {
-            self.finish(service);
+            self.update_tables(service);
         }
         let mut fold = self.before.fold;
-        number::fold(&mut self.retired, &mut fold, self.context.now);
-        let beyond = self.released.len().saturating_sub(MAX_RELEASED);
-        self.released.drain(..beyond);
+        number::merge_excess(&mut self.retired, &mut fold, self.context.now);
+        let excess = self.released.len().saturating_sub(MAX_RELEASED);
+        self.released.drain(..excess);
         Document {
             version: self.version,
             config: self.before.config,
@@ -188,7 +193,7 @@
         }
     }
 
-    /// Ends a service: it was removed, or another was created on its address.
+    /// Removes a service that is no longer configured, or was replaced at its address.
     fn remove(&mut self, old: &Service) {
         self.retired.push(Retired {
             address: old.address,
@@ -205,25 +210,25 @@
         self.released.push(Released { server, version });
     }
 
-    /// The service as it was, with its servers' states brought up to date, or a new one without
-    /// servers.
-    fn aged(&mut self, front: &Front<'_>) -> Service {
-        let olds = &self.before.services;
-        if let Some(old) = olds.iter().find(|old| is_same(front, old)) {
+    /// Returns the previous service with its servers' states brought up to date, or a new service
+    /// without servers.
+    fn carry_over(&mut self, served: &ServedService<'_>) -> Service {
+        let previous = &self.before.services;
+        if let Some(old) = previous.iter().find(|old| is_same_instance(served, old)) {
             let mut service = old.clone();
-            service.name = Arc::clone(&front.service.name);
+            service.name = Arc::clone(&served.service.name);
             let is_over = |until: u64| until <= self.context.now;
             service.strict_until = old.strict_until.filter(|until| !is_over(*until));
-            service.age(self.config, front.service, self.context.now, self.version);
+            service.update_servers(self.config, served.service, self.context.now, self.version);
             return service;
         }
         let now = self.context.now;
         let (next_number, strict_until) =
-            number::revive(&mut self.retired, &self.before.fold, &front.address, now);
+            number::take_retired(&mut self.retired, &self.before.fold, &served.address, now);
         Service {
-            name: Arc::clone(&front.service.name),
-            address: front.address,
-            instance: front.instance,
+            name: Arc::clone(&served.service.name),
+            address: served.address,
+            instance: served.instance,
             since: self.version,
             strict_until,
             next_number,
@@ -233,38 +238,38 @@
         }
     }
 
-    /// The configuration's servers that the service doesn't have yet, and that none has.
-    fn fresh(
+    /// Returns the configured servers of a service that neither it nor another service has yet.
+    fn added_servers(
         &self,
         service: &Service,
         listed: &Set<SocketAddr>,
     ) -> Vec<(&'a config::Server, config::Limit)> {
-        let Some(front) = self.config.service(&service.name) else {
+        let Some(configured) = self.config.service(&service.name) else {
             return Vec::new();
         };
-        // New flows of a service are held back until every balancer knows of it, so a new one
-        // need not wait for servers.
+        // New flows of a new service are held back until every balancer has the service, so it
+        // need not wait until all balancers have released its servers.
         let is_new = service.since == self.version;
         let in_use = |address| {
             let mut released = self.released.iter();
             !is_new && released.any(|released| released.server == address)
         };
-        let servers = self.config.servers_of(&front.name).iter();
+        let servers = self.config.servers_of(&configured.name).iter();
         servers
             .filter(|server| !server.state.is_gone(self.context.now))
             .filter(|server| !listed.contains(&server.address) && !in_use(server.address))
-            .map(|server| (server, server.limit_in(front)))
+            .map(|server| (server, server.limit_in(configured)))
             .collect()
     }
 
-    /// Brings weights and tables up to date, and lets go of servers that are no longer needed.
-    fn finish(&mut self, service: &mut Service) {
+    /// Updates weights and tables of a service, and releases the servers that it no longer needs.
+    fn update_tables(&mut self, service: &mut Service) {
         let before = self.before.services.iter();
         let before = before
             .clone()
             .find(|old| old.address == service.address && old.instance == service.instance);
-        service.weigh(before, self.context.weight);
-        service.place_new(before);
+        service.update_weights(before, self.context.weight);
+        service.rebuild_next(before);
         let known = self.context.is_known;
         service.move_base(|closed| closed < self.version && known(closed));
         let servers = std::mem::take(&mut service.servers);
@@ -276,15 +281,17 @@
     }
 }
 
-fn is_same(front: &Front<'_>, old: &Service) -> bool {
-    front.address == old.address && front.instance == old.instance
+fn is_same_instance(served: &ServedService<'_>, old: &Service) -> bool {
+    served.address == old.address && served.instance == old.instance
 }
 
 impl Document {
-    /// How many things may let [`next_document`] give another document under the same configuration:
-    /// deadlines that have passed, and changes that every balancer knows of. It only rises as long
-    /// as the document is the same, so a look is in vain while the number is. Cheap, so that it
-    /// can be asked often.
+    /// Counts the conditions that may make [`next_document`] return another document under the
+    /// same configuration: deadlines that have passed, and changes that every balancer is known to
+    /// have.
+    ///
+    /// The count only increases while the document stays the same, so there is nothing to update
+    /// as long as the count is unchanged. It is cheap enough to be polled.
     ///
     /// ```
     /// use acacia_tables::Document;
--- a/crates/tables/src/update/service.rs
+++ b/crates/tables/src/update/service.rs
@@ -1,4 +1,4 @@
-//! One service's step.
+//! The update of a single service.
 
 use std::sync::Arc;
 
@@ -12,13 +12,19 @@
 };
 
 impl Service {
-    /// Takes over what the configuration says of the servers that are there.
+    /// Updates the listed servers from the configuration.
     ///
-    /// One that was removed, or whose deadline has passed, is gone; if it comes back before its
-    /// buckets are others', it keeps its number and its flows.
-    pub(super) fn age(&mut self, config: &Config, front: &config::Service, now: u64, version: u64) {
+    /// A server that was removed, or whose deadline has passed, is gone. If it is added again
+    /// before its buckets have moved to other servers, it keeps its number and its flows.
+    pub(super) fn update_servers(
+        &mut self,
+        config: &Config,
+        configured: &config::Service,
+        now: u64,
+        version: u64,
+    ) {
         let wanted: Map<_, _> = config
-            .servers_of(&front.name)
+            .servers_of(&configured.name)
             .iter()
             .map(|server| (server.address, server))
             .collect();
@@ -26,7 +32,7 @@
             let wanted = wanted.get(&server.address);
             server.state = wanted.map_or(State::Gone, |wanted| state(wanted, now));
             if let Some(wanted) = wanted {
-                let limit = wanted.limit_in(front);
+                let limit = wanted.limit_in(configured);
                 server.name = Arc::clone(&wanted.name);
                 server.data_centre = Arc::clone(&wanted.data_centre);
                 (server.slots, server.connections) = (limit.slots, limit.connections);
@@ -38,9 +44,9 @@
         }
     }
 
-    /// Adds servers, each with a number of its own. Those for which none is left stay out.
-    pub(super) fn add(&mut self, fresh: Vec<(&config::Server, config::Limit)>, version: u64) {
-        for (server, limit) in fresh {
+    /// Adds servers, each under a new number. Servers for which no number is left are skipped.
+    pub(super) fn add(&mut self, added: Vec<(&config::Server, config::Limit)>, version: u64) {
+        for (server, limit) in added {
             let Ok(number) = u16::try_from(self.next_number) else {
                 return;
             };
@@ -60,9 +66,9 @@
         }
     }
 
-    /// Sets the weights. A server that takes new flows again, or for the first time, counts as
-    /// average unless more is known.
-    pub(super) fn weigh(
+    /// Sets the weights. A server that gets new flows for the first time, or again, has the nominal
+    /// weight unless a weight is given.
+    pub(super) fn update_weights(
         &mut self,
         before: Option<&Service>,
         weight: &dyn Fn(&str, &str) -> Option<u32>,
@@ -78,12 +84,14 @@
         }
     }
 
-    /// Says where new flows go, if other servers take them or their weights have changed.
+    /// Rebuilds the table for new flows if the servers that get them, or their weights, have
+    /// changed.
     ///
-    /// A flow that is placed off its base costs a pin, so a bucket goes to its base server
-    /// wherever that one takes new flows and its weight allows, and stays where it was otherwise.
-    /// A server that comes back from a drain thus gets the buckets of which it is the base.
-    pub(super) fn place_new(&mut self, before: Option<&Service>) {
+    /// A flow that is placed on another server than its bucket's base needs a pin. Each bucket
+    /// therefore goes to its base server if that server gets new flows and its weight allows, and
+    /// otherwise stays where it is. A server whose drain was cancelled thus gets back the buckets
+    /// of which it is the base.
+    pub(super) fn rebuild_next(&mut self, before: Option<&Service>) {
         let weights = weights(self);
         match before {
             Some(before) if weights == self::weights(before) => return,
@@ -101,30 +109,31 @@
                 return;
             }
         }
-        let taking: Set<u16> = weights.iter().map(|(server, _)| *server).collect();
+        let active: Set<u16> = weights.iter().map(|(server, _)| *server).collect();
         let pairs = self.base.iter().zip(self.next.iter());
         let hint: Vec<u16> = pairs
-            .map(|(base, next)| if taking.contains(base) { *base } else { *next })
+            .map(|(base, next)| if active.contains(base) { *base } else { *next })
             .collect();
         self.next = table::build(BUCKETS, &weights, &hint).into();
     }
 
-    /// Moves the base of buckets whose server is gone, where balancers are known to place no new
-    /// flows on it, to the server that takes the bucket's new flows, or to nobody if there is none.
+    /// Moves the base of buckets whose server is gone, once all balancers are known to place no new
+    /// flows on that server, to the server that gets the bucket's new flows, or to [`NO_SERVER`] if
+    /// there is none.
     ///
-    /// A balancer that still placed flows on the old base would have them cut off: others go by
-    /// the new one. A server that kept buckets for want of another could never be given to another
-    /// service.
+    /// If a balancer still placed flows on the old base, these would break, since other balancers
+    /// forward them by the new base. Buckets move to [`NO_SERVER`] because a server that kept them
+    /// for lack of a replacement could never be assigned to another service.
     pub(super) fn move_base(&mut self, is_known: impl Fn(u64) -> bool) {
-        let is_leaving =
+        let is_vacating =
             |server: &&Server| server.state == State::Gone && server.closed.is_some_and(&is_known);
-        let leaving = self.servers.iter().filter(is_leaving);
-        let mut leaving: Set<u16> = leaving.map(|server| server.number).collect();
-        leaving.insert(NO_SERVER);
-        if self.next.iter().any(|next| leaving.contains(next)) {
+        let vacating = self.servers.iter().filter(is_vacating);
+        let mut vacating: Set<u16> = vacating.map(|server| server.number).collect();
+        vacating.insert(NO_SERVER);
+        if self.next.iter().any(|next| vacating.contains(next)) {
             let next = self.next.iter();
             let next = next.map(|next| {
-                if leaving.contains(next) {
+                if vacating.contains(next) {
                     NO_SERVER
                 } else {
                     *next
@@ -132,14 +141,14 @@
             });
             self.next = next.collect();
         }
-        if self.base.iter().any(|base| leaving.contains(base)) {
-            let leaves = |server: u16| leaving.contains(&server);
-            self.base = table::rebase(&self.base, &self.next, leaves).into();
+        if self.base.iter().any(|base| vacating.contains(base)) {
+            let must_move = |server: u16| vacating.contains(&server);
+            self.base = table::rebase(&self.base, &self.next, must_move).into();
         }
     }
 }
 
-/// The servers that get new flows.
+/// The servers that get new flows, with their weights.
 fn weights(service: &Service) -> Vec<(u16, u32)> {
     let servers = service.servers.iter();
     let weights = servers.map(|server| (server.number, server.weight));
