--- a/crates/tables/src/document.rs
+++ b/crates/tables/src/document.rs
@@ -9,123 +9,127 @@
     pack,
 };
 
-/// The key of the platform's store that holds the document.
+/// The key of the platform's store under which the document is stored.
 pub const KEY: &str = "acaciatrack/tables";
-/// Largest document, in bytes: the store holds values up to a megabyte.
+/// Size limit of a document, in bytes: the store accepts values of up to a megabyte.
 pub const MAX_SIZE: usize = 1 << 20;
-/// The format that this version reads and writes.
+/// The format number that this version reads and writes.
 pub const FORMAT: u32 = 1;
-/// Buckets of a service. A server's share is a whole number of buckets: with 15 servers of 1:4
-/// speeds the slowest has about 100, so that its share is right to a percent, and with 200 servers
-/// there are still 20 for each. Twice as many would double the document and every balancer's flags
-/// for half a percent.
+/// Number of buckets in a service's tables.
+///
+/// A server's share is a whole number of buckets. With 15 servers whose speeds differ by up to 1:4,
+/// the slowest gets about 100 buckets, so its share is accurate to 1%; with 200 servers, each still
+/// gets 20. Twice as many buckets would double the size of the document and of the flags that each
+/// balancer keeps per bucket, and gain half a percent.
 pub const BUCKETS: usize = 4_096;
-/// The server number of buckets for which there is no server.
+/// The server number in buckets that have no server.
 pub const NO_SERVER: u16 = 0;
 
-/// The agreed tables of all services.
+/// The tables of all services, as stored and shared by all balancers.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Document {
-    /// Rises by one with every write; a balancer never goes back to a lower one.
+    /// Increases by one with every write. A balancer never goes back to a lower version.
     pub version: u64,
-    /// The revision of the configuration that it follows. A later one that changes nothing here
-    /// is not noted.
+    /// The revision of the configuration that the tables were built from. A later revision that
+    /// leaves the tables unchanged is not recorded.
     pub config: u64,
-    /// The services, in the order of their names.
+    /// The services, sorted by name.
     pub services: Vec<Service>,
-    /// Addresses that had a service before.
+    /// Addresses whose service was removed.
     pub retired: Vec<Retired>,
-    /// What is left of older ones.
+    /// Summary of the retired addresses that were dropped from `retired`.
     pub fold: RetiredSummary,
-    /// Backend servers that some balancers may still use for their former service.
+    /// Backend servers to which some balancers may still send packets of their former service.
     pub released: Vec<Released>,
 }
 
-/// A service's part of the document.
+/// A service and its tables.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: Arc<str>,
-    /// Where callers reach it.
+    /// The address that clients connect to.
     pub address: Address,
-    /// Its instance in the configuration.
+    /// The instance number of the service in the configuration.
     pub instance: u64,
-    /// The version in which it appeared.
+    /// The version of the tables in which the service was added.
     pub since: u64,
-    /// While another service's flows may still arrive at its address: when that ends, in seconds
-    /// of Unix time.
+    /// Set while flows of a previous service may still arrive at this address: the Unix time, in
+    /// seconds, at which that ends.
     pub strict_until: Option<u64>,
     /// The next unused server number; above `u16::MAX` when all are used.
     pub next_number: u32,
-    /// Bucket to server: where flows without a pin are.
+    /// Server number by bucket, for flows that have no pin.
     #[serde(with = "packed")]
     pub base: Arc<[u16]>,
-    /// Bucket to server: where new flows go.
+    /// Server number by bucket, for new flows.
     #[serde(with = "packed")]
     pub next: Arc<[u16]>,
-    /// Its servers, by number.
+    /// The servers, sorted by number.
     pub servers: Vec<Server>,
 }
 
-/// A backend server's part of the document.
+/// A backend server of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its number, never used for another at the same service address.
+    /// The server's number, never reused for another server at the same service address.
     pub number: u16,
-    /// Its name in the configuration.
+    /// The server's name in the configuration.
     pub name: Arc<str>,
-    /// Where it takes encapsulated packets. A server that moves to another address is another.
+    /// Where the server receives encapsulated packets. At another address, it counts as another
+    /// server.
     pub address: SocketAddr,
-    /// The data centre that it runs in.
+    /// The data centre that the server runs in.
     pub data_centre: Arc<str>,
-    /// Whether it gets new flows.
+    /// Whether the server gets new flows.
     pub state: State,
-    /// The first version in which it takes no new flows.
+    /// The first version of the tables in which the server gets no new flows.
     pub closed: Option<u64>,
-    /// Its share of new flows, relative to the others'; 0 if it is to have none.
+    /// Share of new flows, relative to the other servers' weights; 0 for no new flows.
     pub weight: u32,
-    /// Requests that it works on at once.
+    /// Maximum number of requests that the server handles at once.
     pub slots: u16,
-    /// Connections that it holds open.
+    /// Maximum number of connections that the server keeps open.
     pub connections: u32,
 }
 
-/// What the operators want of a server.
+/// The state that the configuration gives a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It takes new flows.
+    /// The server gets new flows.
     Up,
-    /// It keeps its flows and takes no new ones.
+    /// The server keeps its flows and gets no new ones.
     Draining {
-        /// When it is gone, in seconds of Unix time.
+        /// The Unix time, in seconds, at which the server is gone.
         deadline: Option<u64>,
     },
-    /// It was removed or its deadline has passed. It stays listed until its buckets are others'.
+    /// The server was removed, or its deadline has passed. It stays listed until its buckets have
+    /// moved to other servers.
     Gone,
 }
 
 impl Document {
-    /// The document as the store's value.
+    /// Encodes the document as the value to store.
     ///
     /// # Errors
-    /// When it is larger than the store's values may be.
+    /// If the document exceeds [`MAX_SIZE`].
     pub fn encode(&self) -> Result<String, Error> {
-        let form = Form {
+        let versioned = Versioned {
             format: FORMAT,
             document: self,
         };
-        let text =
-            serde_json::to_string(&form).map_err(|error| Error::Undecodable(error.to_string()))?;
+        let text = serde_json::to_string(&versioned)
+            .map_err(|error| Error::Undecodable(error.to_string()))?;
         match text.len() {
             size if size > MAX_SIZE => Err(Error::TooLarge { size }),
             _ => Ok(text),
         }
     }
 
-    /// Reads the store's value.
+    /// Decodes a stored value.
     ///
     /// # Errors
-    /// When it is no document, one of a later version, or one that contradicts itself.
+    /// If the value is not a document, has a later format, or is inconsistent.
     ///
     /// ```
     /// use acacia_tables::{Document, Error};
@@ -140,18 +144,18 @@
         if size > MAX_SIZE {
             return Err(Error::TooLarge { size });
         }
-        let head: Head = serde_json::from_str(value).map_err(undecodable)?;
-        if head.format > FORMAT {
+        let header: FormatHeader = serde_json::from_str(value).map_err(undecodable)?;
+        if header.format > FORMAT {
             return Err(Error::Later {
-                format: head.format,
+                format: header.format,
             });
         }
-        let form: Form<Document> = serde_json::from_str(value).map_err(undecodable)?;
-        form.document.check()?;
-        Ok(form.document)
+        let versioned: Versioned<Document> = serde_json::from_str(value).map_err(undecodable)?;
+        versioned.document.validate()?;
+        Ok(versioned.document)
     }
 
-    /// The service at an address.
+    /// Returns the service at an address.
     #[must_use]
     pub fn service(&self, address: &Address) -> Option<&Service> {
         self.services
@@ -159,66 +163,71 @@
             .find(|service| service.address == *address)
     }
 
-    /// What every document has to keep. A value that somebody wrote by hand must not make a
-    /// traffic thread index past a table, or send one service's flows to another's server.
-    fn check(&self) -> Result<(), Error> {
-        let ensure = |good: bool, what| good.then_some(()).ok_or(Error::Inconsistent(what));
+    /// Checks the invariants of a document. A value that was edited by hand must not make a traffic
+    /// thread index past the end of a table, or send flows of one service to another's server.
+    fn validate(&self) -> Result<(), Error> {
+        let ensure = |holds: bool, what| holds.then_some(()).ok_or(Error::Inconsistent(what));
         for (at, service) in self.services.iter().enumerate() {
             let others = || self.services[at + 1..].iter();
-            let twice = others().any(|other| other.address == service.address);
-            ensure(!twice, "two services at one address")?;
+            let is_duplicate = others().any(|other| other.address == service.address);
+            ensure(!is_duplicate, "two services at one address")?;
             let mut numbers = service.servers.iter().map(|server| server.number);
-            let rising = service.servers.is_sorted_by(|a, b| a.number < b.number);
-            ensure(rising, "server numbers don't rise")?;
-            let used = |number| number != NO_SERVER && u32::from(number) < service.next_number;
-            ensure(numbers.all(used), "a server number was never given out")?;
-            let known = |number: &u16| *number == NO_SERVER || service.server(*number).is_some();
-            let named = service.base.iter().chain(service.next.iter());
+            let is_ascending = service.servers.is_sorted_by(|a, b| a.number < b.number);
+            ensure(is_ascending, "server numbers are not in ascending order")?;
+            let is_assigned =
+                |number| number != NO_SERVER && u32::from(number) < service.next_number;
             ensure(
-                named.into_iter().all(known),
-                "a bucket's server is not listed",
+                numbers.all(is_assigned),
+                "a server number was never assigned",
+            )?;
+            let is_listed =
+                |number: &u16| *number == NO_SERVER || service.server(*number).is_some();
+            let referenced = service.base.iter().chain(service.next.iter());
+            ensure(
+                referenced.into_iter().all(is_listed),
+                "a bucket refers to an unlisted server",
             )?;
         }
         let mut addresses: Vec<_> = self.servers().map(|server| server.address).collect();
         addresses.sort_unstable();
-        let unique = addresses.is_sorted_by(|a, b| a < b);
-        ensure(unique, "a backend server stands twice")
+        let is_unique = addresses.is_sorted_by(|a, b| a < b);
+        ensure(is_unique, "a backend server is listed twice")
     }
 
-    /// The servers of all services.
+    /// Iterates over the servers of all services.
     pub(crate) fn servers(&self) -> impl Iterator<Item = &Server> {
         self.services.iter().flat_map(|service| &service.servers)
     }
 }
 
 impl Service {
-    /// The server of that number.
+    /// Returns the server with a number.
     #[must_use]
     pub fn server(&self, number: u16) -> Option<&Server> {
         let at = self.servers.binary_search_by_key(&number, |s| s.number);
         self.servers.get(at.ok()?)
     }
 
-    /// Whether any bucket names the server.
-    pub(crate) fn names(&self, number: u16) -> bool {
+    /// Whether any bucket refers to the server.
+    pub(crate) fn refers_to(&self, number: u16) -> bool {
         self.base.contains(&number) || self.next.contains(&number)
     }
 }
 
-/// The stored form.
+/// The stored format: the document with its format number.
 #[derive(Serialize, Deserialize)]
-struct Form<D> {
+struct Versioned<D> {
     format: u32,
     document: D,
 }
 
-/// What every format begins with.
+/// The part that all formats share, read to tell them apart.
 #[derive(Deserialize)]
-struct Head {
+struct FormatHeader {
     format: u32,
 }
 
-/// Tables as text.
+/// Serialises tables in the compact text format of [`pack`].
 mod packed {
     use serde::{Deserialize as _, Deserializer, Serializer, de::Error as _};
 
@@ -228,13 +237,13 @@
         table: &Arc<[u16]>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        serializer.serialize_str(&pack::write(table))
+        serializer.serialize_str(&pack::encode(table))
     }
 
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Arc<[u16]>, D::Error> {
         let text = String::deserialize(deserializer)?;
-        pack::read(&text).ok_or_else(|| D::Error::custom("not a table"))
+        pack::decode(&text).ok_or_else(|| D::Error::custom("not a bucket table"))
     }
 }
--- a/crates/tables/src/pack.rs
+++ b/crates/tables/src/pack.rs
@@ -1,28 +1,29 @@
-//! The compact text form of a bucket table: a list of the servers in it, then one or two
-//! characters a bucket that are an index into that list. 4,096 buckets of up to 64 servers take 4
-//! KB. Run lengths would not help: a server's buckets are scattered, so that what it loses is
-//! spread over the others.
+//! The compact text format of a bucket table: the list of the table's server numbers, followed by
+//! one or two characters per bucket that index into that list.
+//!
+//! 4,096 buckets of up to 64 servers take 4 KB. Run-length encoding would save nothing: a server's
+//! buckets are scattered over the table, so that the load of a lost server spreads over the others.
 
 use std::{collections::BTreeSet, sync::Arc};
 
 use crate::document::BUCKETS;
 
-/// The digits of an index.
+/// The digits of an index, in base 64.
 const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
-/// Between the list of servers and the buckets.
-const MARK: char = ':';
+/// Separates the list of servers from the buckets.
+const SEPARATOR: char = ':';
 
-/// Writes a table as text.
-pub(crate) fn write(table: &[u16]) -> String {
+/// Encodes a table as text.
+pub(crate) fn encode(table: &[u16]) -> String {
     let servers: Vec<u16> = table
         .iter()
         .copied()
         .collect::<BTreeSet<_>>()
         .into_iter()
         .collect();
-    let names: Vec<String> = servers.iter().map(u16::to_string).collect();
-    let mut text = names.join(",");
-    text.push(MARK);
+    let numbers: Vec<String> = servers.iter().map(u16::to_string).collect();
+    let mut text = numbers.join(",");
+    text.push(SEPARATOR);
     let is_wide = servers.len() > DIGITS.len();
     for server in table {
         let at = servers.binary_search(server).unwrap_or_default();
@@ -34,10 +35,10 @@
     text
 }
 
-/// Reads a table back; none if the text is not one of [`BUCKETS`] buckets.
-pub(crate) fn read(text: &str) -> Option<Arc<[u16]>> {
-    let (names, buckets) = text.split_once(MARK)?;
-    let servers = names.split(',').map(|name| name.parse().ok());
+/// Decodes a table; `None` if the text is not a table of [`BUCKETS`] buckets.
+pub(crate) fn decode(text: &str) -> Option<Arc<[u16]>> {
+    let (numbers, buckets) = text.split_once(SEPARATOR)?;
+    let servers = numbers.split(',').map(|number| number.parse().ok());
     let servers: Vec<u16> = servers.collect::<Option<_>>()?;
     let width = if servers.len() > DIGITS.len() { 2 } else { 1 };
     if buckets.len() != BUCKETS * width {
--- a/crates/tables/src/update.rs
+++ b/crates/tables/src/update.rs
@@ -275,7 +275,7 @@
         let servers = std::mem::take(&mut service.servers);
         let (kept, gone): (Vec<_>, Vec<_>) = servers
             .into_iter()
-            .partition(|server| server.state != State::Gone || service.names(server.number));
+            .partition(|server| server.state != State::Gone || service.refers_to(server.number));
         service.servers = kept;
         gone.iter().for_each(|server| self.release(server.address));
     }
