--- a/crates/tables/src/writer.rs
+++ b/crates/tables/src/writer.rs
@@ -1,10 +1,11 @@
-//! Which balancer writes the next tables, and when.
+//! Decides which balancer writes the next tables, and when.
 //!
-//! Any balancer may write them; none is in charge. The one that ranks first among those that are
-//! ready does so at once, and each other one only if nobody has after a time that grows with its
-//! rank. Ranks may be wrong and clocks may have stopped: what keeps two documents of one version
-//! apart is the compare-and-swap on the revision of the store's key. A writer that was paused
-//! between its decision and its call finds another revision there, and has written nothing.
+//! Any balancer may write the tables; there is no leader. The balancer that ranks first among the
+//! ready ones writes at once. Each other one writes only if none before it has done so after a
+//! delay that grows with its rank. Ranks may be wrong and clocks may have stopped, so correctness
+//! does not depend on them: a compare-and-swap on the revision of the store's key prevents two
+//! documents with the same version. If a balancer was paused between its decision and its call, it
+//! finds another revision there and its write is refused.
 
 use std::sync::Arc;
 
@@ -22,48 +23,51 @@
 
 pub use event::{Action, Answer, Moment};
 pub use weight::HYSTERESIS;
-use weight::{is_other, is_up, is_weighed_anew};
+use weight::{changes_weights, differs_significantly, gets_new_flows};
 
-/// Milliseconds that a balancer waits for each one that ranks before it.
+/// Milliseconds that a balancer waits for each balancer that ranks before it.
 ///
-/// Load: a change that all balancers hear of at once. Harm: with no wait all of them write, and
-/// all but one in vain; with a long one a change waits for dead balancers. A write takes some
-/// milliseconds, and a call to the platform is given up after 1 s.
+/// All balancers learn of a change at the same time. Without a delay, all of them would write and
+/// all but one would fail; with a long delay, a change would wait for balancers that are down. A
+/// write takes a few milliseconds, and a call to the platform times out after 1 s.
 pub const RANK_DELAY: u64 = 1_000;
-/// Milliseconds between two versions of which the second changes weights alone.
+/// Minimum milliseconds between a change of weights and a version that changes only weights.
 ///
-/// Load: measured weights, which never stand still. Harm: each version takes the document's size
-/// from the store to every balancer, and moves new flows off their base, where each costs a pin.
-/// Speeds of backend servers change over tens of seconds. Changes of the configuration don't wait.
+/// Measured weights vary all the time. Each version is transferred in full from the store to every
+/// balancer, and moves new flows off their base, where each of them needs a pin. The speed of a
+/// backend server changes over tens of seconds. Configuration changes are not delayed by this.
 pub const WEIGHT_PERIOD: u64 = 10_000;
-/// Milliseconds without calls after the first that failed; doubled for each further one.
+/// Milliseconds to wait after the first failed call; backoff for each further failure.
 pub const SHORTEST_PAUSE: u64 = 250;
-/// Longest pause, in milliseconds. Load: a store that is down for hours. Harm: calls that pile up
-/// when it comes back. 9 balancers make 5 calls a second at most; a change waits for 4 s at most.
+/// Maximum milliseconds to wait after a failed call.
+///
+/// The store may be down for hours, and calls must not pile up when it comes back: 9 balancers
+/// make at most 5 calls a second. A change waits for at most 4 s.
 pub const LONGEST_PAUSE: u64 = 4_000;
 
-/// What the store's key held when it was last read.
+/// The content of the store's key as last seen.
 #[derive(Debug)]
 struct Stored {
     revision: u64,
     document: Option<Arc<Document>>,
-    /// Whether this version of the program may write over it.
+    /// Whether this version of the program can decode the value, and so may overwrite it.
     is_readable: bool,
 }
 
-/// What decides whether the tables need a step: version, configuration and things due.
+/// What an update of the tables depends on: their version, the configuration's revision and the
+/// number of due updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Look {
+struct UpdateTrigger {
     version: u64,
     config: u64,
     due: usize,
 }
 
-/// One balancer's part in writing the tables.
+/// Decides for one balancer when to write the tables.
 ///
-/// Pass it what is seen, then carry out [`Writer::step`], several times a second and after each
-/// event. [`Writer::current`] is what to have in force and to pass on to other balancers: nothing
-/// that was not in the store.
+/// Report to it what the balancer receives, then call [`Writer::step`] and carry out the returned
+/// [`Action`], several times a second and after each event. [`Writer::current`] returns the tables
+/// to use and to pass on to other balancers. They have always been in the store.
 ///
 /// ```
 /// use acacia_config::{Config, document::{self, Draft, Id}};
@@ -95,22 +99,24 @@
     config: Option<Arc<document::Document>>,
     current: Option<Arc<Document>>,
     stored: Option<Stored>,
-    /// Whether nothing was written or heard since the key was read.
-    is_fresh: bool,
-    /// Whether a call has not been answered yet.
-    is_busy: bool,
+    /// Whether `stored` is up to date: since it was read, nothing was written and no newer tables
+    /// came from a peer.
+    is_stored_current: bool,
+    /// Whether a call is in progress.
+    is_call_pending: bool,
     in_flight: Option<Arc<Document>>,
     weights: Map<Arc<str>, u32>,
-    weighed_at: u64,
-    wanted_since: Option<u64>,
-    /// What was found to need nothing.
-    looked: Option<Look>,
-    quiet_until: u64,
+    weights_changed_at: u64,
+    write_due_since: Option<u64>,
+    /// The state for which the last update found nothing to write.
+    idle_trigger: Option<UpdateTrigger>,
+    backoff_until: u64,
     failures: u32,
 }
 
 impl Writer {
-    /// The writer of a balancer that starts at `now`, in milliseconds of the monotonic clock.
+    /// Creates the writer of a balancer that starts at `now`, in milliseconds of the monotonic
+    /// clock.
     ///
     /// ```
     /// use acacia_tables::writer::{Action, Moment, Writer};
@@ -123,29 +129,30 @@
     #[must_use]
     pub fn new(now: u64) -> Self {
         Writer {
-            weighed_at: now,
+            weights_changed_at: now,
             ..Writer::default()
         }
     }
 
-    /// The highest tables seen.
+    /// Returns the tables with the highest version seen.
     #[must_use]
     pub fn current(&self) -> Option<&Arc<Document>> {
         self.current.as_ref()
     }
 
-    /// This balancer's place among those that are ready, the first being 0; none while it is not
-    /// ready itself. One that joins may not have heard of the tables in force.
+    /// Sets this balancer's rank among the ready balancers, starting at 0, or `None` while it is
+    /// not ready: a balancer that is joining may not have received the tables in force.
     pub fn set_rank(&mut self, rank: Option<u16>) {
         self.rank = rank;
     }
 
-    /// Measured weights of servers by name, in [`NOMINAL_WEIGHT`](crate::NOMINAL_WEIGHT)s. Servers left out keep theirs.
+    /// Sets the measured weights of servers by name, relative to
+    /// [`NOMINAL_WEIGHT`](crate::NOMINAL_WEIGHT). Other servers keep their weights.
     pub fn set_weights(&mut self, weights: Map<Arc<str>, u32>) {
         self.weights = weights;
     }
 
-    /// Takes in a configuration that was accepted. Older ones than those before are ignored.
+    /// Reports an accepted configuration. Ignored unless it is newer than those reported before.
     pub fn saw_config(&mut self, config: Arc<document::Document>) {
         let is_newer = |old: &Arc<document::Document>| old.revision < config.revision;
         if self.config.as_ref().is_none_or(is_newer) {
@@ -153,26 +160,28 @@
         }
     }
 
-    /// Takes in tables that another balancer has in force; gives whether they are new here.
+    /// Reports tables that another balancer has in force. Returns whether they are newer than the
+    /// current ones.
     pub fn saw_tables(&mut self, document: Arc<Document>, now: u64) -> bool {
         let is_new = self.adopt(document, now);
-        // The store most likely has them too, which a read tells before anything is repaired.
-        self.is_fresh &= !is_new;
+        // The store most likely has them too. Read it before repairing anything.
+        self.is_stored_current &= !is_new;
         is_new
     }
 
-    /// Takes in what the store's key holds: a read, or what a watch told. Gives whether there are
-    /// new tables. An answer that is older than one before costs a refused call and nothing else.
+    /// Reports the content of the store's key, from a read or a watch. Returns whether it holds
+    /// newer tables than the current ones. An outdated report at most causes a write that the store
+    /// refuses.
     ///
     /// # Errors
-    /// When the value can't be read. It is not written over: an operator has to look.
+    /// If the value can't be decoded. It is not overwritten: an operator has to repair it.
     pub fn saw_store(
         &mut self,
         revision: u64,
         value: Option<&str>,
         now: u64,
     ) -> Result<bool, Error> {
-        self.is_fresh = true;
+        self.is_stored_current = true;
         if self
             .stored
             .as_ref()
@@ -191,10 +200,10 @@
         Ok(document.is_some_and(|document| self.adopt(document, now)))
     }
 
-    /// Takes in how the call that [`Writer::step`] asked for has ended. Gives whether there are
-    /// new tables.
+    /// Reports how the call requested by [`Writer::step`] ended. Returns whether there are newer
+    /// tables.
     pub fn answered(&mut self, answer: Answer, now: u64) -> bool {
-        self.is_busy = false;
+        self.is_call_pending = false;
         let document = self.in_flight.take();
         match answer {
             Answer::Written { revision } => {
@@ -207,7 +216,7 @@
                     .as_ref()
                     .is_none_or(|old| old.revision < revision)
                 {
-                    self.is_fresh = true;
+                    self.is_stored_current = true;
                     self.stored = Some(Stored {
                         revision,
                         document: Some(Arc::clone(&document)),
@@ -217,18 +226,18 @@
                 return self.adopt(document, now);
             }
             Answer::Read => return false,
-            // Somebody else was faster, or the write has taken effect: the next read tells.
+            // Another balancer wrote first, or an earlier write took effect. The next read tells.
             Answer::Conflict => self.failures = 0,
             Answer::Lost | Answer::Unreached => self.failures += 1,
         }
-        self.is_fresh = false;
-        self.pause(now);
+        self.is_stored_current = false;
+        self.back_off(now);
         false
     }
 
-    fn pause(&mut self, now: u64) {
-        let doubled = SHORTEST_PAUSE << self.failures.saturating_sub(1).min(10);
-        self.quiet_until = now + doubled.min(LONGEST_PAUSE);
+    fn back_off(&mut self, now: u64) {
+        let backoff = SHORTEST_PAUSE << self.failures.saturating_sub(1).min(10);
+        self.backoff_until = now + backoff.min(LONGEST_PAUSE);
     }
 
     fn adopt(&mut self, document: Arc<Document>, now: u64) -> bool {
@@ -236,57 +245,58 @@
         if before.is_some_and(|before| before.version >= document.version) {
             return false;
         }
-        if before.is_some_and(|before| is_weighed_anew(before, &document)) {
-            self.weighed_at = now;
+        if before.is_some_and(|before| changes_weights(before, &document)) {
+            self.weights_changed_at = now;
         }
         self.current = Some(document);
-        self.wanted_since = None;
+        self.write_due_since = None;
         true
     }
 
-    /// What to do now. `is_known` tells whether every balancer has tables of a version, see
-    /// [`acacia_flow::Control::is_known_everywhere`]. One call is under way at a time.
+    /// Returns the call to make now, if any. At most one call is in progress at a time. `is_known`
+    /// tells whether every balancer has at least the tables of a version, see
+    /// [`acacia_flow::Control::is_known_everywhere`].
     ///
     /// # Errors
-    /// When the next tables can't be made; tried again after a pause.
+    /// If the next tables can't be built. This is retried after a backoff.
     pub fn step(&mut self, now: Moment, is_known: &dyn Fn(u64) -> bool) -> Result<Action, Error> {
         let Some(rank) = self.rank else {
-            self.wanted_since = None;
+            self.write_due_since = None;
             return Ok(Action::Idle);
         };
-        if self.is_busy || now.monotonic < self.quiet_until {
+        if self.is_call_pending || now.monotonic < self.backoff_until {
             return Ok(Action::Idle);
         }
-        let is_weighing = rank == 0 && self.is_weighing(now.monotonic);
-        if !(is_weighing || self.is_wanted(now, is_known)) {
-            self.wanted_since = None;
+        let should_update_weights = rank == 0 && self.should_update_weights(now.monotonic);
+        if !(should_update_weights || self.may_need_write(now, is_known)) {
+            self.write_due_since = None;
             return Ok(Action::Idle);
         }
-        let since = *self.wanted_since.get_or_insert(now.monotonic);
+        let since = *self.write_due_since.get_or_insert(now.monotonic);
         if now.monotonic < since + u64::from(rank) * RANK_DELAY {
             return Ok(Action::Idle);
         }
-        if !self.is_fresh {
-            self.is_busy = true;
+        if !self.is_stored_current {
+            self.is_call_pending = true;
             return Ok(Action::Read);
         }
-        match self.next(now, is_weighing, is_known) {
+        match self.next(now, should_update_weights, is_known) {
             Ok(Some(document)) => Ok(self.write(document)),
             Ok(None) => {
-                self.wanted_since = None;
-                self.looked = self.look(now, is_known);
+                self.write_due_since = None;
+                self.idle_trigger = self.trigger(now, is_known);
                 Ok(Action::Idle)
             }
             Err(error) => {
                 self.failures += 1;
-                self.pause(now.monotonic);
+                self.back_off(now.monotonic);
                 Err(error)
             }
         }
     }
 
     fn write(&mut self, document: Arc<Document>) -> Action {
-        (self.is_busy, self.is_fresh) = (true, false);
+        (self.is_call_pending, self.is_stored_current) = (true, false);
         self.in_flight = Some(Arc::clone(&document));
         Action::Write {
             expected: self.stored.as_ref().map_or(0, |stored| stored.revision),
@@ -294,17 +304,17 @@
         }
     }
 
-    fn look(&self, now: Moment, is_known: &dyn Fn(u64) -> bool) -> Option<Look> {
+    fn trigger(&self, now: Moment, is_known: &dyn Fn(u64) -> bool) -> Option<UpdateTrigger> {
         let current = self.current.as_ref()?;
-        Some(Look {
+        Some(UpdateTrigger {
             version: current.version,
             config: self.config.as_ref()?.revision,
             due: current.due_updates(now.unix, is_known),
         })
     }
 
-    /// Whether there may be something to write. Cheap.
-    fn is_wanted(&self, now: Moment, is_known: &dyn Fn(u64) -> bool) -> bool {
+    /// Whether there may be something to write. Cheap, as it builds no tables.
+    fn may_need_write(&self, now: Moment, is_known: &dyn Fn(u64) -> bool) -> bool {
         if self
             .stored
             .as_ref()
@@ -315,13 +325,16 @@
         let Some(current) = &self.current else {
             return self.config.is_some();
         };
-        let is_news = |look: Look| look.config > current.config || look.due > 0;
-        let look = self.look(now, is_known).filter(|look| is_news(*look));
-        self.is_store_behind() || (look.is_some() && look != self.looked)
+        let may_update =
+            |trigger: UpdateTrigger| trigger.config > current.config || trigger.due > 0;
+        let trigger = self
+            .trigger(now, is_known)
+            .filter(|trigger| may_update(*trigger));
+        self.is_store_behind() || (trigger.is_some() && trigger != self.idle_trigger)
     }
 
-    /// Whether the store has lost what is in force: its key was removed, or it came back from a
-    /// backup. A balancer that starts would take up what it holds.
+    /// Whether the store has lost the tables in force, because its key was removed or the store was
+    /// restored from a backup. A balancer that starts would use the outdated content.
     fn is_store_behind(&self) -> bool {
         let (Some(stored), Some(current)) = (&self.stored, &self.current) else {
             return false;
@@ -330,11 +343,11 @@
         document.is_none_or(|document| document.version <= current.version && document != current)
     }
 
-    /// The document to write, if any.
+    /// Returns the document to write, if any.
     fn next(
         &self,
         now: Moment,
-        is_weighing: bool,
+        should_update_weights: bool,
         is_known: &dyn Fn(u64) -> bool,
     ) -> Result<Option<Arc<Document>>, Error> {
         if let Some(current) = self.current.as_ref().filter(|_| self.is_store_behind()) {
@@ -345,7 +358,8 @@
         };
         let current = self.current.as_deref();
         let weight = |service: &str, server: &str| {
-            let is_kept = !is_weighing && current.is_some_and(|c| is_up(c, service, server));
+            let is_kept = !should_update_weights
+                && current.is_some_and(|c| gets_new_flows(c, service, server));
             self.weights.get(server).filter(|_| !is_kept).copied()
         };
         let context = UpdateContext {
@@ -356,8 +370,9 @@
         Ok(next_document(current, config, &context)?.map(Arc::new))
     }
 
-    /// What puts the store right. Where it holds another document of the same version, balancers
-    /// that read it have that one in force, and only a higher one reaches them all.
+    /// Returns the document that restores the tables in force in the store. If the store holds
+    /// another document with the same version, some balancers may have that one in force, and only
+    /// a higher version replaces it on all of them.
     fn repair(&self, current: &Arc<Document>) -> Arc<Document> {
         let stored = self
             .stored
@@ -372,19 +387,20 @@
         }
     }
 
-    /// Whether measured weights are to replace those in force. Only the first in rank does this:
-    /// each balancer measures for itself, and two that took turns would move flows to and fro.
-    fn is_weighing(&self, now: u64) -> bool {
+    /// Whether measured weights are to replace those in force. Only the balancer that ranks first
+    /// does this: each balancer has its own measurements, and two balancers that wrote in turns
+    /// would move flows back and forth.
+    fn should_update_weights(&self, now: u64) -> bool {
         let Some(current) = self.current.as_ref() else {
             return false;
         };
         let is_readable = self.stored.as_ref().is_none_or(|stored| stored.is_readable);
         let mut up = current.servers().filter(|server| server.state == State::Up);
         is_readable
-            && now >= self.weighed_at + WEIGHT_PERIOD
+            && now >= self.weights_changed_at + WEIGHT_PERIOD
             && up.any(|server| {
                 let weight = self.weights.get(&server.name);
-                weight.is_some_and(|weight| is_other(server.weight, *weight))
+                weight.is_some_and(|weight| differs_significantly(server.weight, *weight))
             })
     }
 }
--- a/crates/tables/src/writer/event.rs
+++ b/crates/tables/src/writer/event.rs
@@ -1,36 +1,37 @@
-//! What goes into a writer and comes out.
+//! The input and output types of a writer.
 
 use std::sync::Arc;
 
 use crate::document::Document;
 
-/// A time, by both clocks.
+/// A point in time, by two clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Moment {
-    /// Milliseconds of the monotonic clock that goes on while the process is frozen.
+    /// Milliseconds of a monotonic clock that continues while the process is stopped.
     pub monotonic: u64,
-    /// Seconds of Unix time; deadlines of drains are given in it.
+    /// The Unix time in seconds, used for the deadlines of drains.
     pub unix: u64,
 }
 
-/// What to do now.
+/// The call that a writer requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing.
+    /// No call is needed now.
     Idle,
-    /// Read the key, pass the entry to [`saw_store`](crate::Writer::saw_store), then [`Answer::Read`] to
-    /// [`answered`](crate::Writer::answered).
+    /// Read the key, pass the entry to [`saw_store`](crate::Writer::saw_store), then pass
+    /// [`Answer::Read`] to [`answered`](crate::Writer::answered).
     Read,
-    /// Write by compare-and-swap, and pass the outcome to [`answered`](crate::Writer::answered).
+    /// Write the key by compare-and-swap, then pass the outcome to
+    /// [`answered`](crate::Writer::answered).
     Write {
-        /// The revision that the key must have; 0 for one that must not exist.
+        /// The revision that the key must have; 0 if the key must not exist.
         expected: u64,
-        /// What to write.
+        /// The document to write.
         document: Arc<Document>,
     },
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
     /// The write took effect.
@@ -40,10 +41,10 @@
     },
     /// The key had another revision; nothing was written.
     Conflict,
-    /// The answer to a write was lost: it may have taken effect, or may yet.
+    /// The answer to a write was lost. The write may have taken effect, or may still do so.
     Lost,
-    /// The key was read, and the entry passed on.
+    /// The key was read, and its entry passed to the writer.
     Read,
-    /// The call was not made, or was a read without an answer. It has had no effect.
+    /// The call was not made, or was a read without an answer. It had no effect.
     Unreached,
 }
--- a/crates/tables/src/writer/weight.rs
+++ b/crates/tables/src/writer/weight.rs
@@ -1,24 +1,25 @@
-//! How weights differ.
+//! Comparison of weights.
 
 use crate::{
     document::{Document, State},
     update::NOMINAL_WEIGHT,
 };
 
-/// Difference to the weight in force, in percent, below which a new one is noise.
+/// Difference to the weight in force, in percent, up to which a change is treated as noise.
 pub const HYSTERESIS: u32 = 10;
 
 /// Whether a measured weight differs from the one in force by more than noise.
-pub(super) fn is_other(old: u32, new: u32) -> bool {
-    /// Below this a percentage means nothing.
-    const LEAST: u32 = NOMINAL_WEIGHT / 10;
+pub(super) fn differs_significantly(old: u32, new: u32) -> bool {
+    /// Lower bound of the weight that the percentage refers to. A percentage of a smaller weight is
+    /// not meaningful.
+    const MIN_REFERENCE: u32 = NOMINAL_WEIGHT / 10;
     let difference = u64::from(old.abs_diff(new)) * 100;
-    let is_ended = (old == 0) != (new == 0);
-    is_ended || difference > u64::from(HYSTERESIS) * u64::from(old.max(LEAST))
+    let starts_or_ends = (old == 0) != (new == 0);
+    starts_or_ends || difference > u64::from(HYSTERESIS) * u64::from(old.max(MIN_REFERENCE))
 }
 
-/// Whether a server takes new flows.
-pub(super) fn is_up(document: &Document, service: &str, server: &str) -> bool {
+/// Whether a server gets new flows.
+pub(super) fn gets_new_flows(document: &Document, service: &str, server: &str) -> bool {
     let mut services = document.services.iter();
     let service = services.find(|listed| *listed.name == *service);
     let servers = service.into_iter().flat_map(|service| &service.servers);
@@ -26,8 +27,8 @@
     up.any(|listed| *listed.name == *server)
 }
 
-/// Whether a server that takes flows in both has another weight.
-pub(super) fn is_weighed_anew(old: &Document, new: &Document) -> bool {
+/// Whether any server that gets new flows in both documents has another weight in the new one.
+pub(super) fn changes_weights(old: &Document, new: &Document) -> bool {
     let mut services = new.services.iter();
     services.any(|service| {
         let before = old.service(&service.address);
