--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -7,24 +7,24 @@
 /// Another balancer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its number.
+    /// The balancer's id.
     pub id: u16,
-    /// The data centre that it runs in.
+    /// The data centre that the balancer runs in.
     pub data_centre: Arc<str>,
 }
 
-/// What the store holds.
+/// The content of the store's key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreEntry {
     /// The key's revision in the store, for the next watch.
     pub revision: u64,
-    /// The document; none if the key holds none, or nothing that can be decoded.
+    /// The document; `None` if the key has no value, or one that can't be decoded.
     pub document: Option<Arc<Document>>,
 }
 
 impl StoreEntry {
-    /// The answer that a read or watch of the store's key gave. What can't be decoded counts as
-    /// nothing: serving goes on by what is in force.
+    /// Decodes the value that a read or watch of the store's key returned. A value that can't be
+    /// decoded is treated as missing, so the configuration in force stays.
     ///
     /// ```
     /// use acacia_rollout::StoreEntry;
@@ -41,49 +41,49 @@
     }
 }
 
-/// Something that has happened.
+/// An input of the rollout.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The live balancers besides this one, whenever they change.
+    /// The set of other live balancers has changed to this one.
     View(Vec<Peer>),
-    /// A heartbeat: the version that a peer has in force.
+    /// A heartbeat with the version that a peer has in force.
     Heartbeat {
-        /// The peer.
+        /// The peer's id.
         peer: u16,
-        /// Its version, none if it has none yet.
+        /// The peer's version; `None` if it has no configuration yet.
         version: Option<Version>,
     },
-    /// The end of the last [`Action::Watch`]; none if the store could not be reached.
+    /// The result of the last [`Action::Watch`]; `None` if the store could not be reached.
     WatchEnded(Option<StoreEntry>),
-    /// The end of the last [`Action::Fetch`]; none if the peer did not answer or has none.
+    /// The result of the last [`Action::Fetch`].
     Fetched {
-        /// The peer.
+        /// The peer's id.
         peer: u16,
-        /// What it answered.
+        /// The peer's document; `None` if it did not answer or has none.
         document: Option<Arc<Document>>,
     },
-    /// Time has passed. Due about ten times a second.
+    /// Time has passed. To be sent about ten times a second.
     Tick,
 }
 
-/// Something to do.
+/// An output of the rollout, for the caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Watch the store's key, and give its end as [`Event::WatchEnded`]. Takes the place of a watch
-    /// that is still waiting.
+    /// Watch the store's key, and report the result as [`Event::WatchEnded`]. Replaces a watch that
+    /// is still waiting.
     Watch {
-        /// The revision that the key must rise above.
+        /// The watch ends when the key's revision is above this one.
         above: u64,
     },
-    /// Fetch the document from a peer, and give its end as [`Event::Fetched`].
+    /// Fetch the document from a peer, and report the result as [`Event::Fetched`].
     Fetch {
-        /// The peer.
+        /// The peer's id.
         peer: u16,
     },
     /// Put a document in force.
     Enforce(ActiveConfig),
-    /// From now on this balancer may serve: it holds the highest version it could learn of.
+    /// From now on this balancer may serve: it has the highest version that it could learn of.
     Ready,
-    /// A newer document can't be understood and is left alone; this is its version.
+    /// A newer document, of this version, can't be decoded and is ignored.
     Reject(Version),
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,13 +1,18 @@
-//! How an accepted configuration reaches every balancer and never reverts.
+//! Distributes an accepted configuration to every balancer, and keeps balancers from reverting to
+//! an older one.
 //!
-//! [`Rollout`] is the decision core of one balancer. It takes [`Event`]s with the time and gives
-//! [`Action`]s; sockets and clocks are its caller's. Of each data centre a few balancers watch the
-//! platform's store. All tell their version in their heartbeats, and whoever hears of a newer one
-//! fetches it from a peer, so that the store may be down or slow for long.
+//! [`Rollout`] is the state machine of one balancer. It takes [`Event`]s with the current time and
+//! returns [`Action`]s; the caller does the I/O and reads the clock. In each data centre, a few
+//! balancers watch the platform's store. All balancers announce their version in heartbeats, and
+//! fetch a newer version from a peer that announces it, so that changes spread even while the store
+//! is down or slow.
 //!
-//! Three rules keep a configuration from reverting: versions are totally ordered and a balancer
-//! takes only newer ones; a balancer that has just started serves only once it has asked the store
-//! and its peers and holds the highest; and what says nothing new changes nothing, whoever says it.
+//! Three rules keep a balancer from reverting:
+//!
+//! - Versions are totally ordered, and a balancer accepts only newer ones.
+//! - A balancer that has just started serves only after it has asked the store and its peers, and
+//!   has the highest version among their answers.
+//! - A document that is not newer changes nothing, whatever its source.
 
 mod event;
 mod fetch;
--- a/crates/rollout/src/version.rs
+++ b/crates/rollout/src/version.rs
@@ -1,19 +1,21 @@
 use acacia_config::document::{Document, Id};
 use serde::{Deserialize, Serialize};
 
-/// What orders documents. Revisions rise with each accepted change; the change's id decides
-/// between two documents of the same revision, which only a store restored from a backup can
-/// bring about. Without it balancers could hold different documents for good.
+/// The version of a document, by which documents are ordered.
+///
+/// The revision increases with each accepted change. The change's id orders two documents with the
+/// same revision, which can only arise when the store was restored from a backup. Without it,
+/// balancers could have different documents in force permanently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The document's revision.
+    /// The revision of the document.
     pub revision: u64,
-    /// The change that made it.
+    /// The id of the change that created the document.
     pub change: Id,
 }
 
 impl Version {
-    /// The version of a document.
+    /// Returns the version of a document.
     ///
     /// ```
     /// use acacia_config::{Config, document::{Document, Draft, Id}};
