--- a/crates/rollout/src/join.rs
+++ b/crates/rollout/src/join.rs
@@ -1,55 +1,55 @@
-//! When a balancer that has just started may serve.
+//! Decides when a balancer that has just started may serve.
 
 use std::time::Duration;
 
-/// How long to listen for peers. All of them send heartbeats several times in it.
-const LISTEN: Duration = Duration::from_secs(1);
-/// How long to wait for the store. It answers in milliseconds or is down.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// How long to listen for peers. Each peer sends several heartbeats in this time.
+const LISTEN_TIME: Duration = Duration::from_secs(1);
+/// How long to wait for the store, which answers in milliseconds unless it is down.
+const STORE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a balancer still has to learn before it serves.
+/// What a balancer still has to learn before it may serve.
 ///
-/// It starts with nothing, and both of its sources may mislead it: the store may answer an older
-/// value, and the first peer that it hears may lag. Serving by either would send a drained
-/// server new work, or a removed service's callers to its successor. Hence it hears both, and
-/// then holds the highest.
+/// A balancer starts without a configuration, and each of its sources may be outdated: the store
+/// may return an older value, and the first peer heard may lag behind. With an old configuration,
+/// it would send new work to a drained server, or clients of a removed service to the service that
+/// replaced it. It therefore waits for both sources and uses the highest version.
 #[derive(Debug)]
 pub(crate) struct Join {
-    born: Duration,
-    store: bool,
+    started: Duration,
+    store_asked: bool,
     ready: bool,
 }
 
 impl Join {
-    pub(crate) fn new(born: Duration) -> Self {
+    pub(crate) fn new(started: Duration) -> Self {
         Join {
-            born,
-            store: false,
+            started,
+            store_asked: false,
             ready: false,
         }
     }
 
-    /// The store has answered or failed.
+    /// Records that the store has answered or failed.
     pub(crate) fn asked_store(&mut self) {
-        self.store = true;
+        self.store_asked = true;
     }
 
     /// Whether the store has yet to be asked for the first time.
     pub(crate) fn needs_store(&self) -> bool {
-        !self.store
+        !self.store_asked
     }
 
-    /// Whether it is ready already.
+    /// Whether the balancer has become ready.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Whether it becomes ready now. `highest` says that it holds a configuration and that no
-    /// live peer has a newer one.
-    pub(crate) fn becomes_ready(&mut self, now: Duration, highest: bool) -> bool {
-        let listened = now >= self.born + LISTEN;
-        let asked = self.store || now >= self.born + PATIENCE;
-        let becomes = !self.ready && highest && listened && asked;
+    /// Whether the balancer becomes ready now. `has_highest` tells that it has a configuration and
+    /// that no live peer has a newer one.
+    pub(crate) fn becomes_ready(&mut self, now: Duration, has_highest: bool) -> bool {
+        let listened = now >= self.started + LISTEN_TIME;
+        let asked = self.store_asked || now >= self.started + STORE_TIMEOUT;
+        let becomes = !self.ready && has_highest && listened && asked;
         self.ready |= becomes;
         becomes
     }
