--- a/crates/rollout/src/fetch.rs
+++ b/crates/rollout/src/fetch.rs
@@ -1,34 +1,37 @@
-//! From which peer the next document is fetched.
+//! Chooses the peer to fetch the next document from.
 
 use std::time::Duration;
 
 use rand::RngExt as _;
 use rand_pcg::Pcg64;
 
-/// How long a peer may take before the next one is asked. A document of a megabyte takes tenths
-/// of a second between data centres; within the 8 s for a change, several peers can be asked.
+/// How long to wait for a peer's answer before asking another one. A document of a megabyte takes
+/// tenths of a second between data centres, and several peers can be asked within the 8 s in which
+/// a change has to be in force.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after an answer that was of no use. Without it a peer that refuses at once, alone with
-/// the newest version, would be asked in a loop.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Delay after an answer without a newer document. Without it, a peer that refuses immediately, and
+/// is the only one with the newest version, would be asked in a loop.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The fetch that is under way, if any. There is one at a time: a second would carry the same
-/// document over the same link and spend the budget for control traffic twice.
+/// The fetch in progress, if any. There is at most one: a second one would transfer the same
+/// document over the same link, and use up the budget for control traffic twice.
 #[derive(Debug, Default)]
 pub(crate) struct Fetch {
     pending: Option<(u16, Duration)>,
-    /// The peer that failed last.
-    avoid: Option<u16>,
-    /// No new one before this.
+    /// The peer whose fetch failed last, asked again only if no other peer has the version.
+    failed_peer: Option<u16>,
+    /// The earliest time of the next fetch.
     not_before: Duration,
 }
 
 impl Fetch {
-    /// Chooses among the holders of the newest version, unless one was asked a moment ago. At
-    /// random: all balancers of a data centre hear of a change in the same instant, and the
-    /// watcher that told them should not serve them all.
-    pub(crate) fn begin(
+    /// Chooses a peer among the holders of the newest version, unless a fetch is in progress or the
+    /// last one failed a moment ago.
+    ///
+    /// The choice is random, since all balancers of a data centre learn of a change at the same
+    /// time, and the watcher that announced it should not have to answer all of them.
+    pub(crate) fn start(
         &mut self,
         holders: &[u16],
         now: Duration,
@@ -38,12 +41,12 @@
             if now < since + TIMEOUT {
                 return None;
             }
-            self.avoid = Some(peer);
+            self.failed_peer = Some(peer);
         }
         if now < self.not_before {
             return None;
         }
-        let others = holders.iter().filter(|id| Some(**id) != self.avoid);
+        let others = holders.iter().filter(|id| Some(**id) != self.failed_peer);
         let others: Vec<u16> = others.copied().collect();
         let choice = if others.is_empty() { holders } else { &others };
         if choice.is_empty() {
@@ -54,16 +57,16 @@
         Some(peer)
     }
 
-    /// A peer has answered, or has been found not to. What was not asked for changes nothing: a
-    /// stream of late refusals would put off the next fetch for ever.
-    pub(crate) fn ended(&mut self, peer: u16, useful: bool, now: Duration) {
+    /// Records that a peer has answered, or has failed to. Ignored for a peer that was not asked,
+    /// as a stream of late refusals could otherwise postpone the next fetch indefinitely.
+    pub(crate) fn ended(&mut self, peer: u16, is_newer: bool, now: Duration) {
         if self.pending.is_none_or(|(asked, _)| asked != peer) {
             return;
         }
         self.pending = None;
-        if !useful {
-            self.avoid = Some(peer);
-            self.not_before = now + PAUSE;
+        if !is_newer {
+            self.failed_peer = Some(peer);
+            self.not_before = now + RETRY_DELAY;
         }
     }
 }
--- a/crates/rollout/src/peers.rs
+++ b/crates/rollout/src/peers.rs
@@ -1,4 +1,4 @@
-//! What the peers have, by their heartbeats.
+//! The versions that peers have, by their heartbeats.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,70 +7,74 @@
 
 use crate::{Peer, Version};
 
-/// The live peers and their versions.
+/// The live peers, with the version that each of them announced last.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
-    known: BTreeMap<u16, Known>,
+    by_id: BTreeMap<u16, PeerState>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct PeerState {
     data_centre: Arc<str>,
     version: Option<Version>,
 }
 
 impl Peers {
-    /// Keeps exactly these peers, with what was heard of them.
-    pub(crate) fn view(&mut self, peers: Vec<Peer>) {
-        let mut before = std::mem::take(&mut self.known);
+    /// Replaces the set of live peers. Those that stay keep their announced versions.
+    pub(crate) fn set_live(&mut self, peers: Vec<Peer>) {
+        let mut before = std::mem::take(&mut self.by_id);
         for peer in peers {
-            let version = before.remove(&peer.id).and_then(|known| known.version);
+            let version = before.remove(&peer.id).and_then(|state| state.version);
             let data_centre = peer.data_centre;
-            let known = Known {
+            let state = PeerState {
                 data_centre,
                 version,
             };
-            self.known.insert(peer.id, known);
+            self.by_id.insert(peer.id, state);
         }
     }
 
-    /// A peer's heartbeat. An older one that comes late only makes us ask a peer once in vain. One
-    /// of a peer that is not in the view counts for nothing: it may have died, and a newborn must
-    /// not wait for what a dead peer has. If it is new, its next heartbeat comes within a second.
+    /// Records the version that a peer announced in a heartbeat.
+    ///
+    /// A delayed, outdated heartbeat causes at most one useless fetch. A heartbeat of a peer that
+    /// is not in the set of live peers is ignored: the peer may be dead, and a balancer that has
+    /// just started must not wait for a version that only a dead peer has. If the peer is new
+    /// instead, its next heartbeat arrives within a second.
     pub(crate) fn heard(&mut self, peer: u16, version: Option<Version>) {
-        if let Some(known) = self.known.get_mut(&peer) {
-            known.version = version;
+        if let Some(state) = self.by_id.get_mut(&peer) {
+            state.version = version;
         }
     }
 
-    /// The highest version that any peer has, but for those that were rejected.
+    /// Returns the highest version that any peer announced, except rejected ones.
     pub(crate) fn highest(&self, rejected: &BTreeSet<Version>) -> Option<Version> {
-        let versions = self.known.values().filter_map(|known| known.version);
+        let versions = self.by_id.values().filter_map(|state| state.version);
         versions.filter(|version| !rejected.contains(version)).max()
     }
 
-    /// The peers that have `version`; if any of them is in `data_centre`, only those.
+    /// Returns the peers that have `version`: those in `data_centre`, or all if none is there.
     pub(crate) fn holders(&self, version: Version, data_centre: &str) -> Vec<u16> {
-        let holders = |near: bool| -> Vec<u16> {
-            let holds = |known: &Known| {
-                known.version == Some(version) && (!near || *known.data_centre == *data_centre)
+        let holders = |local_only: bool| -> Vec<u16> {
+            let holds = |state: &PeerState| {
+                state.version == Some(version)
+                    && (!local_only || *state.data_centre == *data_centre)
             };
-            let all = self.known.iter().filter(|(_, known)| holds(known));
+            let all = self.by_id.iter().filter(|(_, state)| holds(state));
             all.map(|(id, _)| *id).collect()
         };
-        let near = holders(true);
-        if near.is_empty() {
+        let local = holders(true);
+        if local.is_empty() {
             holders(false)
         } else {
-            near
+            local
         }
     }
 
-    /// How many peers of the data centre have a lower number than `id`.
+    /// Counts the peers in the data centre whose id is lower than `id`.
     pub(crate) fn rank(&self, id: u16, data_centre: &str) -> usize {
-        let lower = self.known.range(..id);
+        let lower = self.by_id.range(..id);
         lower
-            .filter(|(_, known)| *known.data_centre == *data_centre)
+            .filter(|(_, state)| *state.data_centre == *data_centre)
             .count()
     }
 }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -8,30 +8,30 @@
     Action, Event, Peer, Version, WATCHERS, fetch::Fetch, join::Join, peers::Peers, watch::Watch,
 };
 
-/// What a balancer needs to know of itself.
+/// The settings of a balancer's rollout.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// This balancer.
+    /// The balancer's own id and data centre.
     pub me: Peer,
-    /// Seeds the spread of pauses and the choice of peers.
+    /// Seed for the random backoff and the random choice of peers.
     pub seed: u64,
 }
 
-/// A document and what it says.
+/// A document that is in force, with its decoded configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ActiveConfig {
-    /// The document, as it is passed on to peers.
+    /// The document, as passed on to peers.
     pub document: Arc<Document>,
-    /// The configuration in it.
+    /// The configuration decoded from the document.
     pub config: Arc<Config>,
 }
 
-/// The decisions of one balancer about its configuration.
+/// The state machine that updates the configuration of one balancer.
 #[derive(Debug)]
 pub struct Rollout {
     me: Peer,
     active: Option<ActiveConfig>,
-    /// Newer versions that could not be understood.
+    /// Newer versions whose documents could not be decoded.
     rejected: BTreeSet<Version>,
     peers: Peers,
     watch: Watch,
@@ -41,8 +41,8 @@
 }
 
 impl Rollout {
-    /// A balancer that starts at `now`, counted from any fixed point by a clock that goes on
-    /// while the process is stopped.
+    /// Creates the rollout of a balancer that starts at `now`, the time since any fixed point by a
+    /// clock that continues while the process is stopped.
     ///
     /// ```
     /// use std::time::Duration;
@@ -67,35 +67,37 @@
         }
     }
 
-    /// What is in force here, for serving and for passing on to peers that fetch it.
+    /// Returns the configuration in force, for serving and for answering peers that fetch it.
     #[must_use]
     pub fn active(&self) -> Option<&ActiveConfig> {
         self.active.as_ref()
     }
 
-    /// The version in force here, for the heartbeats.
+    /// Returns the version in force, to announce in heartbeats.
     #[must_use]
     pub fn version(&self) -> Option<Version> {
-        self.active.as_ref().map(|held| Version::of(&held.document))
+        self.active
+            .as_ref()
+            .map(|active| Version::of(&active.document))
     }
 
-    /// Whether this balancer may serve. Once true it stays true.
+    /// Whether this balancer may serve. Once true, it stays true.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.join.is_ready()
     }
 
-    /// Takes an event and says what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::View(peers) => self.peers.view(peers),
+            Event::View(peers) => self.peers.set_live(peers),
             Event::Heartbeat { peer, version } => self.peers.heard(peer, version),
             Event::WatchEnded(Some(answer)) => {
                 self.join.asked_store();
                 self.watch.answered(answer.revision, now);
                 if let Some(document) = answer.document {
-                    self.offer(document, &mut actions);
+                    self.accept_if_newer(document, &mut actions);
                 }
             }
             Event::WatchEnded(None) => {
@@ -103,17 +105,18 @@
                 self.watch.failed(now, &mut self.random);
             }
             Event::Fetched { peer, document } => {
-                let useful = self.fetched(peer, document, &mut actions);
-                self.fetch.ended(peer, useful, now);
+                let is_newer = self.fetched(peer, document, &mut actions);
+                self.fetch.ended(peer, is_newer, now);
             }
             Event::Tick => {}
         }
-        self.seek(now, &mut actions);
+        self.plan(now, &mut actions);
         actions
     }
 
-    /// A peer's answer; true if it was of use. What the peer has now replaces what it said
-    /// before: otherwise one that claims more than it gives would be asked over and over.
+    /// Handles a peer's answer and returns whether it brought a newer version into force. The
+    /// version of the answer replaces the one that the peer announced: a peer that announces a
+    /// newer version than it returns would otherwise be asked over and over.
     fn fetched(
         &mut self,
         peer: u16,
@@ -123,28 +126,30 @@
         let before = self.version();
         if let Some(document) = document {
             self.peers.heard(peer, Some(Version::of(&document)));
-            self.offer(document, actions);
+            self.accept_if_newer(document, actions);
         }
         self.version() > before
     }
 
-    /// Takes a document if it is newer than what is in force. This is the only place where
-    /// anything comes into force, whoever brought it: a store that answers an older value, a
-    /// replay, a peer that lags and a writer that was paused all end here without effect.
-    fn offer(&mut self, document: Arc<Document>, actions: &mut Vec<Action>) {
+    /// Accepts a document if it is newer than the one in force. This is the only place where a
+    /// document comes into force, so an outdated answer of the store, a replayed message, a lagging
+    /// peer or a paused writer never has an effect.
+    fn accept_if_newer(&mut self, document: Arc<Document>, actions: &mut Vec<Action>) {
         let version = Version::of(&document);
-        if self.version().is_some_and(|held| version <= held) || self.rejected.contains(&version) {
+        if self.version().is_some_and(|current| version <= current)
+            || self.rejected.contains(&version)
+        {
             return;
         }
         match document.config() {
             Ok(config) => {
                 let config = Arc::new(config);
-                let held = ActiveConfig { document, config };
-                self.active = Some(held.clone());
+                let active = ActiveConfig { document, config };
+                self.active = Some(active.clone());
                 self.rejected = self.rejected.split_off(&version);
-                actions.push(Action::Enforce(held));
+                actions.push(Action::Enforce(active));
             }
-            // Written by a later release, or damaged. Serving goes on by what is in force.
+            // Written by a later release, or corrupted. The configuration in force stays.
             Err(_) => {
                 self.rejected.insert(version);
                 actions.push(Action::Reject(version));
@@ -152,26 +157,27 @@
         }
     }
 
-    /// Looks where something newer may be had, and whether serving may begin.
-    fn seek(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Starts a fetch and a watch where they are due, and checks whether the balancer may serve.
+    fn plan(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let newest = self.peers.highest(&self.rejected);
         let behind = newest.filter(|newest| Some(*newest) > self.version());
         if let Some(version) = behind {
             let holders = self.peers.holders(version, &self.me.data_centre);
-            let peer = self.fetch.begin(&holders, now, &mut self.random);
+            let peer = self.fetch.start(&holders, now, &mut self.random);
             actions.extend(peer.map(|peer| Action::Fetch { peer }));
         }
         if self.is_watcher() {
-            let above = self.watch.begin(now);
+            let above = self.watch.start(now);
             actions.extend(above.map(|above| Action::Watch { above }));
         }
-        let highest = self.active.is_some() && behind.is_none();
-        if self.join.becomes_ready(now, highest) {
+        let has_highest = self.active.is_some() && behind.is_none();
+        if self.join.becomes_ready(now, has_highest) {
             actions.push(Action::Ready);
         }
     }
 
-    /// The lowest numbers of a data centre watch. Views that differ for a moment make one watcher
+    /// Whether this balancer watches the store, which the balancers with the lowest ids of each
+    /// data centre do. While their views of the peers differ for a moment, there may be one watcher
     /// more or less, which costs a call or some hundred milliseconds. A balancer that has just
     /// started asks the store once, whatever its rank.
     fn is_watcher(&self) -> bool {
