--- a/crates/tables/tests/it/fixture.rs
+++ b/crates/tables/tests/it/fixture.rs
@@ -8,34 +8,34 @@
 use acacia_tables::{Document, UpdateContext, next_document};
 use acacia_wire::flow::Protocol;
 
-/// Where packets for the server on a host go.
-pub fn host(host: u8) -> SocketAddr {
+/// The address of the server on a host.
+pub fn server_address(host: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, host], 6080))
 }
 
-/// Where callers reach the service at a place.
-pub fn front(place: u8) -> Address {
+/// The address of a service, by its id.
+pub fn service_address(service: u8) -> Address {
     Address {
-        ip: [10, 77, 0, place].into(),
+        ip: [10, 77, 0, service].into(),
         port: 443,
         protocol: Protocol::Tcp,
     }
 }
 
-/// What an operator does. Servers go by their host, services by their place.
+/// A change by an operator. Servers are identified by their host, services by an id.
 #[derive(Debug, Clone, Copy)]
 pub enum Change {
-    /// A server is added, or moved to another service.
+    /// Add a server to a service, or move it there.
     Place(u8, u8),
     Remove(u8),
-    /// A server is drained, with seconds of Unix time at which it is gone.
+    /// Drain a server, with the Unix time in seconds at which it is gone.
     Drain(u8, Option<u64>),
     Activate(u8),
-    /// A service is created or removed.
+    /// Create a service, or remove an existing one.
     Toggle(u8),
 }
 
-/// The configuration as an operator changes it.
+/// An operator who changes the configuration.
 #[derive(Debug, Default)]
 pub struct Operator {
     services: BTreeMap<u8, bool>,
@@ -44,7 +44,7 @@
 }
 
 impl Operator {
-    /// An operator of the service at place 1 with servers on hosts 1 to `servers`.
+    /// An operator of service 1 with servers on hosts 1 to `servers`.
     pub fn new(servers: u8) -> Self {
         let mut operator = Operator::default();
         operator.change(Change::Toggle(1));
@@ -60,32 +60,32 @@
                 .and_modify(|server| server.1 = state);
         };
         match change {
-            Change::Place(host, place) => _ = self.servers.insert(host, (place, State::Active)),
+            Change::Place(host, service) => _ = self.servers.insert(host, (service, State::Active)),
             Change::Remove(host) => _ = self.servers.remove(&host),
             Change::Drain(host, deadline) => set(host, State::Drain { deadline }),
             Change::Activate(host) => set(host, State::Active),
-            Change::Toggle(place) => *self.services.entry(place).or_default() ^= true,
+            Change::Toggle(service) => *self.services.entry(service).or_default() ^= true,
         }
     }
 
     pub fn config(&self) -> Config {
         let mut config = Config::default();
-        let is_there = |place: &u8| self.services.get(place) == Some(&true);
-        for place in self.services.keys().copied().filter(is_there) {
-            let address = [10, 77, 0, place];
-            config.add_service(Service::new(&format!("s{place}"), address, 443, 20));
+        let exists = |service: &u8| self.services.get(service) == Some(&true);
+        for service in self.services.keys().copied().filter(exists) {
+            let address = [10, 77, 0, service];
+            config.add_service(Service::new(&format!("s{service}"), address, 443, 20));
         }
         let servers = self.servers.iter();
-        for (at, (place, state)) in servers.filter(|(_, (place, _))| is_there(place)) {
-            let (name, service) = (format!("server-{at}"), format!("s{place}"));
-            let mut server = Server::new(&name, &service, host(*at), "hervanta");
+        for (at, (service, state)) in servers.filter(|(_, (service, _))| exists(service)) {
+            let (name, service) = (format!("server-{at}"), format!("s{service}"));
+            let mut server = Server::new(&name, &service, server_address(*at), "hervanta");
             server.state = *state;
             config.add_server(server);
         }
         config
     }
 
-    /// Puts the configuration into the store.
+    /// Has the configuration accepted.
     pub fn apply(&mut self) -> Arc<document::Document> {
         let before = self.accepted.as_deref();
         let draft = Draft {
@@ -104,17 +104,17 @@
     }
 }
 
-/// Tables that follow an operator's changes, by one writer.
+/// Successive tables for an operator's changes, by a single writer.
 pub struct Chain {
     pub operator: Operator,
     pub document: Document,
-    /// The version that every balancer has.
+    /// The version that every balancer is known to have.
     pub known: u64,
     pub now: u64,
 }
 
 impl Chain {
-    /// Tables of a service with some servers, which every balancer has.
+    /// Tables of a service with some servers, delivered to every balancer.
     pub fn new(servers: u8) -> Self {
         let mut chain = Chain {
             operator: Operator::new(servers),
@@ -123,11 +123,11 @@
             now: 0,
         };
         chain.step();
-        chain.spread();
+        chain.deliver();
         chain
     }
 
-    /// Makes the next tables; gives whether there are any.
+    /// Builds the next tables. Returns whether they changed.
     pub fn step(&mut self) -> bool {
         let context = UpdateContext {
             now: self.now,
@@ -147,8 +147,8 @@
         self.step()
     }
 
-    /// Every balancer gets the tables.
-    pub fn spread(&mut self) {
+    /// Delivers the tables to every balancer.
+    pub fn deliver(&mut self) {
         self.known = self.document.version;
     }
 
@@ -156,7 +156,7 @@
     pub fn number(&self, at: u8) -> Option<u16> {
         let mut servers = self.document.services.iter().flat_map(|s| &s.servers);
         servers
-            .find(|server| server.address == host(at))
+            .find(|server| server.address == server_address(at))
             .map(|server| server.number)
     }
 
@@ -165,7 +165,7 @@
     }
 }
 
-/// How many buckets of a table a server has.
+/// Counts the buckets of a server in a table.
 pub fn count(table: &[u16], server: Option<u16>) -> usize {
     table
         .iter()
--- a/crates/tables/tests/it/fleet.rs
+++ b/crates/tables/tests/it/fleet.rs
@@ -19,57 +19,57 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// An operator changes the configuration.
+    /// An operator changes the configuration, and it is accepted.
     Apply(Change),
-    /// All balancers measure this weight of a server.
+    /// All balancers measure a weight of the server on a host.
     Weigh(u8, u32),
-    /// A balancer hears of the configuration as it was some changes ago.
+    /// A balancer receives the configuration as of some changes ago.
     Hear(usize, usize),
-    /// A balancer decides; its call is then under way.
+    /// A balancer steps its writer and starts the resulting call.
     Decide(usize),
     /// A balancer's call ends.
-    Finish(usize, How),
-    /// A balancer's watch tells what the store held some writes ago.
+    Finish(usize, CallEnd),
+    /// A balancer's watch returns the store's content as of some writes ago.
     Watch(usize, usize),
-    /// A balancer hears of another's tables.
+    /// A balancer receives another's tables.
     Pass(usize, usize),
-    /// A balancer takes another place in rank, which may be wrong.
+    /// A balancer's rank changes, possibly to a wrong one.
     Rank(usize, Option<u16>),
     /// Milliseconds pass.
     Wait(u64),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum How {
+enum CallEnd {
     Answered,
-    /// The store does it and its answer is lost.
+    /// The store carries out the call, and its answer is lost.
     Lost,
-    /// The answer is given up, and the store does it at some later time.
+    /// The call times out, and the store carries it out later.
     Late,
     Unreached,
 }
 
 fn change() -> impl Strategy<Value = Change> {
-    let (host, place) = (|| 1_u8..8, || 1_u8..3);
+    let (host, service) = (|| 1_u8..8, || 1_u8..3);
     prop_oneof![
-        3 => (host(), place()).prop_map(|(host, place)| Change::Place(host, place)),
+        3 => (host(), service()).prop_map(|(host, service)| Change::Place(host, service)),
         2 => host().prop_map(Change::Remove),
         2 => (host(), prop::option::of(0_u64..30)).prop_map(|(at, end)| Change::Drain(at, end)),
         1 => host().prop_map(Change::Activate),
-        3 => place().prop_map(Change::Toggle),
+        3 => service().prop_map(Change::Toggle),
     ]
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    use How::{Answered, Late, Lost, Unreached};
+    use CallEnd::{Answered, Late, Lost, Unreached};
     let (at, ago) = (|| 0..BALANCERS, || 0_usize..3);
-    let how = prop::sample::select(vec![Answered, Answered, Answered, Lost, Late, Unreached]);
+    let end_kind = prop::sample::select(vec![Answered, Answered, Answered, Lost, Late, Unreached]);
     prop_oneof![
         4 => change().prop_map(Event::Apply),
         1 => (1_u8..8, 0_u32..3_000).prop_map(|(host, weight)| Event::Weigh(host, weight)),
         4 => (at(), ago()).prop_map(|(at, ago)| Event::Hear(at, ago)),
         8 => at().prop_map(Event::Decide),
-        8 => (at(), how).prop_map(|(at, how)| Event::Finish(at, how)),
+        8 => (at(), end_kind).prop_map(|(at, end_kind)| Event::Finish(at, end_kind)),
         4 => (at(), ago()).prop_map(|(at, ago)| Event::Watch(at, ago)),
         2 => (at(), at()).prop_map(|(from, to)| Event::Pass(from, to)),
         2 => (at(), prop::option::of(0_u16..2)).prop_map(|(at, rank)| Event::Rank(at, rank)),
@@ -82,7 +82,7 @@
     operator: Operator,
     accepted: Vec<Arc<document::Document>>,
     history: History,
-    /// What the store's key held at revisions 1, 2 and so on.
+    /// The content of the store's key at revisions 1, 2 and so on.
     store: Vec<String>,
     writers: Vec<Writer>,
     weights: BTreeMap<u8, u32>,
@@ -95,9 +95,9 @@
     fn new() -> Self {
         let mut fleet = Fleet::default();
         fleet.writers.resize_with(BALANCERS, || Writer::new(0));
-        (0..BALANCERS).for_each(|at| fleet.play(Event::Rank(at, Some(0))));
+        (0..BALANCERS).for_each(|at| fleet.handle(Event::Rank(at, Some(0))));
         fleet.operator = Operator::new(2);
-        fleet.play(Event::Apply(Change::Toggle(2)));
+        fleet.handle(Event::Apply(Change::Toggle(2)));
         fleet
     }
 
@@ -106,7 +106,7 @@
         self.writers.iter().map(version).min().unwrap_or_default()
     }
 
-    fn swap(&mut self, expected: u64, document: &Document) -> Answer {
+    fn compare_and_swap(&mut self, expected: u64, document: &Document) -> Answer {
         if self.store.len() as u64 != expected {
             return Answer::Conflict;
         }
@@ -132,21 +132,21 @@
         }
     }
 
-    fn finish(&mut self, at: usize, how: How) {
-        let answer = match (self.calls.remove(&at), how) {
+    fn finish(&mut self, at: usize, end_kind: CallEnd) {
+        let answer = match (self.calls.remove(&at), end_kind) {
             (None | Some(Action::Idle), _) => return,
-            (Some(Action::Read), How::Answered) => {
-                self.play(Event::Watch(at, 0));
+            (Some(Action::Read), CallEnd::Answered) => {
+                self.handle(Event::Watch(at, 0));
                 Answer::Read
             }
-            (Some(Action::Read), _) | (_, How::Unreached) => Answer::Unreached,
-            (Some(Action::Write { expected, document }), How::Late) => {
+            (Some(Action::Read), _) | (_, CallEnd::Unreached) => Answer::Unreached,
+            (Some(Action::Write { expected, document }), CallEnd::Late) => {
                 self.late.push((expected, document));
                 Answer::Lost
             }
-            (Some(Action::Write { expected, document }), how) => {
-                let answer = self.swap(expected, &document);
-                if how == How::Lost {
+            (Some(Action::Write { expected, document }), end_kind) => {
+                let answer = self.compare_and_swap(expected, &document);
+                if end_kind == CallEnd::Lost {
                     Answer::Lost
                 } else {
                     answer
@@ -156,7 +156,7 @@
         self.writers[at].answered(answer, self.now);
     }
 
-    fn play(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Apply(change) => {
                 self.operator.change(change);
@@ -178,7 +178,7 @@
                 self.writers[at].saw_config(Arc::clone(&self.accepted[index]));
             }
             Event::Decide(at) => self.decide(at),
-            Event::Finish(at, how) => self.finish(at, how),
+            Event::Finish(at, end_kind) => self.finish(at, end_kind),
             Event::Watch(at, ago) => {
                 let revision = self.store.len().saturating_sub(ago);
                 let value = revision.checked_sub(1).map(|last| &*self.store[last]);
@@ -193,28 +193,28 @@
             Event::Wait(ms) => {
                 self.now += ms;
                 if let Some((expected, document)) = self.late.pop() {
-                    self.swap(expected, &document);
+                    self.compare_and_swap(expected, &document);
                 }
             }
         }
     }
 
-    /// Everything works again, for 30 s, after which every deadline has passed.
+    /// Runs for 30 s without faults, after which every deadline has passed.
     fn heal(&mut self) {
         for _ in 0..60 {
             self.now += 500;
             for at in 0..BALANCERS {
-                self.finish(at, How::Answered);
-                self.play(Event::Rank(at, Some(at as u16)));
-                self.play(Event::Hear(at, 0));
-                self.play(Event::Watch(at, 0));
+                self.finish(at, CallEnd::Answered);
+                self.handle(Event::Rank(at, Some(at as u16)));
+                self.handle(Event::Hear(at, 0));
+                self.handle(Event::Watch(at, 0));
                 self.decide(at);
             }
         }
     }
 
-    /// Whether tables list just the servers that are wanted.
-    fn is_followed(&self, tables: &Document) -> bool {
+    /// Whether the tables list exactly the configured services and servers.
+    fn matches_config(&self, tables: &Document) -> bool {
         let config = self.operator.config();
         let wanted = config.servers().iter();
         let wanted = wanted.filter(|server| !server.state.is_gone(self.now / 1_000));
@@ -235,23 +235,23 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Operators change everything while balancers pause between decision and write, answers are
-    /// lost, reads are old and two balancers both think that they rank first. If a version were
-    /// two documents, a base moved under a live flow or a number came to mean another server, an
-    /// open feed would be sent to a server that resets it.
+    /// Operators change the configuration while balancers are paused between decision and write,
+    /// answers are lost, reads are outdated and several balancers rank first. An open flow would be
+    /// sent to a server that resets it if two documents had the same version, a base moved while
+    /// its server has live flows, or a number was reused for another server.
     #[test]
-    fn all_balancers_end_with_the_last_tables_and_no_flow_is_cut(
+    fn balancers_converge_on_the_last_tables_without_breaking_flows(
         events in prop::collection::vec(event(), 1..100),
     ) {
         let mut fleet = Fleet::new();
         for &event in &events {
             let before: Vec<u64> = fleet.writers.iter().map(version).collect();
-            fleet.play(event);
+            fleet.handle(event);
             for (writer, before) in fleet.writers.iter().zip(before) {
-                prop_assert!(version(writer) >= before, "went back");
+                prop_assert!(version(writer) >= before, "version decreased");
                 let mut written = fleet.history.documents.iter();
                 let written = written.find(|document| document.version == version(writer));
-                prop_assert_eq!(writer.current().map(|c| &**c), written, "never in the store");
+                prop_assert_eq!(writer.current().map(|c| &**c), written, "tables never stored");
             }
         }
         fleet.heal();
@@ -259,8 +259,8 @@
         for writer in &fleet.writers {
             prop_assert_eq!(writer.current().map(|current| &**current), Some(&last));
         }
-        prop_assert!(fleet.is_followed(&last), "{:?} {last:?}", fleet.operator.config());
+        prop_assert!(fleet.matches_config(&last), "{:?} {last:?}", fleet.operator.config());
         fleet.heal();
-        prop_assert_eq!(fleet.store.len() as u64, last.version, "writes without news");
+        prop_assert_eq!(fleet.store.len() as u64, last.version, "writes without a change");
     }
 }
--- a/crates/tables/tests/it/invariant.rs
+++ b/crates/tables/tests/it/invariant.rs
@@ -2,26 +2,24 @@
 
 use acacia_tables::{Document, NO_SERVER, Service, State};
 
-use crate::fixture::front;
+use crate::fixture::service_address;
 
-/// Every document that was written, in order.
+/// All documents that were written, in order.
 #[derive(Debug, Default)]
 pub struct History {
     pub documents: Vec<Document>,
-    /// Who had a number at an address, and the last version in which.
+    /// The server that has a number of a service, and the last version that lists it.
     numbers: BTreeMap<(u8, u16), (std::net::SocketAddr, u64)>,
 }
 
 impl History {
-    /// Checks a document against those before, while every balancer has at least `known`.
+    /// Checks a document against the previous ones, while every balancer has at least version
+    /// `known`.
     pub fn add(&mut self, document: &Document, known: u64) {
         let before = self.documents.last();
         let (version, config) = before.map_or((0, 0), |before| (before.version, before.config));
         assert_eq!(document.version, version + 1);
-        assert!(
-            document.config >= config,
-            "an accepted change was taken back"
-        );
+        assert!(document.config >= config, "an accepted change was reverted");
         self.check_numbers(document);
         for service in &document.services {
             check_shares(service);
@@ -30,23 +28,24 @@
         self.documents.push(document.clone());
     }
 
-    /// A number means one server, and none for ever once that one is gone.
+    /// Checks that a number always refers to the same server, and is never used again once that
+    /// server is no longer listed.
     fn check_numbers(&mut self, document: &Document) {
-        for place in 1..3 {
+        for id in 1..3 {
             let servers = document
-                .service(&front(place))
+                .service(&service_address(id))
                 .map(|service| &service.servers);
             for server in servers.into_iter().flatten() {
-                let fresh = (server.address, document.version);
-                let seen = self.numbers.entry((place, server.number)).or_insert(fresh);
+                let entry = (server.address, document.version);
+                let seen = self.numbers.entry((id, server.number)).or_insert(entry);
                 assert_eq!(
                     seen.0, server.address,
-                    "number {} used again",
+                    "number {} was reused",
                     server.number
                 );
                 assert!(
                     document.version - seen.1 <= 1,
-                    "number {} came back",
+                    "number {} was listed again",
                     server.number
                 );
                 seen.1 = document.version;
@@ -54,8 +53,8 @@
         }
     }
 
-    /// A bucket's base moves only away from nobody, or from a server that takes no new flows in
-    /// any tables that some balancer may still have, and that is gone.
+    /// Checks that a bucket's base only moves away from [`NO_SERVER`], or from a server that is
+    /// gone and gets no new flows in any tables that some balancer may still have.
     fn check_base(&self, new: &Service, known: u64) {
         let same = |document: &Document| {
             let service = document.service(&new.address).cloned();
@@ -75,11 +74,11 @@
                 new.server(from)
                     .is_none_or(|server| server.state == State::Gone)
             );
-            let held = self
+            let possible = self
                 .documents
                 .iter()
-                .filter(|held| held.version >= known.max(1));
-            for service in held.map(same) {
+                .filter(|possible| possible.version >= known.max(1));
+            for service in possible.map(same) {
                 let state = service.and_then(|service| Some(service.server(from)?.state));
                 assert!(
                     state.is_some_and(|state| state != State::Up),
--- a/crates/tables/tests/it/main.rs
+++ b/crates/tables/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the agreed tables: their stored form, their construction and who writes them.
+//! Tests of the bucket tables: their stored format, how they are built, and who writes them.
 
 mod document;
 mod fixture;
--- a/crates/tables/tests/it/update.rs
+++ b/crates/tables/tests/it/update.rs
@@ -9,15 +9,15 @@
 use crate::fixture::{
     Chain,
     Change::{Activate, Drain, Place, Remove, Toggle},
-    count, front, host,
+    count, server_address, service_address,
 };
 
-/// A server is drained while feeds are open on it. If the base of its buckets moved, a balancer
-/// that never saw those feeds would send their packets to another server, which resets them. When
-/// the drain is taken back, new flows that kept away from its buckets would cost a pin each; and
-/// flows of a server that was removed by mistake must live on when it is put back at once.
+/// A drain must not move the base of the server's buckets: a balancer without state of the open
+/// flows would send their packets to another server, which resets them. A cancelled drain must
+/// restore the table for new flows, as flows placed off their base need a pin each. Flows of a
+/// server that is removed and added again at once must survive, too.
 #[test]
-fn a_drain_moves_new_flows_and_no_base() {
+fn a_drain_moves_new_flows_but_not_the_base() {
     let mut chain = Chain::new(4);
     let before = chain.document.services[0].clone();
 
@@ -37,15 +37,15 @@
     assert_eq!(chain.document.services, [before]);
 }
 
-/// Every server of a service is drained, for instance before it is moved. With nowhere to go, a
-/// table dealt out anew would cut the flows that are still open; and once the service is empty,
-/// its first new server must get every bucket.
+/// All servers of a service are drained, for instance before it is moved. Rebuilding its tables
+/// without any active server would break the flows that are still open. Once the service has no
+/// servers, the first one added must get every bucket.
 #[test]
-fn with_all_servers_draining_the_tables_stay_until_they_are_gone() {
+fn tables_stay_unchanged_while_all_servers_drain() {
     let mut chain = Chain::new(2);
     let before = chain.document.services[0].clone();
     chain.apply(&[Drain(1, Some(50)), Drain(2, Some(60))]);
-    chain.spread();
+    chain.deliver();
     let service = &chain.document.services[0];
     assert_eq!((&service.base, &service.next), (&before.base, &before.next));
 
@@ -63,53 +63,53 @@
     );
 }
 
-/// Every server of one service is given to another. One that stayed listed for want of a server
-/// to take its buckets would work for neither.
+/// The only server of a service is assigned to another one. If it stayed listed because no other
+/// server can take its buckets, it would work for neither service.
 #[test]
-fn a_service_can_lose_its_last_server_to_another() {
+fn the_last_server_of_a_service_can_be_reassigned() {
     let mut chain = Chain::new(1);
     chain.apply(&[Toggle(2)]);
     chain.apply(&[Place(1, 2)]);
     for _ in 0..3 {
-        chain.spread();
+        chain.deliver();
         chain.step();
     }
     let other = chain
         .document
-        .service(&front(2))
+        .service(&service_address(2))
         .expect("the other service");
     assert_eq!(count(&other.base, chain.number(1)), BUCKETS);
 }
 
-/// A server is given to another service. While some balancer may still send it the first one's
-/// packets it must not work for the second: a check-in would reach the map service.
+/// A server is assigned to another service. While some balancer may still send it packets of the
+/// first service, it must not work for the second one, which would receive these packets.
 #[test]
-fn a_server_changes_services_only_once_the_first_has_let_go() {
+fn a_server_is_reassigned_only_after_all_balancers_released_it() {
     let mut chain = Chain::new(2);
     chain.apply(&[Toggle(2), Place(9, 2)]);
-    chain.spread();
+    chain.deliver();
     let in_second = |chain: &Chain| {
         let second = chain
             .document
-            .service(&front(2))
+            .service(&service_address(2))
             .expect("the second service");
         second
             .servers
             .iter()
-            .any(|server| server.address == host(2))
+            .any(|server| server.address == server_address(2))
     };
     chain.apply(&[Place(2, 2)]);
-    chain.spread();
+    chain.deliver();
     chain.step();
-    assert_eq!(chain.number(2), None, "the first has let go of it");
+    assert_eq!(chain.number(2), None, "the first service has released it");
     chain.apply(&[Place(8, 2)]);
-    assert!(!in_second(&chain), "some balancers have the tables before");
-    chain.spread();
+    assert!(!in_second(&chain), "some balancers still have older tables");
+    chain.deliver();
     assert!(chain.step() && in_second(&chain));
 }
 
-/// A balancer lags behind with an older configuration than the tables'. What it wrote from it
-/// would take back a change that an operator was told is accepted.
+/// A balancer has an older configuration than the one that the tables were built from. Tables that
+/// it built from it would revert a change that was confirmed to an operator.
 #[test]
 fn an_older_configuration_changes_nothing() {
     let mut chain = Chain::new(2);
@@ -119,23 +119,23 @@
     assert!(!chain.step());
 }
 
-/// A drain is accepted and the store fails before anybody could write the tables for it. New work
-/// must keep away from the server all the same.
+/// The store fails after a drain was accepted and before any balancer wrote the tables for it. The
+/// drained server must not get new flows even so.
 #[test]
-fn servers_that_a_later_configuration_drains_are_known() {
+fn servers_that_a_later_configuration_withdraws_are_listed() {
     let mut chain = Chain::new(4);
     for change in [Drain(2, None), Remove(3), Place(4, 2)] {
         chain.operator.change(change);
     }
-    let closing = withdrawn_servers(&chain.document, &chain.operator.config());
-    let wanted = [2, 3, 4].map(|at| (front(1), chain.number(at).expect("a number")));
-    assert_eq!(closing, wanted);
+    let withdrawn = withdrawn_servers(&chain.document, &chain.operator.config());
+    let wanted = [2, 3, 4].map(|at| (service_address(1), chain.number(at).expect("a number")));
+    assert_eq!(withdrawn, wanted);
 }
 
-/// A service is removed and another created on its address. Pins and packets of the first that
-/// are still under way must not reach the servers of the second.
+/// A service is removed and another one is created at its address. Existing pins and packets in
+/// flight of the first must not reach the servers of the second.
 #[test]
-fn a_service_created_again_is_strict_and_shares_no_number() {
+fn a_recreated_service_is_strict_and_reuses_no_number() {
     let mut chain = Chain::new(3);
     let first = chain.document.services[0].clone();
     chain.apply(&[Toggle(1)]);
@@ -151,10 +151,13 @@
     assert!(tables(&chain.document).services[0].strict);
     let lookup = Lookup::new(&chain.document);
     assert_eq!(
-        lookup.server(&front(1), again.servers[0].number),
-        Some(host(1))
+        lookup.server(&service_address(1), again.servers[0].number),
+        Some(server_address(1))
+    );
+    assert_eq!(
+        lookup.server(&service_address(1), first.servers[0].number),
+        None
     );
-    assert_eq!(lookup.server(&front(1), first.servers[0].number), None);
 
     chain.now += IDLE / 1_000 - 1;
     assert!(!chain.step());
@@ -163,10 +166,10 @@
     assert!(!tables(&chain.document).services[0].strict);
 }
 
-/// An address has had 65,535 servers. One more must not get the number of an earlier one, to
-/// which pins may lead; and other services must not wait for this one to be mended.
+/// All 65,535 server numbers of an address are used. A further server must not get the number of an
+/// earlier one, to which pins may refer, and must not block updates of other services.
 #[test]
-fn servers_without_a_number_are_left_out_and_named() {
+fn servers_without_a_number_are_left_out_and_reported() {
     let mut chain = Chain::new(2);
     chain.document.services[0].next_number = 65_535;
     chain.apply(&[Place(3, 1), Place(4, 1), Toggle(2), Place(9, 2)]);
@@ -177,21 +180,25 @@
 
     let mut config = chain.operator.config();
     config.add_service(Service::new("six", std::net::Ipv6Addr::LOCALHOST, 443, 1));
-    let left = unserved(&chain.document, &config);
-    let left = left
+    let unserved_parts = unserved(&chain.document, &config);
+    let unserved_parts = unserved_parts
         .iter()
         .map(|u| (&*u.service, u.server.as_deref(), u.code.number()));
     let wanted = [("s1", Some("server-4"), 48), ("six", None, 49)];
-    assert_eq!(left.collect::<Vec<_>>(), wanted);
+    assert_eq!(unserved_parts.collect::<Vec<_>>(), wanted);
 }
 
-/// Services come and go at thousands of addresses. The list of these must not outgrow the store,
-/// and forgetting some of them must not make a pin of old lead to a new server.
+/// Services at thousands of addresses are removed. The list of these addresses must stay within the
+/// store's size limit, and an old pin must not refer to a new server at an address that was dropped
+/// from the list.
 #[test]
-fn addresses_beyond_the_bound_still_share_no_number() {
+fn addresses_beyond_the_limit_reuse_no_number() {
     let mut chain = Chain::new(2);
     let retired = (0..=MAX_RETIRED as u16).map(|port| Retired {
-        address: Address { port, ..front(9) },
+        address: Address {
+            port,
+            ..service_address(9)
+        },
         next_number: 10 + u32::from(port),
         at: 1_000,
     });
--- a/crates/tables/tests/it/writer.rs
+++ b/crates/tables/tests/it/writer.rs
@@ -17,7 +17,7 @@
     writer.step(at(now), &|_| false).expect("an action")
 }
 
-/// A ready balancer that has read the store and has tables of two servers in force.
+/// The writer of a ready balancer that has read the store, with tables of two servers in force.
 fn writer(rank: u16) -> Writer {
     let mut writer = Writer::new(0);
     writer.set_rank(Some(rank));
@@ -27,7 +27,7 @@
     writer
 }
 
-/// An operator adds a server to the configuration that `writer` knows.
+/// Reports a configuration to `writer` in which a server was added.
 fn reconfigure(writer: &mut Writer) {
     let mut operator = Operator::new(2);
     operator.change(Change::Place(3, 1));
@@ -46,37 +46,37 @@
 }
 
 /// A change reaches all balancers at once. If each of them wrote, the store would get nine writes
-/// for one; if only the first might, its death would keep the change from coming into force.
+/// instead of one; if only the first could, its failure would keep the change from taking effect.
 #[rstest]
 #[case(0)]
 #[case(1)]
 #[case(8)]
-fn a_balancer_writes_when_those_before_it_had_time_to(#[case] rank: u16) {
+fn a_balancer_writes_after_a_delay_for_each_lower_rank(#[case] rank: u16) {
     let mut writer = writer(rank);
     reconfigure(&mut writer);
-    // Not ready yet: it may not have heard of the tables in force.
+    // Not ready yet: it may not have received the tables in force.
     writer.set_rank(None);
     assert_eq!(step(&mut writer, 0), Action::Idle);
     writer.set_rank(Some(rank));
-    let turn = 10 + u64::from(rank) * RANK_DELAY;
-    for now in (10..turn).step_by(100) {
+    let due = 10 + u64::from(rank) * RANK_DELAY;
+    for now in (10..due).step_by(100) {
         assert_eq!(step(&mut writer, now), Action::Idle);
     }
-    let (expected, document) = written(step(&mut writer, turn));
+    let (expected, document) = written(step(&mut writer, due));
     assert_eq!((expected, document.version), (1, 2));
     // One call at a time.
-    assert_eq!(step(&mut writer, turn + 1), Action::Idle);
+    assert_eq!(step(&mut writer, due + 1), Action::Idle);
 }
 
-/// An answer is lost, or another balancer's tables are heard of before the store tells of them.
-/// A writer that wrote on what it read before would write in vain at each change.
+/// An answer is lost, or another balancer's tables arrive before the store's watch reports them. A
+/// writer that relied on its previous read would then have its write refused at each change.
 #[test]
 fn the_store_is_read_before_a_second_write() {
     let mut writer = writer(0);
     reconfigure(&mut writer);
     let (_, document) = written(step(&mut writer, 0));
     writer.answered(Answer::Lost, 0);
-    assert_eq!(step(&mut writer, 1), Action::Idle, "a pause");
+    assert_eq!(step(&mut writer, 1), Action::Idle, "backoff");
     assert_eq!(step(&mut writer, 1_000), Action::Read);
     let text = document.encode().expect("text");
     assert_eq!(writer.saw_store(2, Some(&text), 1_000), Ok(true));
@@ -92,10 +92,10 @@
     assert_eq!(step(&mut writer, 1_000), Action::Read);
 }
 
-/// The store is down for an hour. Calls that follow each other without a pause would take up the
-/// platform's rate for everybody when it comes back.
+/// The store is down for an hour. Without a backoff, the calls would use up the platform's rate
+/// limit for all clients when it comes back.
 #[test]
-fn calls_to_a_store_that_is_down_are_few() {
+fn calls_back_off_while_the_store_is_down() {
     let mut writer = writer(0);
     reconfigure(&mut writer);
     let mut calls = 0;
@@ -109,10 +109,10 @@
     assert!(calls > 10 && calls <= most, "{calls}");
 }
 
-/// Measured weights change all the time. A version for each would cost pins for the flows that it
-/// moves and a document for every balancer.
+/// Measured weights change all the time. Writing a version for each change would need pins for the
+/// flows that it moves, and a transfer of the document to every balancer.
 #[test]
-fn weights_alone_make_few_versions_and_none_for_noise() {
+fn weight_updates_are_rare_and_ignore_noise() {
     let mut first = writer(0);
     let mut versions = Vec::new();
     for now in (0..=3 * WEIGHT_PERIOD).step_by(100) {
@@ -134,8 +134,8 @@
     }
 }
 
-/// A change of the configuration must not wait for the weights' turn, and must not carry weights
-/// along before it either.
+/// A configuration change must not wait for the period of weight updates, and must not change the
+/// weights before that period ends, either.
 #[test]
 fn a_change_of_configuration_does_not_wait_for_weights() {
     let mut writer = writer(0);
@@ -149,14 +149,15 @@
     assert_eq!(weights.collect::<Vec<_>>(), [NOMINAL_WEIGHT; 3]);
 }
 
-/// A drain's deadline passes while nobody touches the configuration, and something that needs no
-/// new tables was due before. The server's callers would be sent to nobody for good.
+/// A drain's deadline passes without a configuration change, after another due update that needed
+/// no new tables. If the deadline went unnoticed, the server's clients would be sent to a server
+/// that is gone, permanently.
 #[test]
-fn a_deadline_is_noticed_behind_what_was_due_before() {
+fn a_deadline_is_noticed_after_another_due_update() {
     let mut chain = Chain::new(3);
     chain.apply(&[Change::Remove(3), Change::Drain(2, Some(1_060))]);
-    chain.spread();
-    assert!(chain.step(), "the removed server is let go");
+    chain.deliver();
+    assert!(chain.step(), "the removed server is released");
     let mut writer = Writer::new(0);
     writer.set_rank(Some(0));
     writer.saw_config(chain.operator.accepted());
@@ -166,13 +167,14 @@
     assert_eq!(written(step(60_000)).1.services[0].servers.len(), 1);
 }
 
-/// The store comes back from a backup, an operator removed its key, or balancers that were cut
-/// off wrote to another copy of it. One that starts then would take up other tables than the rest.
+/// The store was restored from a backup, its key was removed by an operator, or partitioned
+/// balancers wrote to another copy of it. A balancer that starts then would otherwise use other
+/// tables than the rest.
 #[rstest]
 #[case::older(Some(1), 2)]
 #[case::absent(None, 2)]
 #[case::other_of_the_same_version(Some(2), 3)]
-fn a_store_that_lost_the_tables_gets_them_again(#[case] held: Option<u64>, #[case] next: u64) {
+fn tables_lost_by_the_store_are_written_again(#[case] held: Option<u64>, #[case] next: u64) {
     let mut chain = Chain::new(1);
     let lost = chain.document.clone();
     let text = held.map(|version| Document { version, ..lost }.encode().expect("text"));
@@ -190,10 +192,10 @@
     assert_eq!((expected, &*document), (9, &wanted));
 }
 
-/// A later version of the program, or a hand, has written what this one can't read. It must not
-/// be written over: what it holds may be in force at others.
+/// The stored value was written by a later version of the program, or edited by hand, and can't be
+/// decoded. It must not be overwritten, as it may be in force at other balancers.
 #[test]
-fn tables_that_cannot_be_read_are_left_alone() {
+fn undecodable_tables_are_not_overwritten() {
     let mut writer = writer(0);
     let later = Error::Later { format: 2 };
     assert_eq!(writer.saw_store(7, Some("{\"format\":2}"), 0), Err(later));
