--- a/crates/rollout/tests/it/core.rs
+++ b/crates/rollout/tests/it/core.rs
@@ -29,7 +29,7 @@
     actions.iter().filter_map(fetch).collect()
 }
 
-/// A balancer that serves with that revision in force.
+/// A ready balancer with a revision in force.
 fn serving(revision: u64) -> Rollout {
     let mut core = rollout(9, "hervanta");
     core.step(
@@ -44,10 +44,12 @@
 proptest! {
     #![proptest_config(cases(256))]
 
-    /// A store that was restored, replayed answers, peers that lag and a writer that was paused
-    /// all offer older documents, in any order. What is in force never goes back.
+    /// A restored store, replayed answers, lagging peers and a paused writer all offer older
+    /// documents, in any order. The version in force must never decrease.
     #[test]
-    fn what_is_in_force_never_goes_back(offers in prop::collection::vec((1_u64..12, 0_u8..3), 1..60)) {
+    fn the_version_in_force_never_decreases(
+        offers in prop::collection::vec((1_u64..12, 0_u8..3), 1..60),
+    ) {
         let mut core = rollout(1, "hervanta");
         let (mut now, mut highest) = (ms(0), 0);
         for (revision, source) in offers {
@@ -66,25 +68,25 @@
     }
 }
 
-/// A balancer starts while the store answers an older value than a peer already has in force.
-/// If it served by the store, new callers would reach a server that was drained.
+/// A balancer starts while the store returns an older value than a peer already has in force. If it
+/// used the store's value, new clients would reach a server that was drained.
 #[test]
-fn a_newborn_serves_only_by_the_highest_of_store_and_peers() {
+fn a_starting_balancer_serves_the_highest_version_of_store_and_peers() {
     let mut core = rollout(9, "hervanta");
     core.step(ms(0), Event::View(vec![peer(1, "hervanta")]));
     core.step(ms(10), Event::WatchEnded(Some(answer(4))));
-    let told = core.step(ms(500), heard(1, 5));
+    let announced = core.step(ms(500), heard(1, 5));
     let waiting = core.step(ms(1200), Event::Tick);
     let after = core.step(ms(1300), fetched(1, 5));
-    assert_eq!(fetches(&told), [1]);
+    assert_eq!(fetches(&announced), [1]);
     assert!(!waiting.contains(&Action::Ready));
     assert!(after.contains(&Action::Ready));
     assert_eq!(core.version(), version(5));
 }
 
-/// The store is down when a balancer starts. It must serve by what its peers have.
+/// The store is down when a balancer starts. The balancer must serve with its peers' version.
 #[test]
-fn a_newborn_without_store_serves_by_its_peers() {
+fn a_starting_balancer_serves_its_peers_version_without_the_store() {
     let mut core = rollout(9, "hervanta");
     core.step(ms(0), Event::View(vec![peer(1, "lielahti")]));
     core.step(ms(400), heard(1, 5));
@@ -98,18 +100,20 @@
     assert!(after.contains(&Action::Ready));
 }
 
-/// A balancer that has heard neither store nor peers knows nothing, however long it waits.
+/// A balancer that got a configuration neither from the store nor from peers must not serve,
+/// however long it waits.
 #[test]
-fn a_newborn_that_knows_nothing_never_serves() {
+fn a_starting_balancer_without_a_configuration_never_serves() {
     let mut core = rollout(9, "hervanta");
     core.step(ms(10), Event::WatchEnded(None));
     let late = core.step(ms(60_000), Event::Tick);
     assert!(!late.contains(&Action::Ready));
 }
 
-/// A peer dies while it serves the newest document, or answers nothing. Another holder is asked.
+/// A peer that announced the newest document fails, or does not answer. Another peer that has the
+/// document must be asked.
 #[test]
-fn another_holder_is_asked_when_one_does_not_answer() {
+fn another_peer_is_asked_after_a_timeout() {
     let mut core = serving(1);
     core.step(
         ms(2000),
@@ -123,9 +127,10 @@
     assert_eq!((first, early, second), (vec![2], vec![], vec![1]));
 }
 
-/// The only holder refuses at once, again and again. It must not be asked in a loop.
+/// The only peer that has the newest version always refuses immediately. It must not be asked in a
+/// loop.
 #[test]
-fn a_refusing_holder_is_asked_a_few_times_a_second_at_most() {
+fn a_refusing_peer_is_asked_a_few_times_a_second_at_most() {
     let mut core = serving(1);
     let mut asked = core.step(ms(2000), heard(1, 2));
     for step in 1..=1000 {
@@ -139,10 +144,10 @@
     assert!((2..=5).contains(&asked), "{asked}");
 }
 
-/// Links between data centres are slower and shared by all; a document crosses one only if it
-/// must.
+/// Links between data centres are slower and shared, so a document must only be fetched over them
+/// if no peer of the same data centre has it.
 #[test]
-fn a_holder_in_the_same_data_centre_is_asked_first() {
+fn a_peer_in_the_same_data_centre_is_asked_first() {
     for id in 10..30 {
         let mut core = rollout(id, "hervanta");
         let view = vec![
@@ -159,37 +164,40 @@
     }
 }
 
-/// A later release wrote a document that this one can't understand. It stays with what is in
-/// force, says so once, and does not fetch the same again and again.
+/// A later release wrote a document that this one can't decode. The configuration in force must
+/// stay, and the document must be reported once and not be fetched again.
 #[test]
-fn a_document_that_is_not_understood_changes_nothing() {
+fn an_undecodable_document_is_rejected_once() {
     let mut core = serving(1);
-    let strange = Arc::new(Document {
+    let undecodable = Arc::new(Document {
         text: "[galaxy live]\nshape = spiral\n".into(),
         ..(*document(2)).clone()
     });
     core.step(ms(2000), heard(1, 2));
     let offer = || Event::Fetched {
         peer: 1,
-        document: Some(strange.clone()),
+        document: Some(undecodable.clone()),
     };
     let first = core.step(ms(2100), offer());
     let again = core.step(ms(4000), offer());
     let later = core.step(ms(6000), heard(1, 2));
-    assert_eq!(first, [Action::Reject(Version::of(&strange))]);
+    assert_eq!(first, [Action::Reject(Version::of(&undecodable))]);
     assert_eq!((again, later), (vec![], vec![]));
     assert_eq!(core.version(), version(1));
 }
 
-/// A restored store lets two operators make the same revision. Whichever a balancer hears first,
-/// all end with the same one.
+/// With a restored store, two operators can create documents with the same revision. All balancers
+/// must end with the same document, whichever of them they receive first.
 #[test]
-fn two_documents_of_one_revision_end_the_same_everywhere() {
-    let twin = Arc::new(Document {
+fn balancers_agree_on_one_of_two_documents_with_the_same_revision() {
+    let conflicting = Arc::new(Document {
         change: Id::new(u128::MAX),
         ..(*document(3)).clone()
     });
-    let orders = [[document(3), twin.clone()], [twin.clone(), document(3)]];
+    let orders = [
+        [document(3), conflicting.clone()],
+        [conflicting.clone(), document(3)],
+    ];
     let ends = orders.map(|order| {
         let mut core = rollout(1, "hervanta");
         for document in order {
@@ -203,13 +211,13 @@
         }
         core.version()
     });
-    assert_eq!(ends, [Some(Version::of(&twin)); 2]);
+    assert_eq!(ends, [Some(Version::of(&conflicting)); 2]);
 }
 
-/// A peer dies, and a heartbeat of its comes late. What it had can't be fetched any more; waiting
-/// for it would keep a newborn from ever serving.
+/// A heartbeat of a dead peer arrives late. Its version can't be fetched any more, and waiting for
+/// it would keep a balancer that has just started from ever serving.
 #[test]
-fn a_late_heartbeat_of_a_dead_peer_holds_nobody_up() {
+fn a_late_heartbeat_of_a_dead_peer_is_ignored() {
     let mut core = rollout(9, "hervanta");
     core.step(ms(0), Event::View(vec![peer(1, "hervanta")]));
     core.step(ms(10), Event::WatchEnded(Some(answer(4))));
@@ -220,10 +228,10 @@
     assert!(after.contains(&Action::Ready));
 }
 
-/// Two peers have the change and one of them refuses. Asking the same again would put the change
-/// off for as long as that lasts.
+/// Two peers have the change, and one of them refuses. Asking that one again would delay the change
+/// for as long as it refuses.
 #[test]
-fn after_a_refusal_the_other_holder_is_asked() {
+fn another_peer_is_asked_after_a_refusal() {
     for id in 10..30 {
         let mut core = rollout(id, "hervanta");
         core.step(
@@ -242,19 +250,19 @@
     }
 }
 
-/// A peer tells a newer version than it gives, say because its heartbeat was forged by a replay.
-/// It is taken at what it gives, until it tells anew.
+/// A peer announces a newer version than it returns, for instance in a replayed heartbeat. The
+/// version that it returns must count, until it announces another one.
 #[test]
-fn a_peer_that_gives_less_than_it_tells_is_not_asked_again() {
+fn a_peer_that_returns_less_than_it_announced_is_not_asked_again() {
     let mut core = serving(1);
     let asked = fetches(&core.step(ms(2000), heard(1, 3)));
     core.step(ms(2100), fetched(1, 1));
     let later = fetches(&core.step(ms(9000), Event::Tick));
-    let told_again = fetches(&core.step(ms(9100), heard(1, 3)));
-    assert_eq!((asked, later, told_again), (vec![1], vec![], vec![1]));
+    let announced_again = fetches(&core.step(ms(9100), heard(1, 3)));
+    assert_eq!((asked, later, announced_again), (vec![1], vec![], vec![1]));
 }
 
-/// The revisions for which a watch begins with these actions.
+/// The revisions above which the watches in some actions wait.
 fn watches(actions: &[Action]) -> Vec<u64> {
     let watch = |action: &Action| match action {
         Action::Watch { above } => Some(*above),
@@ -263,43 +271,43 @@
     actions.iter().filter_map(watch).collect()
 }
 
-/// The store was restored from a backup and counts its writes from there. A watch for a revision
-/// above the old ones would tell of no change until the store has counted up again.
+/// The store was restored from a backup and continues to count revisions from there. A watch for a
+/// revision above the old ones would report no change until the store reaches them again.
 #[test]
-fn a_watch_follows_a_restored_store_down() {
+fn a_watch_waits_above_the_revision_of_a_restored_store() {
     let mut core = serving(7);
     let restored = core.step(ms(2000), Event::WatchEnded(Some(answer(3))));
     assert_eq!(watches(&restored), [3]);
     assert_eq!(core.version(), version(7));
 }
 
-/// The process was stopped in the middle of a watch, or the answer got lost inside it. Without a
-/// limit it would wait for that answer for good.
+/// The process was stopped during a watch, or the answer was lost within it. Without a timeout, it
+/// would wait for that answer forever.
 #[test]
-fn a_watch_without_an_end_is_made_again() {
+fn a_watch_without_a_result_is_started_again() {
     let mut core = serving(1);
     let waiting = watches(&core.step(ms(9_000), Event::Tick));
     let again = watches(&core.step(ms(10_010), Event::Tick));
     assert_eq!((waiting, again), (vec![], vec![1]));
 }
 
-/// The store refuses every watch at once. All watchers of a fleet would keep it down if they
-/// came back without pause, and would miss its return if they paused for long.
+/// The store refuses every watch immediately. If the watchers retried without a backoff, they would
+/// keep it overloaded; with too long a backoff, they would notice its recovery late.
 #[test]
-fn a_refusing_store_is_asked_ever_more_rarely() {
+fn watches_back_off_while_the_store_refuses_them() {
     let mut core = serving(1);
-    let mut begun = Vec::new();
+    let mut started = Vec::new();
     for at in 2_000..62_000 {
-        let actions = match begun.last() {
+        let actions = match started.last() {
             Some(last) if at - last == 1 => core.step(ms(at), Event::WatchEnded(None)),
             None => core.step(ms(at), Event::WatchEnded(None)),
             Some(_) => core.step(ms(at), Event::Tick),
         };
         if !watches(&actions).is_empty() {
-            begun.push(at);
+            started.push(at);
         }
     }
-    let longest = begun.windows(2).map(|pair| pair[1] - pair[0]).max();
-    assert!((15..60).contains(&begun.len()), "{}", begun.len());
+    let longest = started.windows(2).map(|pair| pair[1] - pair[0]).max();
+    assert!((15..60).contains(&started.len()), "{}", started.len());
     assert!(longest <= Some(4_001), "{longest:?}");
 }
--- a/crates/rollout/tests/it/faults.rs
+++ b/crates/rollout/tests/it/faults.rs
@@ -1,28 +1,28 @@
 use crate::fixture::cases;
 use proptest::prelude::*;
 
-use crate::{fixture::ms, world::World};
+use crate::{fixture::ms, simulation::Simulation};
 
-/// Something that happens to the fleet.
+/// A change or a fault that happens to the balancers.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     /// An operator's change is accepted.
     Accept,
-    /// A balancer loses the store.
+    /// A balancer can't reachable the store any more.
     LoseStore(u16),
-    /// A balancer reaches the store again.
-    FindStore(u16),
-    /// The store answers older values, or stops doing so.
+    /// A balancer can reachable the store again.
+    RegainStore(u16),
+    /// Whether the store returns outdated values.
     Stale(bool),
-    /// A balancer is replaced by a new one without memory.
+    /// A balancer restarts without state.
     Replace(u16),
-    /// A balancer is stopped, unaware, with all that it was waiting for.
+    /// A balancer's process is stopped, with its calls in progress.
     Pause(u16),
-    /// It goes on.
+    /// A balancer's process continues.
     Resume(u16),
-    /// Two balancers can't reach each other.
+    /// Two balancers can't reachable each other.
     Cut(u16, u16),
-    /// A heartbeat and a document from long ago arrive again.
+    /// A balancer receives an old heartbeat and an old document again, as if from another.
     Replay(u16, u16),
 }
 
@@ -34,7 +34,7 @@
     prop_oneof![
         3 => Just(Fault::Accept),
         2 => one.clone().prop_map(Fault::LoseStore),
-        1 => one.clone().prop_map(Fault::FindStore),
+        1 => one.clone().prop_map(Fault::RegainStore),
         1 => any::<bool>().prop_map(Fault::Stale),
         2 => one.clone().prop_map(Fault::Replace),
         1 => one.clone().prop_map(Fault::Pause),
@@ -44,40 +44,41 @@
     ]
 }
 
-fn bring_about(world: &mut World, fault: Fault) {
+fn inject(simulation: &mut Simulation, fault: Fault) {
     match fault {
-        Fault::Accept => world.accept(),
-        Fault::LoseStore(id) => world.set_store(|reach| reach[usize::from(id)] = false),
-        Fault::FindStore(id) => world.set_store(|reach| reach[usize::from(id)] = true),
-        Fault::Stale(stale) => world.stale = stale,
-        Fault::Replace(id) => world.replace(id),
-        Fault::Pause(id) => world.pause(id, true),
-        Fault::Resume(id) => world.pause(id, false),
-        Fault::Cut(a, b) => world.cut(a, b),
-        Fault::Replay(a, b) => world.replay(a, b),
+        Fault::Accept => simulation.accept(),
+        Fault::LoseStore(id) => simulation.set_reachable(|reach| reach[usize::from(id)] = false),
+        Fault::RegainStore(id) => simulation.set_reachable(|reach| reach[usize::from(id)] = true),
+        Fault::Stale(stale) => simulation.stale = stale,
+        Fault::Replace(id) => simulation.replace(id),
+        Fault::Pause(id) => simulation.pause(id, true),
+        Fault::Resume(id) => simulation.pause(id, false),
+        Fault::Cut(a, b) => simulation.cut(a, b),
+        Fault::Replay(a, b) => simulation.replay(a, b),
     }
 }
 
 proptest! {
     #![proptest_config(cases(96))]
 
-    /// Balancers are replaced and paused, lose the store and each other, and hear old news, while
-    /// operators make changes. The world itself checks, at every step, that no balancer goes back
-    /// and that none serves by less than it could have learned. When the faults are over, every
-    /// balancer has the newest change.
+    /// Balancers restart and are stopped, lose connections to the store and to each other, and
+    /// receive outdated messages, while operators make changes. The simulation checks at every step
+    /// that no balancer reverts to an older version, and that none becomes ready with an older
+    /// version than its peers announced. After the faults have ended, every balancer must have the
+    /// newest change.
     #[test]
-    fn faults_revert_nothing_and_leave_no_one_behind(
+    fn balancers_converge_after_faults_without_reverting(
         faults in prop::collection::vec((fault(), 1_u64..30), 1..25),
     ) {
-        let mut world = World::new(BALANCERS, 3);
-        world.accept();
-        world.run(ms(3_000));
+        let mut simulation = Simulation::new(BALANCERS, 3);
+        simulation.accept();
+        simulation.run(ms(3_000));
         for (fault, tenths) in faults {
-            bring_about(&mut world, fault);
-            world.run(ms(tenths * 100));
+            inject(&mut simulation, fault);
+            simulation.run(ms(tenths * 100));
         }
-        world.heal();
-        world.run(ms(8_000));
-        prop_assert_eq!(world.lagging(), [0_u16; 0]);
+        simulation.heal();
+        simulation.run(ms(8_000));
+        prop_assert_eq!(simulation.lagging(), [0_u16; 0]);
     }
 }
--- a/crates/rollout/tests/it/fixture.rs
+++ b/crates/rollout/tests/it/fixture.rs
@@ -7,7 +7,7 @@
 };
 use acacia_rollout::{Options, Peer, Rollout, StoreEntry};
 
-/// So many cases from a fixed seed: the verdict is the same on every run.
+/// Runs a number of cases from a fixed seed, so that every run has the same result.
 pub fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -36,7 +36,7 @@
     Rollout::new(options, Duration::ZERO)
 }
 
-/// The document of that revision, as in a history without conflicts.
+/// The document of a revision, in a history without conflicting changes.
 pub fn document(revision: u64) -> Arc<Document> {
     let mut config = Config::default();
     config.add_service(Service::new(
@@ -56,7 +56,7 @@
     Arc::new(Document { revision, ..first })
 }
 
-/// What a store answers that holds that revision.
+/// The answer of a store that has the document of a revision.
 pub fn answer(revision: u64) -> StoreEntry {
     StoreEntry {
         revision,
--- a/crates/rollout/tests/it/main.rs
+++ b/crates/rollout/tests/it/main.rs
@@ -1,8 +1,8 @@
-//! Tests of the rollout: the core alone, and several cores with a small fake of store, heartbeats
-//! and fetches between them.
+//! Tests of the rollout: a single state machine, and several of them with a simulated store,
+//! heartbeats and fetches.
 
 mod core;
 mod faults;
 mod fixture;
+mod simulation;
 mod store;
-mod world;
--- a/crates/rollout/tests/it/world.rs
+++ b/crates/rollout/tests/it/simulation.rs
@@ -1,5 +1,6 @@
-//! Several cores, and between them a small fake of the store, the heartbeats and the fetches. Time
-//! goes in steps of a tenth of a second. It checks what must hold at every step.
+//! A simulation of several balancers with the store, heartbeats and fetches, in steps of 100 ms. It
+//! checks at every step that no balancer reverts, and that none becomes ready with an older version
+//! than its peers announced.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -8,60 +9,62 @@
 
 use crate::fixture::{document, ms, peer};
 
+/// Milliseconds between steps.
 const STEP: u64 = 100;
+/// Milliseconds between a balancer's heartbeats.
 const HEARTBEAT: u64 = 500;
-/// How long a store that can't be reached takes to be noticed.
-const STORE_DEADLINE: u64 = 1000;
-/// How long a watch without a change takes.
-const WATCH: u64 = 2000;
+/// Milliseconds after which a watch fails if the store can't be reached.
+const STORE_TIMEOUT: u64 = 1000;
+/// Milliseconds after which a watch without a change ends.
+const WATCH_TIMEOUT: u64 = 2000;
 
 struct Balancer {
     core: Rollout,
     paused: bool,
-    /// Revision that the watch waits to see passed, and since when.
+    /// The revision that the watch waits to be exceeded, and the time at which it started.
     watch: Option<(u64, Duration)>,
     fetch: Option<u16>,
-    /// What the last heartbeat of each peer said, for those that it still sees.
-    told: Vec<Option<Version>>,
-    /// The highest version in force so far.
+    /// The version in the last heartbeat of each peer that is live in this balancer's view.
+    announced: Vec<Option<Version>>,
+    /// The highest version that has been in force.
     highest: Option<Version>,
 }
 
-pub struct World {
+pub struct Simulation {
     now: Duration,
-    centres: u16,
+    data_centres: u16,
     balancers: Vec<Balancer>,
     accepted: Vec<Arc<Document>>,
-    reach: Vec<bool>,
+    reachable: Vec<bool>,
     pub stale: bool,
     cuts: BTreeSet<(u16, u16)>,
     watches: usize,
 }
 
-impl World {
-    /// Balancers spread evenly over data centres, all healthy.
-    pub fn new(balancers: u16, centres: u16) -> Self {
-        let mut world = World {
+impl Simulation {
+    /// Balancers spread evenly over data data_centres, without faults.
+    pub fn new(balancers: u16, data_centres: u16) -> Self {
+        let mut simulation = Simulation {
             now: Duration::ZERO,
-            centres,
+            data_centres,
             balancers: Vec::new(),
             accepted: Vec::new(),
-            reach: vec![true; balancers.into()],
+            reachable: vec![true; balancers.into()],
             stale: false,
             cuts: BTreeSet::new(),
             watches: 0,
         };
-        world.balancers = (0..balancers)
-            .map(|id| world.newborn(id, balancers))
+        simulation.balancers = (0..balancers)
+            .map(|id| simulation.starting_balancer(id, balancers))
             .collect();
-        world
+        simulation
     }
 
     fn peer(&self, id: u16) -> Peer {
-        peer(id, &format!("dc-{}", id % self.centres))
+        peer(id, &format!("dc-{}", id % self.data_centres))
     }
 
-    fn newborn(&self, id: u16, balancers: u16) -> Balancer {
+    fn starting_balancer(&self, id: u16, balancers: u16) -> Balancer {
         let me = self.peer(id);
         let seed = id.into();
         Balancer {
@@ -69,7 +72,7 @@
             paused: false,
             watch: None,
             fetch: None,
-            told: vec![None; balancers.into()],
+            announced: vec![None; balancers.into()],
             highest: None,
         }
     }
@@ -80,13 +83,13 @@
         self.accepted.push(document(revision));
     }
 
-    pub fn set_store(&mut self, change: impl FnOnce(&mut [bool])) {
-        change(&mut self.reach);
+    pub fn set_reachable(&mut self, change: impl FnOnce(&mut [bool])) {
+        change(&mut self.reachable);
     }
 
     pub fn replace(&mut self, id: u16) {
         let balancers = self.balancers.len() as u16;
-        self.balancers[usize::from(id)] = self.newborn(id, balancers);
+        self.balancers[usize::from(id)] = self.starting_balancer(id, balancers);
     }
 
     pub fn pause(&mut self, id: u16, paused: bool) {
@@ -97,7 +100,7 @@
         self.cuts.insert((a.min(b), a.max(b)));
     }
 
-    /// Old news arrive again, as a heartbeat, a fetched document and a store's answer.
+    /// Delivers the first version again, as a heartbeat and as a fetched document.
     pub fn replay(&mut self, from: u16, to: u16) {
         let Some(old) = self.accepted.first().cloned() else {
             return;
@@ -122,9 +125,9 @@
         }
     }
 
-    /// Every fault ends.
+    /// Ends all faults.
     pub fn heal(&mut self) {
-        self.reach.fill(true);
+        self.reachable.fill(true);
         self.stale = false;
         self.cuts.clear();
         for balancer in &mut self.balancers {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// The balancers that don't have the newest change in force or don't serve.
+    /// The balancers that don't have the newest change in force or are not ready.
     pub fn lagging(&self) -> Vec<u16> {
         let newest = self.accepted.last().map(|document| Version::of(document));
         let lags = |id: &u16| {
@@ -142,7 +145,7 @@
         self.ids().filter(lags).collect()
     }
 
-    /// Watches begun so far.
+    /// The number of watches started so far.
     pub fn watches(&self) -> usize {
         self.watches
     }
@@ -173,7 +176,7 @@
             && !self.balancers[usize::from(b)].paused
     }
 
-    /// Heartbeats, and once in a while the view that follows from them.
+    /// Delivers heartbeats to a balancer, and the view of live peers that follows from them.
     fn refresh(&mut self, id: u16) {
         let at = self.now.as_millis() as u64 + u64::from(id) * STEP;
         if !at.is_multiple_of(HEARTBEAT) {
@@ -182,13 +185,13 @@
         let linked = |other: &u16| *other != id && self.linked(id, *other);
         let seen: Vec<u16> = self.ids().filter(linked).collect();
         for other in self.ids().filter(|other| !seen.contains(other)) {
-            self.balancers[usize::from(id)].told[usize::from(other)] = None;
+            self.balancers[usize::from(id)].announced[usize::from(other)] = None;
         }
         let view = seen.iter().map(|other| self.peer(*other)).collect();
         self.step(id, Event::View(view));
         for other in seen {
             let version = self.balancers[usize::from(other)].core.version();
-            self.balancers[usize::from(id)].told[usize::from(other)] = version;
+            self.balancers[usize::from(id)].announced[usize::from(other)] = version;
             self.step(
                 id,
                 Event::Heartbeat {
@@ -210,9 +213,9 @@
         } else {
             stored
         };
-        let event = match self.reach[usize::from(id)] {
-            false if waited >= ms(STORE_DEADLINE) => Event::WatchEnded(None),
-            true if revision > above || waited >= ms(WATCH) => {
+        let event = match self.reachable[usize::from(id)] {
+            false if waited >= ms(STORE_TIMEOUT) => Event::WatchEnded(None),
+            true if revision > above || waited >= ms(WATCH_TIMEOUT) => {
                 let document = revision
                     .checked_sub(1)
                     .map(|at| self.accepted[at as usize].clone());
@@ -224,7 +227,7 @@
         self.step(id, event);
     }
 
-    /// A peer out of reach never answers.
+    /// Delivers a peer's answer, unless the peer can't be reached.
     fn answer_fetch(&mut self, id: u16) {
         let Some(peer) = self.balancers[usize::from(id)].fetch else {
             return;
@@ -232,8 +235,8 @@
         if !self.linked(id, peer) {
             return;
         }
-        let held = self.balancers[usize::from(peer)].core.active();
-        let document = held.map(|held| Arc::clone(&held.document));
+        let active = self.balancers[usize::from(peer)].core.active();
+        let document = active.map(|active| Arc::clone(&active.document));
         self.balancers[usize::from(id)].fetch = None;
         self.step(id, Event::Fetched { peer, document });
     }
@@ -248,19 +251,19 @@
                     self.watches += 1;
                 }
                 Action::Fetch { peer } => balancer.fetch = Some(peer),
-                Action::Enforce(held) => {
-                    let version = Some(Version::of(&held.document));
-                    assert!(version > balancer.highest, "balancer {id} went back");
+                Action::Enforce(active) => {
+                    let version = Some(Version::of(&active.document));
+                    assert!(version > balancer.highest, "balancer {id} reverted");
                     balancer.highest = version;
                 }
                 Action::Ready => {
-                    let told = balancer.told.iter().max().copied().flatten();
+                    let announced = balancer.announced.iter().max().copied().flatten();
                     assert!(
-                        balancer.highest >= told,
-                        "balancer {id} serves by an old version"
+                        balancer.highest >= announced,
+                        "balancer {id} is ready with an old version"
                     );
                 }
-                Action::Reject(version) => panic!("every document is sound: {version:?}"),
+                Action::Reject(version) => panic!("a valid document was rejected: {version:?}"),
             }
         }
         assert_eq!(balancer.core.version(), balancer.highest);
