--- a/crates/tables/src/writer.rs
+++ b/crates/tables/src/writer.rs
@@ -38,12 +38,12 @@
 /// backend server changes over tens of seconds. Configuration changes are not delayed by this.
 pub const WEIGHT_PERIOD: u64 = 10_000;
 /// Milliseconds to wait after the first failed call; backoff for each further failure.
-pub const SHORTEST_PAUSE: u64 = 250;
+pub const MIN_BACKOFF: u64 = 250;
 /// Maximum milliseconds to wait after a failed call.
 ///
 /// The store may be down for hours, and calls must not pile up when it comes back: 9 balancers
 /// make at most 5 calls a second. A change waits for at most 4 s.
-pub const LONGEST_PAUSE: u64 = 4_000;
+pub const MAX_BACKOFF: u64 = 4_000;
 
 /// The content of the store's key as last seen.
 #[derive(Debug)]
@@ -236,8 +236,8 @@
     }
 
     fn back_off(&mut self, now: u64) {
-        let backoff = SHORTEST_PAUSE << self.failures.saturating_sub(1).min(10);
-        self.backoff_until = now + backoff.min(LONGEST_PAUSE);
+        let backoff = MIN_BACKOFF << self.failures.saturating_sub(1).min(10);
+        self.backoff_until = now + backoff.min(MAX_BACKOFF);
     }
 
     fn adopt(&mut self, document: Arc<Document>, now: u64) -> bool {
--- a/crates/tables/tests/it/writer.rs
+++ b/crates/tables/tests/it/writer.rs
@@ -2,7 +2,7 @@
 
 use acacia_tables::{
     Document, Error, NOMINAL_WEIGHT,
-    writer::{Action, Answer, LONGEST_PAUSE, Moment, RANK_DELAY, WEIGHT_PERIOD, Writer},
+    writer::{Action, Answer, MAX_BACKOFF, Moment, RANK_DELAY, WEIGHT_PERIOD, Writer},
 };
 use rstest::rstest;
 
@@ -105,7 +105,7 @@
             writer.answered(Answer::Unreached, now);
         }
     }
-    let most = 3_600_000 / LONGEST_PAUSE + 8;
+    let most = 3_600_000 / MAX_BACKOFF + 8;
     assert!(calls > 10 && calls <= most, "{calls}");
 }
 
