--- a/crates/rollout/src/join.rs
+++ b/crates/rollout/src/join.rs
@@ -44,8 +44,8 @@
         self.ready
     }
 
-    /// Whether the balancer becomes ready now. `has_highest` tells that it has a configuration and
-    /// that no live peer has a newer one.
+    /// Whether the balancer becomes ready now. `has_highest` is whether it has a configuration and
+    /// no live peer has a newer one.
     pub(crate) fn becomes_ready(&mut self, now: Duration, has_highest: bool) -> bool {
         let listened = now >= self.started + LISTEN_TIME;
         let asked = self.store_asked || now >= self.started + STORE_TIMEOUT;
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -110,7 +110,7 @@
             }
             Event::Tick => {}
         }
-        self.plan(now, &mut actions);
+        self.advance(now, &mut actions);
         actions
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Starts a fetch and a watch where they are due, and checks whether the balancer may serve.
-    fn plan(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let newest = self.peers.highest(&self.rejected);
         let behind = newest.filter(|newest| Some(*newest) > self.version());
         if let Some(version) = behind {
