--- a/crates/tables/tests/it/fleet.rs
+++ b/crates/tables/tests/it/fleet.rs
@@ -24,15 +24,15 @@
     /// All balancers measure a weight of the server on a host.
     Weigh(u8, u32),
     /// A balancer receives the configuration as of some changes ago.
-    Hear(usize, usize),
+    ReceiveConfig(usize, usize),
     /// A balancer steps its writer and starts the resulting call.
     Decide(usize),
     /// A balancer's call ends.
     Finish(usize, CallEnd),
     /// A balancer's watch returns the store's content as of some writes ago.
     Watch(usize, usize),
-    /// A balancer receives another's tables.
-    Pass(usize, usize),
+    /// The second balancer receives the tables of the first.
+    ReceiveTables(usize, usize),
     /// A balancer's rank changes, possibly to a wrong one.
     Rank(usize, Option<u16>),
     /// Milliseconds pass.
@@ -67,11 +67,11 @@
     prop_oneof![
         4 => change().prop_map(Event::Apply),
         1 => (1_u8..8, 0_u32..3_000).prop_map(|(host, weight)| Event::Weigh(host, weight)),
-        4 => (at(), ago()).prop_map(|(at, ago)| Event::Hear(at, ago)),
+        4 => (at(), ago()).prop_map(|(at, ago)| Event::ReceiveConfig(at, ago)),
         8 => at().prop_map(Event::Decide),
         8 => (at(), end_kind).prop_map(|(at, end_kind)| Event::Finish(at, end_kind)),
         4 => (at(), ago()).prop_map(|(at, ago)| Event::Watch(at, ago)),
-        2 => (at(), at()).prop_map(|(from, to)| Event::Pass(from, to)),
+        2 => (at(), at()).prop_map(|(from, to)| Event::ReceiveTables(from, to)),
         2 => (at(), prop::option::of(0_u16..2)).prop_map(|(at, rank)| Event::Rank(at, rank)),
         3 => (0_u64..6_000).prop_map(Event::Wait),
     ]
@@ -173,7 +173,7 @@
                     writer.set_weights(weights.clone().collect());
                 }
             }
-            Event::Hear(at, ago) => {
+            Event::ReceiveConfig(at, ago) => {
                 let index = (self.accepted.len() - 1).saturating_sub(ago);
                 self.writers[at].saw_config(Arc::clone(&self.accepted[index]));
             }
@@ -185,7 +185,7 @@
                 let read = self.writers[at].saw_store(revision as u64, value, self.now);
                 read.expect("a document");
             }
-            Event::Pass(from, to) => {
+            Event::ReceiveTables(from, to) => {
                 let document = self.writers[from].current().cloned();
                 document.map(|document| self.writers[to].saw_tables(document, self.now));
             }
@@ -206,7 +206,7 @@
             for at in 0..BALANCERS {
                 self.finish(at, CallEnd::Answered);
                 self.handle(Event::Rank(at, Some(at as u16)));
-                self.handle(Event::Hear(at, 0));
+                self.handle(Event::ReceiveConfig(at, 0));
                 self.handle(Event::Watch(at, 0));
                 self.decide(at);
             }
