--- a/crates/tables/src/number.rs
+++ b/crates/tables/src/number.rs
@@ -53,8 +53,8 @@
 
 /// A backend server that the tables no longer refer to.
 ///
-/// A balancer with older tables still sends it packets of its former service. It is not assigned
-/// to another service before all balancers are known to have newer tables.
+/// A balancer with older tables still sends it packets of its former service. The server is
+/// not assigned to another service before all balancers are known to have newer tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Released {
     /// Where the server receives encapsulated packets.
--- a/crates/tables/src/update.rs
+++ b/crates/tables/src/update.rs
@@ -23,11 +23,11 @@
 pub struct UpdateContext<'a> {
     /// The Unix time in seconds.
     pub now: u64,
-    /// Whether every balancer is known to have at least the tables of a version
+    /// Whether every balancer is known to have the tables of a version, or later ones
     /// ([`acacia_flow::Control::is_known_everywhere`]).
     pub is_known: &'a dyn Fn(u64) -> bool,
-    /// The weight to give a server, by the names of its service and itself, where
-    /// [`NOMINAL_WEIGHT`] stands for average speed; `None` keeps the weight it has.
+    /// The weight to set for a server, by the service's name and the server's name; `None` keeps
+    /// the server's weight. [`NOMINAL_WEIGHT`] stands for average speed.
     pub weight: &'a dyn Fn(&str, &str) -> Option<u32>,
 }
 
@@ -238,7 +238,8 @@
         }
     }
 
-    /// Returns the configured servers of a service that neither it nor another service has yet.
+    /// Returns the configured servers to add to a service: those that no service lists, and that no
+    /// balancer may still use for another service.
     fn added_servers(
         &self,
         service: &Service,
--- a/crates/tables/src/writer.rs
+++ b/crates/tables/src/writer.rs
@@ -37,7 +37,7 @@
 /// balancer, and moves new flows off their base, where each of them needs a pin. The speed of a
 /// backend server changes over tens of seconds. Configuration changes are not delayed by this.
 pub const WEIGHT_PERIOD: u64 = 10_000;
-/// Milliseconds to wait after the first failed call; backoff for each further failure.
+/// Milliseconds to wait after the first failed call; doubled for each further failure.
 pub const MIN_BACKOFF: u64 = 250;
 /// Maximum milliseconds to wait after a failed call.
 ///
@@ -226,7 +226,7 @@
                 return self.adopt(document, now);
             }
             Answer::Read => return false,
-            // Another balancer wrote first, or an earlier write took effect. The next read tells.
+            // Another balancer wrote first, or an earlier write took effect. The next read shows which.
             Answer::Conflict => self.failures = 0,
             Answer::Lost | Answer::Unreached => self.failures += 1,
         }
