--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -19,7 +19,7 @@
 /// deadlines end a watch within 7 s; this one is for a result that was lost within the process, or
 /// while the process was stopped.
 const RESULT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum backoff after the first failure; backoff with each further failure.
+/// Maximum backoff after the first failure; doubled with each further failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(250);
 /// Maximum backoff after any failure, and so the longest time to notice that the store is back.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
@@ -48,8 +48,8 @@
     }
 
     /// Records an answer of the store. The next watch waits for a revision above that of the
-    /// answer, even if it is lower than before: a store that was restored from a backup counts on
-    /// from there.
+    /// answer, even if it is lower than before: a store that was restored from a backup
+    /// continues to count from there.
     pub(crate) fn answered(&mut self, revision: u64, now: Duration) {
         self.above = revision;
         self.started = None;
--- a/crates/rollout/tests/it/faults.rs
+++ b/crates/rollout/tests/it/faults.rs
@@ -8,9 +8,9 @@
 enum Fault {
     /// An operator's change is accepted.
     Accept,
-    /// A balancer can't reachable the store any more.
+    /// A balancer can't reach the store any more.
     LoseStore(u16),
-    /// A balancer can reachable the store again.
+    /// A balancer can reach the store again.
     RegainStore(u16),
     /// Whether the store returns outdated values.
     Stale(bool),
@@ -20,7 +20,7 @@
     Pause(u16),
     /// A balancer's process continues.
     Resume(u16),
-    /// Two balancers can't reachable each other.
+    /// Two balancers can't reach each other.
     Cut(u16, u16),
     /// A balancer receives an old heartbeat and an old document again, as if from another.
     Replay(u16, u16),
--- a/crates/rollout/tests/it/simulation.rs
+++ b/crates/rollout/tests/it/simulation.rs
@@ -42,7 +42,7 @@
 }
 
 impl Simulation {
-    /// Balancers spread evenly over data data_centres, without faults.
+    /// Balancers spread evenly over data centres, without faults.
     pub fn new(balancers: u16, data_centres: u16) -> Self {
         let mut simulation = Simulation {
             now: Duration::ZERO,
--- a/crates/rollout/tests/it/store.rs
+++ b/crates/rollout/tests/it/store.rs
@@ -4,7 +4,8 @@
 use crate::{fixture::ms, simulation::Simulation};
 
 /// The platform counts each waiting watch, and its rate limits grow more slowly than the number of
-/// balancers. While nothing changes, a data centre of any size must make two watches every 2 s.
+/// balancers. While nothing changes, a data centre of any size must make at most two watches
+/// every 2 s.
 #[rstest]
 #[case(4)]
 #[case(60)]
