--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -4,7 +4,7 @@
 
 use crate::{ActiveConfig, Version};
 
-/// Another balancer.
+/// A balancer: this one or a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// The balancer's id.
--- a/crates/tables/src/writer.rs
+++ b/crates/tables/src/writer.rs
@@ -226,7 +226,8 @@
                 return self.adopt(document, now);
             }
             Answer::Read => return false,
-            // Another balancer wrote first, or an earlier write took effect. The next read shows which.
+            // Another balancer wrote first, or an earlier write took effect. The next read shows
+            // which.
             Answer::Conflict => self.failures = 0,
             Answer::Lost | Answer::Unreached => self.failures += 1,
         }
