--- a/crates/node/src/control/core/status.rs
+++ b/crates/node/src/control/core/status.rs
@@ -9,7 +9,7 @@
 use acacia_flow::{Shards, control::Stage};
 use acacia_member::{Member, State};
 use acacia_rollout::Version;
-use acacia_tables::{Situation, follow};
+use acacia_tables::{UpdateContext, next_document};
 use acacia_wire::collections::Map;
 
 use super::{Core, member::MACHINE};
@@ -149,12 +149,12 @@
             return true;
         };
         // What a change brings at once: bases move later, when all know of it.
-        let situation = Situation {
+        let situation = UpdateContext {
             now: unix.as_secs(),
             is_known: &|_| false,
             weight: &|_, _| None,
         };
-        !matches!(follow(Some(document), config, &situation), Ok(None))
+        !matches!(next_document(Some(document), config, &situation), Ok(None))
     }
 
     /// Whether operators have to ask the member whether a change is in force there: all but those
--- a/crates/node/tests/it/status.rs
+++ b/crates/node/tests/it/status.rs
@@ -12,8 +12,8 @@
     control::{agreement::Entry, core::Core, platform::News},
     settings::Settings,
 };
-use acacia_rollout::Answer;
-use acacia_tables::{Situation, follow};
+use acacia_rollout::StoreEntry;
+use acacia_tables::{UpdateContext, next_document};
 
 use crate::settings::valid;
 
@@ -52,19 +52,19 @@
 }
 
 pub fn config(document: &Document) -> News {
-    News::Config(Some(Answer {
+    News::Config(Some(StoreEntry {
         revision: document.revision,
         document: Some(Arc::new(document.clone())),
     }))
 }
 
 pub fn tables(before: Option<&acacia_tables::Document>, of: &Document) -> acacia_tables::Document {
-    let situation = Situation {
+    let situation = UpdateContext {
         now: 0,
         is_known: &|_| true,
         weight: &|_, _| None,
     };
-    follow(before, of, &situation).unwrap().unwrap()
+    next_document(before, of, &situation).unwrap().unwrap()
 }
 
 pub fn stored(tables: &acacia_tables::Document) -> News {
