--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -228,7 +228,7 @@
         let jump = now.saturating_sub(self.last_advance);
         self.last_advance = self.last_advance.max(now);
         if jump > self.settings.suspension_threshold_at(self.interval()) {
-            self.rejoin(now, Cause::Suspended(jump));
+            self.rejoin(now, Cause::Frozen(jump));
         }
         if let Some(known) = self
             .outdated
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -127,7 +127,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
     /// The process was suspended for this long.
-    Suspended(Duration),
+    Frozen(Duration),
     /// Peers know this later incarnation: the clock that the incarnation was taken from was set
     /// back, or another balancer has the same id.
     Outdated(u64),
@@ -178,7 +178,7 @@
                 to: State::Dead, ..
             } => Some(Code::MemberDead),
             Event::Rejoined {
-                cause: Cause::Suspended(_),
+                cause: Cause::Frozen(_),
                 ..
             } => Some(Code::MemberFrozen),
             Event::Rejoined {
--- a/crates/member/tests/it/faults.rs
+++ b/crates/member/tests/it/faults.rs
@@ -96,7 +96,7 @@
         let node = net.node(1);
         prop_assert_eq!(node.group.incarnation(), before + 1);
         prop_assert_eq!(node.group.phase(), Phase::Joining);
-        let rejoined = |event: &Event| matches!(event, Event::Rejoined { cause: Cause::Suspended(_), .. });
+        let rejoined = |event: &Event| matches!(event, Event::Rejoined { cause: Cause::Frozen(_), .. });
         prop_assert_eq!(node.events.iter().filter(|event| rejoined(event)).count(), 1);
         prop_assert!(!net.is_sure(1), "it may not know all members yet");
         net.run(Duration::from_secs(3));
--- a/crates/node/src/control/core/rejoin.rs
+++ b/crates/node/src/control/core/rejoin.rs
@@ -80,5 +80,5 @@
 /// [`FlowSettings::stall_timeout`] callers may have used their ports again.
 fn keeps_pins(cause: Cause) -> bool {
     let lapse = Duration::from_millis(FlowSettings::default().stall_timeout);
-    matches!(cause, Cause::Suspended(jump) if jump <= lapse)
+    matches!(cause, Cause::Frozen(jump) if jump <= lapse)
 }
