--- a/crates/catalog/src/member.rs
+++ b/crates/catalog/src/member.rs
@@ -72,24 +72,24 @@
 
 /// The other balancers that are known to be alive.
 #[derive(Debug, Clone, Default)]
-pub struct MemberList {
+pub struct Members {
     members: BTreeMap<SocketAddrV4, Record>,
     /// Expired members. Their last beats are kept so that an old message that is still in transit
     /// doesn't put them on the list again.
     expired: BTreeMap<SocketAddrV4, Record>,
 }
 
-impl MemberList {
+impl Members {
     /// Merges a received description of a balancer; returns true if the balancer was not on the list.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_catalog::member::{MemberList, Member};
+    /// use acacia_catalog::member::{Members, Member};
     /// let member = Member {
     ///     address: "10.0.0.1:7000".parse().unwrap(), data_centre: "lima-a".into(),
     ///     incarnation: 1, beat: 1, sighted: true, leaving: false,
     /// };
-    /// let mut list = MemberList::default();
+    /// let mut list = Members::default();
     /// assert!(list.merge(member.clone(), Duration::ZERO));
     /// assert!(!list.merge(member, Duration::from_secs(1)), "already on the list");
     /// assert_eq!(list.expire(Duration::from_secs(7)).len(), 1);
@@ -128,12 +128,12 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_catalog::member::{Heartbeat, MemberList, Member};
+    /// use acacia_catalog::member::{Heartbeat, Members, Member};
     /// let mut member = Member {
     ///     address: "10.0.0.1:7000".parse().unwrap(), data_centre: "lima-a".into(),
     ///     incarnation: 1, beat: 1, sighted: true, leaving: false,
     /// };
-    /// let mut list = MemberList::default();
+    /// let mut list = Members::default();
     /// assert!(!list.confirm(&Heartbeat::from(&member), Duration::ZERO), "unknown");
     /// list.merge(member.clone(), Duration::ZERO);
     /// member.beat = 2;
--- a/crates/catalog/src/spread.rs
+++ b/crates/catalog/src/spread.rs
@@ -14,11 +14,11 @@
 
 use acacia_wire::flow::mix;
 
-use crate::member::{Member, MemberList, rank};
+use crate::member::{Member, Members, rank};
 
 /// The timing of store reads, derived from the time within which a change must be in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReadTiming {
+pub struct Timing {
     /// How long the store may hold the reader's watch before it answers without a change, which serves
     /// as a heartbeat. A watch that takes longer has lost its connection.
     pub watch_timeout: Duration,
@@ -30,20 +30,20 @@
     pub max_backoff: Duration,
 }
 
-impl ReadTiming {
+impl Timing {
     /// The timing with which a change is in force within `bound` of the store's answer, even if the
     /// reader fails at the worst moment: half of `bound` may pass before the others' data is too old, a fifth is jitter, and the
     /// rest is left for the read itself.
     ///
     /// ```
     /// use std::time::Duration;
-    /// let timing = acacia_catalog::spread::ReadTiming::within(Duration::from_secs(3));
+    /// let timing = acacia_catalog::spread::Timing::within(Duration::from_secs(3));
     /// assert_eq!(timing.watch_timeout, Duration::from_millis(1200));
     /// assert_eq!(timing.max_age, Duration::from_millis(1500));
     /// ```
     #[must_use]
     pub fn within(bound: Duration) -> Self {
-        ReadTiming {
+        Timing {
             watch_timeout: bound * 2 / 5,
             max_age: bound / 2,
             jitter: bound / 5,
@@ -54,7 +54,7 @@
 
 /// The next action of a balancer towards the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadAction {
+pub enum Action {
     /// Call, and let the store hold the answer until something changes.
     Watch,
     /// Call for an immediate answer.
@@ -65,8 +65,8 @@
 
 /// Decides when this balancer reads the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReadSchedule {
-    timing: ReadTiming,
+pub struct Schedule {
+    timing: Timing,
     /// The time up to which all changes are known; `None` before the first confirmed read.
     fresh_until: Option<Duration>,
     /// When a read of unknown age was answered, if any.
@@ -76,11 +76,11 @@
     failed: Duration,
 }
 
-impl ReadSchedule {
+impl Schedule {
     /// A schedule without any data from the store.
     #[must_use]
-    pub const fn new(timing: ReadTiming) -> Self {
-        ReadSchedule {
+    pub const fn new(timing: Timing) -> Self {
+        Schedule {
             timing,
             fresh_until: None,
             primed: None,
@@ -91,12 +91,12 @@
 
     /// The timing in use.
     #[must_use]
-    pub const fn timing(&self) -> ReadTiming {
+    pub const fn timing(&self) -> Timing {
         self.timing
     }
 
     /// Replaces the timing.
-    pub fn set_timing(&mut self, timing: ReadTiming) {
+    pub fn set_timing(&mut self, timing: Timing) {
         self.timing = timing;
     }
 
@@ -147,37 +147,31 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_catalog::spread::{ReadTiming, ReadSchedule, ReadAction};
-    /// let mut schedule = ReadSchedule::new(ReadTiming::within(Duration::from_secs(3)));
-    /// assert_eq!(schedule.next_action(Duration::ZERO, false, 0.0, 0), ReadAction::Poll);
+    /// use acacia_catalog::spread::{Action, Schedule, Timing};
+    /// let mut schedule = Schedule::new(Timing::within(Duration::from_secs(3)));
+    /// assert_eq!(schedule.next_action(Duration::ZERO, false, 0.0, 0), Action::Poll);
     /// schedule.answered(Duration::ZERO);
-    /// assert_eq!(schedule.next_action(Duration::ZERO, true, 0.0, 0), ReadAction::Watch);
-    /// assert!(matches!(schedule.next_action(Duration::ZERO, false, 0.0, 0), ReadAction::Wait(_)));
-    /// assert_eq!(schedule.next_action(Duration::from_secs(2), false, 0.0, 0), ReadAction::Poll);
+    /// assert_eq!(schedule.next_action(Duration::ZERO, true, 0.0, 0), Action::Watch);
+    /// assert!(matches!(schedule.next_action(Duration::ZERO, false, 0.0, 0), Action::Wait(_)));
+    /// assert_eq!(schedule.next_action(Duration::from_secs(2), false, 0.0, 0), Action::Poll);
     /// ```
     #[must_use]
-    pub fn next_action(
-        &self,
-        now: Duration,
-        reads: bool,
-        share: f64,
-        failing: usize,
-    ) -> ReadAction {
+    pub fn next_action(&self, now: Duration, reads: bool, share: f64, failing: usize) -> Action {
         let wait = self.remaining_backoff(now, share, failing);
         if !wait.is_zero() {
-            return ReadAction::Wait(wait);
+            return Action::Wait(wait);
         }
         if reads && self.fresh_until.is_some() {
-            return ReadAction::Watch;
+            return Action::Watch;
         }
         // With data of unknown age, wait for a peer's confirmation. The reader has no peer to wait for.
         let Some(fresh) = self.fresh_until.or(self.primed.filter(|_| !reads)) else {
-            return ReadAction::Poll;
+            return Action::Poll;
         };
         let due = fresh + self.timing.max_age + self.timing.jitter.mul_f64(share);
         match due.checked_sub(now) {
-            Some(wait) if !wait.is_zero() => ReadAction::Wait(wait),
-            _ => ReadAction::Poll,
+            Some(wait) if !wait.is_zero() => Action::Wait(wait),
+            _ => Action::Poll,
         }
     }
 
@@ -206,7 +200,7 @@
 /// Whether `own` is the reader: the first in rank among the balancers that reach the store and are not
 /// leaving.
 #[must_use]
-pub fn is_reader(own: &Member, list: &MemberList) -> bool {
+pub fn is_reader(own: &Member, list: &Members) -> bool {
     let eligible = |member: &Member| member.sighted && !member.leaving;
     eligible(own)
         && list
@@ -222,7 +216,7 @@
 /// One from another data centre goes to all of its own. One from its own data centre goes to nobody,
 /// as the sender sent it to all of them.
 #[must_use]
-pub fn recipients(own: &Member, list: &MemberList, source: Option<&Arc<str>>) -> Vec<SocketAddrV4> {
+pub fn recipients(own: &Member, list: &Members, source: Option<&Arc<str>>) -> Vec<SocketAddrV4> {
     let near = |member: &&Member| member.data_centre == own.data_centre;
     let mut recipients: Vec<SocketAddrV4> = Vec::new();
     if source.is_some_and(|centre| *centre == own.data_centre) {
@@ -242,16 +236,16 @@
 /// takes its place without any coordination (rendezvous hashing).
 ///
 /// ```
-/// use acacia_catalog::{member::{MemberList, Member}, spread::is_chosen};
+/// use acacia_catalog::{member::{Members, Member}, spread::is_chosen};
 /// let own = Member {
 ///     address: "192.0.2.1:7000".parse()?, data_centre: "a".into(), incarnation: 1, beat: 0,
 ///     sighted: true, leaving: false,
 /// };
-/// assert!(is_chosen(&own, &MemberList::default(), 7, 1), "no other balancer is known");
+/// assert!(is_chosen(&own, &Members::default(), 7, 1), "no other balancer is known");
 /// # Ok::<(), std::net::AddrParseError>(())
 /// ```
 #[must_use]
-pub fn is_chosen(own: &Member, list: &MemberList, key: u64, count: usize) -> bool {
+pub fn is_chosen(own: &Member, list: &Members, key: u64, count: usize) -> bool {
     let place = |member: &Member| mix(rank(member.address) ^ key);
     let near = list
         .iter()
@@ -263,19 +257,19 @@
 /// The first `count` balancers of a data centre in the order for `key`; see [`is_chosen`].
 ///
 /// ```
-/// use acacia_catalog::{member::{MemberList, Member}, spread::chosen};
+/// use acacia_catalog::{member::{Members, Member}, spread::chosen};
 /// let own = Member {
 ///     address: "192.0.2.1:7000".parse()?, data_centre: "a".into(), incarnation: 1, beat: 0,
 ///     sighted: true, leaving: false,
 /// };
-/// assert_eq!(chosen(&own, &MemberList::default(), "a", 7, 2), [own.address]);
-/// assert!(chosen(&own, &MemberList::default(), "b", 7, 2).is_empty());
+/// assert_eq!(chosen(&own, &Members::default(), "a", 7, 2), [own.address]);
+/// assert!(chosen(&own, &Members::default(), "b", 7, 2).is_empty());
 /// # Ok::<(), std::net::AddrParseError>(())
 /// ```
 #[must_use]
 pub fn chosen(
     own: &Member,
-    list: &MemberList,
+    list: &Members,
     data_centre: &str,
     key: u64,
     count: usize,
@@ -305,7 +299,7 @@
 #[must_use]
 pub fn fetch_children(
     own: &Member,
-    list: &MemberList,
+    list: &Members,
     root: SocketAddrV4,
     source: Option<&Arc<str>>,
 ) -> Vec<SocketAddrV4> {
@@ -331,7 +325,7 @@
 }
 
 /// The relay of each other data centre: its first balancer in rank.
-fn relays(own: &Member, list: &MemberList) -> Vec<SocketAddrV4> {
+fn relays(own: &Member, list: &Members) -> Vec<SocketAddrV4> {
     let mut first: Vec<&Member> = Vec::new();
     for member in list
         .iter()
--- a/crates/catalog/tests/it/member.rs
+++ b/crates/catalog/tests/it/member.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use acacia_catalog::member::{MEMBER_TIMEOUT, Member, MemberList};
+use acacia_catalog::member::{MEMBER_TIMEOUT, Member, Members};
 
 use crate::fixture::member;
 
@@ -9,7 +9,7 @@
 /// vain.
 #[test]
 fn a_repeated_beat_does_not_keep_a_member_on_the_list() {
-    let mut list = MemberList::default();
+    let mut list = Members::default();
     list.merge(member(1, "a"), Duration::ZERO);
     list.merge(member(1, "a"), MEMBER_TIMEOUT);
 
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_new_incarnation_counts_as_alive_whatever_its_beat() {
-    let mut list = MemberList::default();
+    let mut list = Members::default();
     let old = Member {
         beat: 90,
         ..member(1, "a")
--- a/crates/catalog/tests/it/spread.rs
+++ b/crates/catalog/tests/it/spread.rs
@@ -1,10 +1,8 @@
 use std::{collections::BTreeSet, net::SocketAddrV4, time::Duration};
 
 use acacia_catalog::{
-    member::{Member, MemberList},
-    spread::{
-        ReadAction, ReadSchedule, ReadTiming, fetch_children, is_chosen, is_reader, recipients,
-    },
+    member::{Member, Members},
+    spread::{self, fetch_children, is_chosen, is_reader, recipients},
 };
 use rstest::rstest;
 
@@ -20,8 +18,8 @@
 }
 
 /// The member list of `own`, with all others of the fleet.
-fn list(own: &Member, fleet: &[Member]) -> MemberList {
-    let mut list = MemberList::default();
+fn list(own: &Member, fleet: &[Member]) -> Members {
+    let mut list = Members::default();
     for other in fleet.iter().filter(|other| other.address != own.address) {
         list.merge(other.clone(), Duration::ZERO);
     }
@@ -114,11 +112,11 @@
 #[case::first(0.0)]
 #[case::last(0.999)]
 fn a_balancer_without_confirmations_reads_the_store_within_the_bound(#[case] share: f64) {
-    let mut schedule = ReadSchedule::new(ReadTiming::within(BOUND));
+    let mut schedule = spread::Schedule::new(spread::Timing::within(BOUND));
     schedule.confirmed(Duration::ZERO);
     let mut now = Duration::ZERO;
 
-    while let ReadAction::Wait(wait) = schedule.next_action(now, false, share, 0) {
+    while let spread::Action::Wait(wait) = schedule.next_action(now, false, share, 0) {
         now += wait;
     }
 
@@ -128,12 +126,12 @@
 /// The number of calls of one balancer to an unreachable store in 20 s, while `failing` other balancers
 /// can't reach it either.
 fn calls(failing: usize) -> usize {
-    let mut schedule = ReadSchedule::new(ReadTiming::within(BOUND));
+    let mut schedule = spread::Schedule::new(spread::Timing::within(BOUND));
     let (mut now, mut calls) = (Duration::ZERO, 0);
     while now < Duration::from_secs(20) {
         match schedule.next_action(now, false, 0.5, failing) {
-            ReadAction::Wait(wait) => now += wait,
-            ReadAction::Watch | ReadAction::Poll => {
+            spread::Action::Wait(wait) => now += wait,
+            spread::Action::Watch | spread::Action::Poll => {
                 calls += 1;
                 schedule.failed(now);
             }
@@ -160,14 +158,14 @@
 /// doesn't read.
 #[test]
 fn a_confirmation_from_a_peer_replaces_a_read() {
-    let mut schedule = ReadSchedule::new(ReadTiming::within(BOUND));
+    let mut schedule = spread::Schedule::new(spread::Timing::within(BOUND));
     for second in 0..30 {
         let now = Duration::from_secs(second);
         schedule.confirmed(now);
 
         assert!(matches!(
             schedule.next_action(now, false, 0.0, 0),
-            ReadAction::Wait(_)
+            spread::Action::Wait(_)
         ));
     }
 }
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -12,8 +12,8 @@
 
 use acacia_catalog::{
     Catalog, Change,
-    member::{Member, MemberList, Peak},
-    spread::{ReadAction, ReadSchedule, ReadTiming, is_reader},
+    member::{Member, Members, Peak},
+    spread::{self, is_reader},
 };
 use acacia_cookie::{
     Roster, Snapshot,
@@ -78,13 +78,13 @@
     /// When the process started.
     born: Duration,
     seeds: Vec<SocketAddrV4>,
-    list: MemberList,
+    list: Members,
     /// The largest size of the fleet of late.
     size: Peak,
     /// What the settings say of servers that have just started.
     warming: WarmupLimits,
     catalog: Catalog,
-    reading: ReadSchedule,
+    reading: spread::Schedule,
     roster: Roster,
     detector: Detector,
     speeds: Speeds,
@@ -136,11 +136,11 @@
             },
             born: now,
             seeds: settings.seeds.clone(),
-            list: MemberList::default(),
+            list: Members::default(),
             size: Peak::default(),
             warming: warming(settings),
             catalog: Catalog::default(),
-            reading: ReadSchedule::new(ReadTiming::within(settings.in_force)),
+            reading: spread::Schedule::new(spread::Timing::within(settings.in_force)),
             roster: Roster::new(Limits {
                 known: settings.flow,
                 ..Limits::default()
@@ -169,13 +169,13 @@
     pub fn renew(&mut self, settings: &Settings) {
         self.seeds = settings.seeds.clone();
         self.reading
-            .set_timing(ReadTiming::within(settings.in_force));
+            .set_timing(spread::Timing::within(settings.in_force));
         self.warming = warming(settings);
     }
 
     /// The pace of readings.
     #[must_use]
-    pub const fn pace(&self) -> ReadTiming {
+    pub const fn pace(&self) -> spread::Timing {
         self.reading.timing()
     }
 
@@ -221,12 +221,12 @@
 
     /// The other balancers.
     #[must_use]
-    pub const fn list(&self) -> &MemberList {
+    pub const fn list(&self) -> &Members {
         &self.list
     }
 
     /// What to do about the store now.
-    pub fn turn(&mut self, now: Duration) -> ReadAction {
+    pub fn turn(&mut self, now: Duration) -> spread::Action {
         self.own.sighted = self.reading.is_store_reachable();
         let reads = !self.is_joining(now) && is_reader(&self.own, &self.list);
         if reads != self.reads {
--- a/crates/node/src/cookie/follow.rs
+++ b/crates/node/src/cookie/follow.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
 use acacia_adapter::{entry, store};
-use acacia_catalog::{Change, spread::ReadAction};
+use acacia_catalog::{Change, spread};
 use acacia_kernel::BoxError;
 use acacia_platform::{Client, Error, Options, transport::Consistency};
 use tokio::time;
@@ -34,15 +34,15 @@
     loop {
         let turn = control.core(|core, now| core.turn(now));
         let wait = match turn {
-            ReadAction::Wait(wait) => {
+            spread::Action::Wait(wait) => {
                 tokio::select! {
                     () = time::sleep(wait) => {}
                     () = control.wake.notified() => {}
                 }
                 continue;
             }
-            ReadAction::Watch => control.core(|core, _| core.pace().watch_timeout),
-            ReadAction::Poll => AT_ONCE,
+            spread::Action::Watch => control.core(|core, _| core.pace().watch_timeout),
+            spread::Action::Poll => AT_ONCE,
         };
         let sent = clock::now();
         whole |= control.core(|core, _| core.revision()) == 0;
--- a/crates/node/tests/it/cookie/core.rs
+++ b/crates/node/tests/it/cookie/core.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use acacia_catalog::{Change, spread::ReadAction};
+use acacia_catalog::{Change, spread};
 use acacia_cookie::silence::Finding;
 use rstest::rstest;
 
@@ -232,7 +232,7 @@
     let now = fleet.now;
 
     // All have just heard from the store in the words of the first.
-    let turns: Vec<ReadAction> = fleet
+    let turns: Vec<spread::Action> = fleet
         .cores
         .values_mut()
         .map(|core| core.turn(now))
@@ -240,7 +240,7 @@
 
     let calls = turns
         .iter()
-        .filter(|turn| !matches!(turn, ReadAction::Wait(_)));
+        .filter(|turn| !matches!(turn, spread::Action::Wait(_)));
     assert!(calls.count() <= 1, "{turns:?}");
 }
 
@@ -260,7 +260,7 @@
     for _ in 0..4 {
         let now = fleet.now;
         let turns = fleet.cores.values_mut().map(|core| core.turn(now));
-        watches += turns.filter(|turn| *turn == ReadAction::Watch).count();
+        watches += turns.filter(|turn| *turn == spread::Action::Watch).count();
         fleet.rounds(1);
     }
 
@@ -288,8 +288,8 @@
             .cores
             .iter_mut()
             .filter_map(|(address, core)| match core.turn(now) {
-                ReadAction::Wait(_) => None,
-                ReadAction::Watch | ReadAction::Poll => Some(*address),
+                spread::Action::Wait(_) => None,
+                spread::Action::Watch | spread::Action::Poll => Some(*address),
             })
             .collect();
         calls += callers.len();
@@ -312,8 +312,8 @@
     let early = core.turn(ms(900));
     let late = core.turn(ms(2_200));
 
-    assert!(matches!(early, ReadAction::Wait(_)));
-    assert_eq!(late, ReadAction::Poll);
+    assert!(matches!(early, spread::Action::Wait(_)));
+    assert_eq!(late, spread::Action::Poll);
 }
 
 /// A balancer without peers never watches the store, and its callers miss every change.
@@ -326,7 +326,7 @@
     let now = fleet.now;
     let turn = fleet.cores.get_mut(&first).expect("a balancer").turn(now);
 
-    assert_eq!(turn, ReadAction::Watch);
+    assert_eq!(turn, spread::Action::Watch);
 }
 
 /// The reader dies. A change that the store accepts at that moment must be in force within the
@@ -346,7 +346,7 @@
         .filter(|(address, _)| **address != reader)
     {
         let mut now = start;
-        while let ReadAction::Wait(wait) = core.turn(now) {
+        while let spread::Action::Wait(wait) = core.turn(now) {
             now += wait;
         }
         read.push((*address, now - start));
--- a/crates/node/tests/it/cookie/evacuation.rs
+++ b/crates/node/tests/it/cookie/evacuation.rs
@@ -1,6 +1,6 @@
 use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc, time::Duration};
 
-use acacia_catalog::spread::ReadAction;
+use acacia_catalog::spread;
 use acacia_cookie::snapshot::Standing;
 use rstest::rstest;
 
@@ -116,7 +116,7 @@
     let asks = (0..).map(|step| told + ms(50 * step));
     let asks = asks
         .into_iter()
-        .find(|at| core.turn(*at) == ReadAction::Poll);
+        .find(|at| core.turn(*at) == spread::Action::Poll);
 
     let waited = asks.expect("it asks") - told;
     assert!(waited <= BOUND.mul_f64(0.71), "{waited:?}");
