--- a/crates/cookie/src/resolver/urgency.rs
+++ b/crates/cookie/src/resolver/urgency.rs
@@ -4,8 +4,8 @@
 
 use acacia_code::Code;
 use acacia_load::{
-    overload::LatencyObjective,
-    throttle::{MIN_WAIT, Pressure},
+    overload,
+    throttle::{MIN_WAIT_RATIO, Pressure},
     urgency::Rank,
 };
 use acacia_wire::flow::{mix, uniform};
@@ -21,7 +21,7 @@
     pub(super) fn rank(
         &mut self,
         service: &Arc<str>,
-        demand: &LatencyObjective,
+        demand: &overload::Objective,
         now: Duration,
     ) -> Rank {
         let Some(priority) = demand.priority else {
@@ -69,7 +69,7 @@
             code: Code::LessUrgent,
             server: placed,
             expected: seconds(mean),
-            limit: seconds(baseline * MIN_WAIT),
+            limit: seconds(baseline * MIN_WAIT_RATIO),
         })
     }
 }
--- a/crates/cookie/src/roster.rs
+++ b/crates/cookie/src/roster.rs
@@ -13,7 +13,7 @@
     route::{self, Config},
     server::{self, State},
 };
-use acacia_load::overload::LatencyObjective;
+use acacia_load::overload;
 use acacia_wire::collections::Map;
 
 use crate::{
@@ -348,8 +348,8 @@
 }
 
 /// Latency and priority that a route's callers expect; `None` without a latency objective.
-fn demand(route: &route::Route) -> Option<LatencyObjective> {
-    Some(LatencyObjective {
+fn demand(route: &route::Route) -> Option<overload::Objective> {
+    Some(overload::Objective {
         latency: route.objective.latency?,
         priority: route.objective.priority,
     })
--- a/crates/cookie/src/snapshot.rs
+++ b/crates/cookie/src/snapshot.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use acacia_catalog::route::Front;
-use acacia_load::{delay::Idle, overload::LatencyObjective};
+use acacia_load::{delay::Idle, overload};
 use acacia_wire::collections::Map;
 
 use crate::{cold::Ration, cookie::Cookie};
@@ -96,7 +96,7 @@
     /// Indexes of the services' pools, each with its weight.
     pub pools: Vec<(u32, u32)>,
     /// Latency objective and priority of its flows. Without one, no flow is refused under load.
-    pub demand: Option<LatencyObjective>,
+    pub demand: Option<overload::Objective>,
 }
 
 /// Routes and servers at one point in time.
--- a/crates/cookie/tests/it/overload.rs
+++ b/crates/cookie/tests/it/overload.rs
@@ -9,7 +9,7 @@
 
 use acacia_catalog::route::Front;
 use acacia_cookie::{Action, Resolver, Snapshot, cookie::Cookie};
-use acacia_load::{delay::Idle, overload::LatencyObjective};
+use acacia_load::{delay::Idle, overload};
 use acacia_wire::{
     flow::mix,
     packet::{Kind, Packet},
@@ -50,7 +50,7 @@
     let route = snapshot.routes[&FRONT].clone();
     for (port, urgent) in [(FRONT.port, false), (URGENT_PORT, true)] {
         let mut route = route.clone();
-        route.demand = refuses.then_some(LatencyObjective {
+        route.demand = refuses.then_some(overload::Objective {
             latency: LATENCY,
             priority: Some(if urgent { 1 } else { 2 }),
         });
--- a/crates/load/src/controller.rs
+++ b/crates/load/src/controller.rs
@@ -10,7 +10,7 @@
     rate::{Governor, connections},
     report::Report,
     tally::Tally,
-    weight::{self, ProposalLimiter, ServerInput},
+    weight,
 };
 
 /// State of the control thread for one pool.
@@ -23,7 +23,7 @@
     estimates: Estimates,
     governor: Governor,
     ejections: Ejections,
-    limiter: ProposalLimiter,
+    limiter: weight::Limiter,
     in_force: Vec<f64>,
     plan: u64,
     last: Option<Duration>,
@@ -52,7 +52,7 @@
             estimates: Estimates::new(servers),
             governor: Governor::new(classes),
             ejections: Ejections::new(servers),
-            limiter: ProposalLimiter::default(),
+            limiter: weight::Limiter::default(),
             in_force: vec![1.0; servers],
             plan: 0,
             last: None,
@@ -184,12 +184,12 @@
     /// this.
     pub fn weights(&mut self, now: Duration) -> Option<Vec<f64>> {
         let lacks_samples = self.estimates.lacks_samples(now, &self.limits);
-        let input = |(server, own): (usize, &Estimate)| ServerInput {
+        let input = |(server, own): (usize, &Estimate)| weight::Input {
             capacity: self.estimates.capacity(server).filter(|_| !lacks_samples),
             ejected: self.gets_no_flows(server),
             trusted: !own.distrusted,
         };
-        let inputs: Vec<ServerInput> = self
+        let inputs: Vec<weight::Input> = self
             .estimates
             .servers
             .iter()
--- a/crates/load/src/overload.rs
+++ b/crates/load/src/overload.rs
@@ -74,7 +74,7 @@
 
 /// Latency and priority that the operators configure for a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LatencyObjective {
+pub struct Objective {
     /// Time within which an answer has its full value to them.
     pub latency: Duration,
     /// Priority, 0 being the most urgent; `None` if the operators set none.
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Terms {
     /// Objective of the flow's route.
-    pub objective: LatencyObjective,
+    pub objective: Objective,
     /// Whether less urgent flows use the same servers.
     pub urgent: bool,
     /// See [`Limit::part`].
@@ -110,8 +110,8 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_load::overload::{LatencyObjective, Prospect, Terms};
-    /// let objective = LatencyObjective { latency: Duration::from_millis(200), priority: None };
+    /// use acacia_load::overload::{Objective, Prospect, Terms};
+    /// let objective = Objective { latency: Duration::from_millis(200), priority: None };
     /// let terms = Terms { objective, urgent: false, part: 0.35 };
     /// let prospect = |expected| Prospect { expected, idle: Some(0.04) };
     /// assert!(terms.admits(&prospect(0.06)));
@@ -165,8 +165,8 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use acacia_load::overload::{LatencyObjective, Prospect, Terms, admit};
-/// let objective = LatencyObjective { latency: Duration::from_millis(200), priority: None };
+/// use acacia_load::overload::{Objective, Prospect, Terms, admit};
+/// let objective = Objective { latency: Duration::from_millis(200), priority: None };
 /// let terms = Terms { objective, urgent: false, part: 0.35 };
 /// let prospect = |server: u32| Prospect {
 ///     expected: [0.15, 0.05, 0.3][server as usize],
--- a/crates/load/src/peer.rs
+++ b/crates/load/src/peer.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     limits::Limits,
-    report::{ClassReport, Report, ServerReport},
+    report::{self, Report},
     tally::Tally,
 };
 
@@ -19,16 +19,16 @@
 /// Numbers of opened minus closed flows. A flow may open at one balancer and close at another, so
 /// only the sum over all balancers is meaningful.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct OpenFlows {
+pub struct Flows {
     /// Numbers by index of server.
     pub servers: Vec<f64>,
     /// Numbers by index of class.
     pub classes: Vec<f64>,
 }
 
-impl OpenFlows {
+impl Flows {
     fn new(servers: usize, classes: usize) -> Self {
-        OpenFlows {
+        Flows {
             servers: vec![0.0; servers],
             classes: vec![0.0; classes],
         }
@@ -58,9 +58,9 @@
     /// Counts that peers have reported since the last tick.
     remote: Tally,
     /// Open flows by the counts of this balancer.
-    own: OpenFlows,
+    own: Flows,
     /// Open flows by the last counts of peers that are gone; many of these flows are still open.
-    departed: OpenFlows,
+    departed: Flows,
     sequence: u32,
 }
 
@@ -72,8 +72,8 @@
             peers: Map::default(),
             local: Tally::new(servers, classes),
             remote: Tally::new(servers, classes),
-            own: OpenFlows::new(servers, classes),
-            departed: OpenFlows::new(servers, classes),
+            own: Flows::new(servers, classes),
+            departed: Flows::new(servers, classes),
             sequence: 0,
         }
     }
@@ -88,7 +88,7 @@
                 .and_then(|index| from.get(index).copied())
                 .unwrap_or(0.0)
         };
-        let open = |open: &OpenFlows| OpenFlows {
+        let open = |open: &Flows| Flows {
             servers: servers
                 .iter()
                 .map(|index| pick(&open.servers, index))
@@ -169,7 +169,7 @@
 
     /// Returns the open flows by the latest counts of all balancers, each number at least zero.
     #[must_use]
-    pub fn open(&self) -> OpenFlows {
+    pub fn open(&self) -> Flows {
         let mut sum = self.departed.clone();
         for peer in self.peers.values() {
             sum.add(&peer.servers, &peer.classes);
@@ -205,10 +205,10 @@
             revision,
             sequence: self.sequence,
             servers: servers
-                .map(|(count, open)| ServerReport::new(count, open.round() as i32))
+                .map(|(count, open)| report::Server::new(count, open.round() as i32))
                 .collect(),
             classes: classes
-                .map(|(count, open)| ClassReport {
+                .map(|(count, open)| report::Class {
                     admitted: count.admitted,
                     refused: count.refused,
                     open: open.round() as i32,
--- a/crates/load/src/rate.rs
+++ b/crates/load/src/rate.rs
@@ -2,10 +2,10 @@
 
 use crate::{
     limits::Limits,
-    peer::OpenFlows,
+    peer,
     plan::Rates,
     pool::{Class, Mark, Pool},
-    tally::ClassCount,
+    tally,
 };
 
 /// Range of the correction of the measured capacity. Outside of it, the estimate is wrong in a way
@@ -37,7 +37,7 @@
     }
 
     /// Adds the demand of the last `passed`; `scale` is the ratio of all flows to the counted ones.
-    pub fn learn(&mut self, seen: &[ClassCount], scale: f64, passed: Duration, limits: &Limits) {
+    pub fn learn(&mut self, seen: &[tally::Class], scale: f64, passed: Duration, limits: &Limits) {
         let keep = (-passed.as_secs_f64() / limits.fast.as_secs_f64()).exp();
         for (demand, count) in self.demand.iter_mut().zip(seen) {
             demand.admitted = demand.admitted * keep + f64::from(count.admitted) * scale;
@@ -106,7 +106,12 @@
 /// Paying callers have no limit here, since the count of open flows is an estimate, and a wrong
 /// estimate must not refuse them.
 #[must_use]
-pub fn connections(open: &OpenFlows, part: f64, pool: &Pool, limits: &Limits) -> Vec<Option<u32>> {
+pub fn connections(
+    open: &peer::Flows,
+    part: f64,
+    pool: &Pool,
+    limits: &Limits,
+) -> Vec<Option<u32>> {
     let all = pool.connections() * limits.connection_ceiling;
     let left = |(class, open): (usize, &f64)| {
         let trial = pool.classes[class].mark == Mark::Trial;
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -9,7 +9,7 @@
 
 /// Counts of one server in a report; encoded in about 10 bytes, with variable-length integers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerReport {
+pub struct Server {
     /// See [`Count`]; all fields but `open` count since the last report.
     pub opened: u32,
     /// See [`Count`].
@@ -29,7 +29,7 @@
     pub open: i32,
 }
 
-impl ServerReport {
+impl Server {
     /// Converts the counts of a server, with times rounded down to 100 µs.
     #[must_use]
     pub fn new(count: &Count, open: i32) -> Self {
@@ -37,7 +37,7 @@
             let units = time.as_nanos() / TIME_UNIT.as_nanos();
             u32::try_from(units).unwrap_or(u32::MAX)
         };
-        ServerReport {
+        Server {
             opened: count.opened,
             completed: count.completed,
             opening: units(count.opening),
@@ -68,7 +68,7 @@
 
 /// Counts of one class in a report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClassReport {
+pub struct Class {
     /// New flows admitted since the last report.
     pub admitted: u32,
     /// New flows refused since the last report.
@@ -85,9 +85,9 @@
     /// Sequence number; a report that arrives twice is merged once.
     pub sequence: u32,
     /// Counts by index of server.
-    pub servers: Vec<ServerReport>,
+    pub servers: Vec<Server>,
     /// Counts by index of class.
-    pub classes: Vec<ClassReport>,
+    pub classes: Vec<Class>,
 }
 
 impl Report {
@@ -95,9 +95,7 @@
     #[must_use]
     pub fn tally(&self) -> Tally {
         let mut tally = Tally::new(0, self.classes.len());
-        tally
-            .servers
-            .extend(self.servers.iter().map(ServerReport::count));
+        tally.servers.extend(self.servers.iter().map(Server::count));
         for (to, from) in tally.classes.iter_mut().zip(&self.classes) {
             to.admitted = from.admitted;
             to.refused = from.refused;
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -49,7 +49,7 @@
 
 /// Counts of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ClassCount {
+pub struct Class {
     /// Admitted new flows.
     pub admitted: u32,
     /// Refused new flows.
@@ -67,7 +67,7 @@
     /// Counts by [`Server::index`].
     pub servers: Vec<Count>,
     /// Counts by index of class.
-    pub classes: Vec<ClassCount>,
+    pub classes: Vec<Class>,
 }
 
 impl Tally {
@@ -76,7 +76,7 @@
     pub fn new(servers: usize, classes: usize) -> Self {
         Tally {
             servers: vec![Count::default(); servers],
-            classes: vec![ClassCount::default(); classes],
+            classes: vec![Class::default(); classes],
         }
     }
 
--- a/crates/load/src/throttle.rs
+++ b/crates/load/src/throttle.rs
@@ -5,7 +5,7 @@
 const MAX_DEMAND: f64 = 1.15;
 /// Ratio of the answer time to that without queueing below which no flows are refused: the requests
 /// seen by this balancer may come from a few busy callers.
-pub const MIN_WAIT: f64 = 1.5;
+pub const MIN_WAIT_RATIO: f64 = 1.5;
 /// Time in which the refused fraction rises to 1 at twice the demand of [`MAX_DEMAND`].
 const RISE: Duration = Duration::from_millis(200);
 /// Time in which the refused fraction falls to 0 without any demand.
@@ -24,10 +24,10 @@
 }
 
 impl Pressure {
-    /// Returns the smaller one of the relative excesses over [`MAX_DEMAND`] and [`MIN_WAIT`], which
-    /// is negative if the load is below either.
+    /// Returns the smaller one of the relative excesses over [`MAX_DEMAND`] and
+    /// [`MIN_WAIT_RATIO`], which is negative if the load is below either.
     fn excess(&self) -> f64 {
-        (self.demand / MAX_DEMAND - 1.0).min(self.wait / MIN_WAIT - 1.0)
+        (self.demand / MAX_DEMAND - 1.0).min(self.wait / MIN_WAIT_RATIO - 1.0)
     }
 }
 
--- a/crates/load/src/weight.rs
+++ b/crates/load/src/weight.rs
@@ -4,7 +4,7 @@
 
 /// State of a server from which its next weight is computed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ServerInput {
+pub struct Input {
     /// Measured capacity, in a unit common to all servers; `None` without samples.
     pub capacity: Option<f64>,
     /// Whether the server gets no new flows; its weight is then 0.
@@ -22,7 +22,7 @@
 /// gets more flows as it warms up. The weight of a server without a measurement moves towards the
 /// mean of the others. Without any measurement all weights move to 1.
 #[must_use]
-pub fn next(in_force: &[f64], inputs: &[ServerInput], limits: &Limits) -> Vec<f64> {
+pub fn next(in_force: &[f64], inputs: &[Input], limits: &Limits) -> Vec<f64> {
     let target = targets(inputs, limits);
     let stepped: Vec<f64> = in_force
         .iter()
@@ -33,10 +33,10 @@
     normalize(&stepped, in_force, limits)
 }
 
-fn targets(inputs: &[ServerInput], limits: &Limits) -> Vec<f64> {
+fn targets(inputs: &[Input], limits: &Limits) -> Vec<f64> {
     let known: Vec<f64> = inputs.iter().filter_map(|input| input.capacity).collect();
     let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
-    let relative = |input: &ServerInput| match input.capacity {
+    let relative = |input: &Input| match input.capacity {
         Some(capacity) if mean > 0.0 => capacity / mean,
         _ => 1.0,
     };
@@ -47,7 +47,7 @@
         .collect()
 }
 
-fn step(old: f64, target: f64, input: &ServerInput, limits: &Limits) -> f64 {
+fn step(old: f64, target: f64, input: &Input, limits: &Limits) -> f64 {
     if input.ejected {
         return 0.0;
     }
@@ -105,11 +105,11 @@
 /// Limits how often weights are proposed: each proposal moves new flows off the server that the
 /// base table gives them, and each of these flows needs a pin.
 #[derive(Debug, Clone, Default)]
-pub struct ProposalLimiter {
+pub struct Limiter {
     last: Option<Duration>,
 }
 
-impl ProposalLimiter {
+impl Limiter {
     /// Returns whether `new` should replace `in_force` at `now`. Differences below the hysteresis
     /// are taken for noise; an ejection is proposed at once.
     pub fn due(&mut self, in_force: &[f64], new: &[f64], now: Duration, limits: &Limits) -> bool {
--- a/crates/load/tests/it/overload.rs
+++ b/crates/load/tests/it/overload.rs
@@ -1,12 +1,12 @@
 use std::time::Duration;
 
-use acacia_load::overload::{LatencyObjective, Limit, Prospect, Terms, admit};
+use acacia_load::overload::{Limit, Objective, Prospect, Terms, admit};
 use proptest::prelude::*;
 
 fn terms(latency_ms: u64, urgent: bool) -> Terms {
     let latency = Duration::from_millis(latency_ms);
     Terms {
-        objective: LatencyObjective {
+        objective: Objective {
             latency,
             priority: None,
         },
--- a/crates/load/tests/it/weight.rs
+++ b/crates/load/tests/it/weight.rs
@@ -1,29 +1,29 @@
 use acacia_load::{
     limits::Limits,
-    weight::{ProposalLimiter, ServerInput, next},
+    weight::{Input, Limiter, next},
 };
 use proptest::prelude::*;
 
 use crate::fixture::seconds;
 
-fn input(capacity: Option<f64>) -> ServerInput {
-    ServerInput {
+fn input(capacity: Option<f64>) -> Input {
+    Input {
         capacity,
         ejected: false,
         trusted: true,
     }
 }
 
-fn settle(mut weights: Vec<f64>, inputs: &[ServerInput], steps: usize) -> Vec<f64> {
+fn settle(mut weights: Vec<f64>, inputs: &[Input], steps: usize) -> Vec<f64> {
     for _ in 0..steps {
         weights = next(&weights, inputs, &Limits::default());
     }
     weights
 }
 
-fn any_input() -> impl Strategy<Value = ServerInput> {
+fn any_input() -> impl Strategy<Value = Input> {
     (prop::option::of(0.0..1e6f64), any::<bool>(), any::<bool>()).prop_map(
-        |(capacity, ejected, trusted)| ServerInput {
+        |(capacity, ejected, trusted)| Input {
             capacity,
             ejected,
             trusted,
@@ -40,7 +40,7 @@
     fn weights_are_always_usable(
         pairs in prop::collection::vec((0.0..4.0f64, any_input()), 1..20),
     ) {
-        let (old, inputs): (Vec<f64>, Vec<ServerInput>) = pairs.into_iter().unzip();
+        let (old, inputs): (Vec<f64>, Vec<Input>) = pairs.into_iter().unzip();
         let new = next(&old, &inputs, &Limits::default());
         let mean = new.iter().sum::<f64>() / new.len() as f64;
         prop_assert!((mean - 1.0).abs() < 1e-9);
@@ -56,7 +56,7 @@
         speeds in prop::collection::vec(1.0..4.0f64, 2..16),
         old in prop::collection::vec(0.1..4.0f64, 16),
     ) {
-        let inputs: Vec<ServerInput> = speeds.iter().map(|speed| input(Some(*speed))).collect();
+        let inputs: Vec<Input> = speeds.iter().map(|speed| input(Some(*speed))).collect();
         let weights = settle(old[..speeds.len()].to_vec(), &inputs, 40);
         let mean = speeds.iter().sum::<f64>() / speeds.len() as f64;
         for (weight, speed) in weights.iter().zip(&speeds) {
@@ -103,7 +103,7 @@
 #[test]
 fn a_failing_health_endpoint_lowers_a_weight_only_slightly() {
     let fine = input(Some(1.0));
-    let failing = ServerInput {
+    let failing = Input {
         trusted: false,
         ..fine
     };
@@ -119,7 +119,7 @@
 #[test]
 fn noise_is_not_proposed_and_an_ejection_is_proposed_at_once() {
     let limits = Limits::default();
-    let mut limiter = ProposalLimiter::default();
+    let mut limiter = Limiter::default();
     let noise = [1.01, 0.99];
     assert!(!limiter.due(&[1.0, 1.0], &noise, seconds(1.0), &limits));
     assert!(limiter.due(&[1.0, 1.0], &[1.2, 0.8], seconds(2.0), &limits));
