--- a/crates/bench/src/balance/cookie.rs
+++ b/crates/bench/src/balance/cookie.rs
@@ -2,7 +2,7 @@
 
 use acacia_cookie::{
     place::{Candidate, choose},
-    speed::{ServerCount, Speeds},
+    speed::{self, Speeds},
 };
 use acacia_load::tally::Tally;
 
@@ -53,7 +53,7 @@
     /// A second has passed: the balancers tell each other what they have seen, unless they are `cut`
     /// off from each other.
     pub fn tick(&mut self, cut: bool, now: f64) {
-        let seen: Vec<Vec<ServerCount>> = self
+        let seen: Vec<Vec<speed::Count>> = self
             .balancers
             .iter_mut()
             .map(|b| drain(b, &self.names))
@@ -98,10 +98,10 @@
     }
 }
 
-fn drain(balancer: &mut Balancer, names: &[Arc<str>]) -> Vec<ServerCount> {
+fn drain(balancer: &mut Balancer, names: &[Arc<str>]) -> Vec<speed::Count> {
     let empty = Tally::new(names.len(), MARKS);
     let tally = std::mem::replace(&mut balancer.tally, empty);
-    let seen = |(server, count): (&Arc<str>, _)| ServerCount {
+    let seen = |(server, count): (&Arc<str>, _)| speed::Count {
         server: Arc::clone(server),
         count,
     };
--- a/crates/cookie/src/cold.rs
+++ b/crates/cookie/src/cold.rs
@@ -26,19 +26,19 @@
 
 /// The rate limit of the whole fleet for each cold server of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ration {
+pub struct Limit {
     /// Maximum number of new flows within any second.
     pub bound: f64,
     /// Number of balancers, including this one.
     pub balancers: u32,
 }
 
-impl Ration {
+impl Limit {
     /// The mean number of new flows per second that keeps random peaks below the bound.
     ///
     /// ```
-    /// use acacia_cookie::cold::Ration;
-    /// let mean = |bound| Ration { bound, balancers: 1 }.mean();
+    /// use acacia_cookie::cold::Limit;
+    /// let mean = |bound| Limit { bound, balancers: 1 }.mean();
     /// assert!(mean(35.0) < 15.0);
     /// assert!(mean(6.0) < 1.0);
     /// ```
@@ -78,18 +78,18 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_cookie::cold::{Limiter, Ration};
-    /// let ration = Ration { bound: 14.0, balancers: 60 };
+    /// use acacia_cookie::cold::{Limit, Limiter};
+    /// let limit = Limit { bound: 14.0, balancers: 60 };
     /// let mut limiter = Limiter::default();
     /// let flows = (0..1_000u64).filter(|flow| {
-    ///     limiter.samples(&"live".into(), &ration, 2, *flow, Duration::from_millis(*flow))
+    ///     limiter.samples(&"live".into(), &limit, 2, *flow, Duration::from_millis(*flow))
     /// });
     /// assert!(flows.count() < 10);
     /// ```
     pub fn samples(
         &mut self,
         service: &Arc<str>,
-        ration: &Ration,
+        limit: &Limit,
         servers: usize,
         flow: u64,
         now: Duration,
@@ -98,17 +98,17 @@
         let rate = rate.or_insert_with(|| Rate::new(now));
         rate.add(now);
         let rate = rate.per_second(now);
-        uniform(mix(flow ^ SALT)) < ration.probability(servers, rate)
+        uniform(mix(flow ^ SALT)) < limit.probability(servers, rate)
     }
 
     /// Whether this balancer may send another new flow to a cold server.
     #[must_use]
-    pub fn has_room(&self, server: &str, ration: &Ration, now: Duration) -> bool {
+    pub fn has_room(&self, server: &str, limit: &Limit, now: Duration) -> bool {
         let times = self.recent_flows.get(server);
         let recent = times.map_or(0, |times| {
             times.iter().filter(|at| **at + COUNT_WINDOW > now).count()
         });
-        recent < ration.max_per_server()
+        recent < limit.max_per_server()
     }
 
     /// Records a new flow to a cold server.
--- a/crates/cookie/src/failing.rs
+++ b/crates/cookie/src/failing.rs
@@ -4,7 +4,7 @@
 //! too few to distinguish a server that fails most requests from one whose caller closed the
 //! connection. Balancers that see a request fail therefore report to an *observer* of the server
 //! ([`Observer`]). The observer sums up these reports and announces failing servers to its data
-//! centre ([`FailingServers`]).
+//! centre ([`Verdicts`]).
 
 use std::{sync::Arc, time::Duration};
 
@@ -105,23 +105,22 @@
     }
 }
 
-/// The servers that observers have announced as failing, and those whose counts this balancer
-/// reports.
+/// The verdicts of observers on failing servers, and the servers whose counts this balancer reports.
 #[derive(Debug, Default)]
-pub struct FailingServers {
+pub struct Verdicts {
     /// When the verdict on each failing server expires.
     expiries: Map<Arc<str>, Duration>,
     /// When this balancer last saw each server fail a request.
     failure_seen: Map<Arc<str>, Duration>,
 }
 
-impl FailingServers {
+impl Verdicts {
     /// Records an observer's verdict. Returns true if the server was not marked as failing before.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_cookie::failing::FailingServers;
-    /// let mut failing = FailingServers::default();
+    /// use acacia_cookie::failing::Verdicts;
+    /// let mut failing = Verdicts::default();
     /// assert!(failing.mark(&"host-1".into(), Duration::ZERO));
     /// assert!(failing.is_failing("host-1", Duration::from_secs(3)));
     /// assert!(!failing.is_failing("host-1", Duration::from_secs(5)));
--- a/crates/cookie/src/flow.rs
+++ b/crates/cookie/src/flow.rs
@@ -77,19 +77,19 @@
 #[derive(Debug, Default)]
 pub struct Table {
     flows: Map<Key, Flow>,
-    counts: Map<Arc<str>, FlowCounts>,
+    counts: Map<Arc<str>, Counts>,
 }
 
 /// Flows of one server that pass through this balancer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct FlowCounts {
+pub struct Counts {
     /// Flows that their clients have not closed.
     pub flows: u32,
     /// Flows among them with an unanswered request.
     pub pending: u32,
 }
 
-impl FlowCounts {
+impl Counts {
     fn add(&mut self, flow: &Flow) {
         self.flows += 1;
         self.pending += u32::from(flow.is_pending());
@@ -108,7 +108,7 @@
     /// assert_eq!(acacia_cookie::flow::Table::default().counts("host-1").flows, 0);
     /// ```
     #[must_use]
-    pub fn counts(&self, server: &str) -> FlowCounts {
+    pub fn counts(&self, server: &str) -> Counts {
         self.counts.get(server).copied().unwrap_or_default()
     }
 
--- a/crates/cookie/src/lib.rs
+++ b/crates/cookie/src/lib.rs
@@ -19,6 +19,6 @@
 pub mod speed;
 pub mod trial;
 
-pub use resolver::{Action, EndedFlow, FlowRefusal, Notice, Resolver, Timing};
+pub use resolver::{Action, Notice, Refusal, Reset, Resolver, Timing};
 pub use roster::Roster;
 pub use snapshot::Snapshot;
--- a/crates/cookie/src/resolver.rs
+++ b/crates/cookie/src/resolver.rs
@@ -17,14 +17,12 @@
     packet::{Kind, Packet},
 };
 
-use half_open::HalfOpen;
-
 use crate::{
     cold,
     cookie::Cookie,
     flow::{Flow, Observation, Table},
     snapshot::{Server, Snapshot, Standing},
-    speed::{Counts, ServerCount},
+    speed::{self, Counts},
 };
 
 /// What to do with a client's packet.
@@ -45,7 +43,7 @@
     /// Refuse the new flow, because its servers are overloaded.
     Refuse {
         /// The decision and the estimates that led to it.
-        refusal: FlowRefusal,
+        refusal: Refusal,
     },
     /// Drop the packet; the client's transport retransmits it.
     Drop {
@@ -56,7 +54,7 @@
 
 /// Why a new flow was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FlowRefusal {
+pub struct Refusal {
     /// The reason.
     pub code: Code,
     /// Index in the snapshot of the server that would answer first, or with [`Code::LessUrgent`] of the
@@ -99,7 +97,7 @@
     /// The server did not answer a packet.
     Unanswered(Arc<str>),
     /// Counts of requests and answers by server.
-    Seen(Vec<ServerCount>),
+    Seen(Vec<speed::Count>),
 }
 
 /// A response time measured on a flow, for the metrics.
@@ -121,9 +119,9 @@
     },
 }
 
-/// A flow that was ended because its server is gone.
+/// A flow that was ended because its server is gone, and whose client is to be sent a reset.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EndedFlow {
+pub struct Reset {
     /// The flow.
     pub key: Key,
     /// The name of its server.
@@ -136,7 +134,7 @@
 #[derive(Debug, Default)]
 pub struct Resolver {
     openings: Map<Key, Opening>,
-    half_open: HalfOpen,
+    half_open: half_open::Tracker,
     flows: Table,
     counts: Counts,
     delays: Delays,
@@ -209,18 +207,18 @@
     /// Removes and returns the flows of servers that are gone, so that their clients can be notified.
     ///
     /// A client that is notified opens another flow at once; otherwise it would wait until its deadline.
-    pub fn end_flows_of_gone_servers(&mut self, snapshot: &Snapshot) -> Vec<EndedFlow> {
+    pub fn end_flows_of_gone_servers(&mut self, snapshot: &Snapshot) -> Vec<Reset> {
         let is_gone = |server: &Arc<str>| {
             let server = snapshot.server(Cookie::of(server, 0));
             server.is_some_and(|server| server.standing == Standing::Gone)
         };
         let removed = self.flows.remove_flows_of(is_gone);
-        let ended = |(key, flow): (Key, Flow)| EndedFlow {
+        let reset = |(key, flow): (Key, Flow)| Reset {
             key,
             server: flow.server,
             acknowledged: flow.acknowledged,
         };
-        removed.into_iter().map(ended).collect()
+        removed.into_iter().map(reset).collect()
     }
 
     /// Removes estimates and rates of servers and services that are not in the snapshot.
--- a/crates/cookie/src/resolver/half_open.rs
+++ b/crates/cookie/src/resolver/half_open.rs
@@ -19,14 +19,14 @@
 
 /// The SYNs forwarded recently, and the usual time from a SYN to the client's next packet.
 #[derive(Debug, Default)]
-pub(super) struct HalfOpen {
+pub(super) struct Tracker {
     sent: VecDeque<(Duration, Key)>,
     /// Smoothed mean and mean deviation of the time from a SYN to the client's next packet, in seconds;
     /// `None` before the first sample.
     estimate: Option<(f64, f64)>,
 }
 
-impl HalfOpen {
+impl Tracker {
     /// Records a SYN that was forwarded.
     pub(super) fn sent(&mut self, key: Key, now: Duration) {
         if self.sent.len() < MAX_TRACKED {
--- a/crates/cookie/src/resolver/open.rs
+++ b/crates/cookie/src/resolver/open.rs
@@ -7,7 +7,7 @@
 use acacia_load::overload::{self, Prospect, Terms};
 use acacia_wire::{flow::mix, packet::Packet};
 
-use super::{Action, FlowRefusal, Opening, Resolver};
+use super::{Action, Opening, Refusal, Resolver};
 use crate::{
     cookie::Cookie,
     place::{Candidate, choose},
@@ -155,17 +155,15 @@
         except: Option<&Arc<str>>,
         now: Duration,
     ) -> Option<u32> {
-        let ration = pool.ration?;
+        let limit = pool.cold_limit?;
         let cold = pool.cold.len();
-        let draws = self
-            .warming
-            .samples(&pool.service, &ration, cold, flow, now);
+        let draws = self.warming.samples(&pool.service, &limit, cold, flow, now);
         if !draws || pool.open.len() >= cold {
             return None;
         }
         let has_room = |position: &u32| {
             let server = &snapshot.servers[*position as usize];
-            self.warming.has_room(&server.id, &ration, now)
+            self.warming.has_room(&server.id, &limit, now)
         };
         let free: Vec<u32> = pool.cold.iter().copied().filter(has_room).collect();
         let placed = self.least_loaded(snapshot, &free, flow, except, now)?;
@@ -204,8 +202,8 @@
         flow: u64,
         placed: u32,
         now: Duration,
-    ) -> Result<u32, FlowRefusal> {
-        let Some(demand) = route.demand else {
+    ) -> Result<u32, Refusal> {
+        let Some(objective) = route.objective else {
             return Ok(placed);
         };
         let service = &snapshot.servers[placed as usize].service;
@@ -215,7 +213,7 @@
             .iter()
             .map(pool)
             .find(|pool| pool.service == *service);
-        let rank = self.rank(service, &demand, now);
+        let rank = self.rank(service, &objective, now);
         if rank.yields {
             self.throttle_less_urgent(snapshot, service, flow, placed, now)?;
         }
@@ -223,11 +221,11 @@
         let limit = self.limits.entry(Arc::clone(service)).or_default();
         if !rank.urgent {
             let mean = self.delays.usual(service, now) - quiet;
-            limit.follow(mean, demand.latency, now);
+            limit.follow(mean, objective.latency, now);
         }
         let part = limit.part();
         let terms = Terms {
-            objective: demand,
+            objective,
             urgent: rank.urgent,
             part,
         };
@@ -239,7 +237,7 @@
             }
         };
         let others = pool.map_or(&[][..], |pool| &pool.open).iter().copied();
-        overload::admit(&terms, placed, others, prospect).map_err(|refusal| FlowRefusal {
+        overload::admit(&terms, placed, others, prospect).map_err(|refusal| Refusal {
             code: Code::ServersBusy,
             server: refusal.server,
             expected: seconds(refusal.expected),
--- a/crates/cookie/src/resolver/urgency.rs
+++ b/crates/cookie/src/resolver/urgency.rs
@@ -10,7 +10,7 @@
 };
 use acacia_wire::flow::{mix, uniform};
 
-use super::{FlowRefusal, Resolver, open::seconds};
+use super::{Refusal, Resolver, open::seconds};
 use crate::snapshot::Snapshot;
 
 /// Makes the random choice among less urgent flows independent of other uses of the flow's hash.
@@ -21,10 +21,10 @@
     pub(super) fn rank(
         &mut self,
         service: &Arc<str>,
-        demand: &overload::Objective,
+        objective: &overload::Objective,
         now: Duration,
     ) -> Rank {
-        let Some(priority) = demand.priority else {
+        let Some(priority) = objective.priority else {
             return Rank::default();
         };
         let known = self.priorities.entry(Arc::clone(service)).or_default();
@@ -43,7 +43,7 @@
         flow: u64,
         placed: u32,
         now: Duration,
-    ) -> Result<(), FlowRefusal> {
+    ) -> Result<(), Refusal> {
         let Some(baseline) = self.delays.baseline(service) else {
             return Ok(());
         };
@@ -65,7 +65,7 @@
         if uniform(mix(flow ^ SALT)) >= refused {
             return Ok(());
         }
-        Err(FlowRefusal {
+        Err(Refusal {
             code: Code::LessUrgent,
             server: placed,
             expected: seconds(mean),
--- a/crates/cookie/src/roster.rs
+++ b/crates/cookie/src/roster.rs
@@ -22,7 +22,7 @@
     snapshot::{Pool, Route, Server, Snapshot, Standing},
 };
 
-pub use warming::WarmupLimits;
+pub use warming::Warmup;
 
 /// Time limits for servers whose entries are missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 
 /// A server and what this balancer has learned of its entry.
 #[derive(Debug, Clone)]
-struct KnownServer {
+struct Record {
     server: Arc<server::Server>,
     /// Revision of the store at which this balancer first saw the server. It orders servers in the
     /// same way on all balancers that follow one store.
@@ -63,7 +63,7 @@
     cookies: [Cookie; VARIANTS as usize],
 }
 
-impl KnownServer {
+impl Record {
     /// Whether it announced its departure and its entry has been removed.
     fn has_left(&self) -> bool {
         self.missing.is_some() && self.server.state == State::Draining
@@ -74,11 +74,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     limits: Limits,
-    servers: BTreeMap<Arc<str>, KnownServer>,
+    servers: BTreeMap<Arc<str>, Record>,
     config: Option<Arc<Config>>,
     /// The data centres under evacuation.
     evacuated: BTreeSet<Arc<str>>,
-    warmup_limits: WarmupLimits,
+    warmup_limits: Warmup,
     revision: u64,
     /// Servers that have restarted since the last call of [`Roster::take_restarted`].
     restarted: Vec<Arc<str>>,
@@ -152,7 +152,7 @@
                 known.warm_at = warm_at;
             }
             None => {
-                let known = KnownServer {
+                let known = Record {
                     server: Arc::clone(server),
                     first_revision: revision,
                     missing: None,
@@ -179,7 +179,7 @@
     #[must_use]
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
         let missing = self.limits.missing;
-        let ends = |known: &KnownServer| {
+        let ends = |known: &Record| {
             let expiry = known.missing.map(|at| at + missing);
             [expiry, Some(known.warm_at), Some(known.suspected_until)]
         };
@@ -199,7 +199,7 @@
             ..Snapshot::default()
         };
         // Older servers come first: they keep a cookie that a newer server turns out to share.
-        let mut known: Vec<&KnownServer> = self.servers.values().collect();
+        let mut known: Vec<&Record> = self.servers.values().collect();
         known.sort_by(|one, other| {
             (one.first_revision, &one.server.id).cmp(&(other.first_revision, &other.server.id))
         });
@@ -221,7 +221,7 @@
         snapshot
     }
 
-    fn server(&self, known: &KnownServer, shared: &[Cookie], now: Duration) -> Server {
+    fn server(&self, known: &Record, shared: &[Cookie], now: Duration) -> Server {
         let server = &known.server;
         let mut own = known.cookies.into_iter();
         let unique = own.find(|cookie| shared.binary_search(cookie).is_err());
@@ -250,7 +250,7 @@
 
     /// Whether another server now has its address. The old server no longer exists then, and
     /// packets sent there for it are not answered.
-    fn is_replaced(&self, known: &KnownServer) -> bool {
+    fn is_replaced(&self, known: &Record) -> bool {
         let address = known.server.address;
         self.servers.values().any(|other| {
             other.missing.is_none()
@@ -287,7 +287,7 @@
         present.map(|known| &known.server)
     }
 
-    fn standing(&self, known: &KnownServer, now: Duration) -> Standing {
+    fn standing(&self, known: &Record, now: Duration) -> Standing {
         let draining = known.server.state == State::Draining;
         let evacuated = self.evacuated.contains(&known.server.data_centre);
         let recently_missing = |at: Duration| now.saturating_sub(at) < self.limits.missing;
@@ -305,7 +305,7 @@
 }
 
 /// Cookies that several servers have in common, sorted.
-fn shared_cookies(known: &[&KnownServer]) -> Vec<Cookie> {
+fn shared_cookies(known: &[&Record]) -> Vec<Cookie> {
     let mut all: Vec<Cookie> = known.iter().flat_map(|known| known.cookies).collect();
     all.sort_unstable();
     let mut shared: Vec<Cookie> = all
@@ -317,7 +317,7 @@
     shared
 }
 
-fn fill_routes(snapshot: &mut Snapshot, config: &Config, known: &[&KnownServer]) {
+fn fill_routes(snapshot: &mut Snapshot, config: &Config, known: &[&Record]) {
     snapshot.version = config.version;
     let mut positions: Map<Arc<str>, u32> = Map::default();
     for route in &config.routes {
@@ -328,11 +328,11 @@
             pools.push((position, target.weight));
         }
         let name = Arc::clone(&route.name);
-        let demand = demand(route);
+        let objective = objective(route);
         let route_entry = Route {
             name,
             pools,
-            demand,
+            objective,
         };
         snapshot.routes.insert(route.front, route_entry);
     }
@@ -348,7 +348,7 @@
 }
 
 /// Latency and priority that a route's callers expect; `None` without a latency objective.
-fn demand(route: &route::Route) -> Option<overload::Objective> {
+fn objective(route: &route::Route) -> Option<overload::Objective> {
     Some(overload::Objective {
         latency: route.objective.latency?,
         priority: route.objective.priority,
@@ -357,7 +357,7 @@
 
 /// Positions of a service's servers that accept new flows: the ready ones or, if there are none,
 /// those whose entries have only just gone missing.
-fn open(snapshot: &Snapshot, known: &[&KnownServer], service: &Arc<str>) -> Vec<u32> {
+fn open(snapshot: &Snapshot, known: &[&Record], service: &Arc<str>) -> Vec<u32> {
     let with_standing = |standing: Standing| {
         let matches = move |position: &usize| {
             known[*position].server.service == *service
--- a/crates/cookie/src/roster/warming.rs
+++ b/crates/cookie/src/roster/warming.rs
@@ -4,16 +4,16 @@
 use std::time::Duration;
 
 use acacia_catalog::{
-    route::{Config, Warmup},
+    route::{self, Config},
     server,
 };
 
-use super::{KnownServer, Roster};
-use crate::{cold::Ration, snapshot::Snapshot};
+use super::{Record, Roster};
+use crate::{cold, snapshot::Snapshot};
 
 /// How the configured request rates of cold servers are turned into limits for the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct WarmupLimits {
+pub struct Warmup {
     /// Factor on the configured requests per second.
     pub overshoot: f64,
     /// Requests per second added to the product.
@@ -22,9 +22,9 @@
     pub balancers: Option<u32>,
 }
 
-impl Default for WarmupLimits {
+impl Default for Warmup {
     fn default() -> Self {
-        WarmupLimits {
+        Warmup {
             overshoot: 1.0,
             slack: 0.0,
             balancers: None,
@@ -34,7 +34,7 @@
 
 impl Roster {
     /// Sets the limits on servers that have just started.
-    pub fn set_warmup_limits(&mut self, limits: WarmupLimits) {
+    pub fn set_warmup_limits(&mut self, limits: Warmup) {
         self.warmup_limits = limits;
     }
 
@@ -58,19 +58,14 @@
     }
 
     /// Whether a server has started recently, or may have, and its service has a warm-up limit.
-    fn is_limited(&self, known: &KnownServer, now: Duration) -> bool {
+    fn is_limited(&self, known: &Record, now: Duration) -> bool {
         let is_cold = known.warm_at.max(known.suspected_until) > now;
         let config = self.config.as_deref();
         is_cold && config.is_some_and(|config| warmup(config, &known.server).is_some())
     }
 
     /// Moves the limited servers of each pool from `open` to `cold`.
-    pub(super) fn separate_cold(
-        &self,
-        snapshot: &mut Snapshot,
-        known: &[&KnownServer],
-        now: Duration,
-    ) {
+    pub(super) fn separate_cold(&self, snapshot: &mut Snapshot, known: &[&Record], now: Duration) {
         let Some(config) = &self.config else {
             return;
         };
@@ -82,19 +77,19 @@
                 .collect();
             let limits = config.warmups.iter();
             let mut limits = limits.filter(|warmup| warmup.service == pool.service);
-            pool.ration = limits.next().and_then(|warmup| self.ration(warmup));
+            pool.cold_limit = limits.next().and_then(|warmup| self.cold_limit(warmup));
         }
     }
 
     /// The limit of the whole fleet for each cold server; `None` while the fleet's size is not
     /// known.
-    fn ration(&self, warmup: &Warmup) -> Option<Ration> {
-        let WarmupLimits {
+    fn cold_limit(&self, warmup: &route::Warmup) -> Option<cold::Limit> {
+        let Warmup {
             overshoot,
             slack,
             balancers,
         } = self.warmup_limits;
-        Some(Ration {
+        Some(cold::Limit {
             bound: f64::from(warmup.requests) / 1_000.0 * overshoot + slack,
             balancers: balancers?,
         })
@@ -102,7 +97,7 @@
 }
 
 /// The warm-up limit of a server's service, if one is configured.
-fn warmup<'a>(config: &'a Config, server: &server::Server) -> Option<&'a Warmup> {
+fn warmup<'a>(config: &'a Config, server: &server::Server) -> Option<&'a route::Warmup> {
     let mut limits = config.warmups.iter();
     limits.find(|warmup| warmup.service == server.service)
 }
--- a/crates/cookie/src/snapshot.rs
+++ b/crates/cookie/src/snapshot.rs
@@ -6,7 +6,7 @@
 use acacia_load::{delay::Idle, overload};
 use acacia_wire::collections::Map;
 
-use crate::{cold::Ration, cookie::Cookie};
+use crate::{cold, cookie::Cookie};
 
 /// Which flows a balancer sends to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -67,13 +67,13 @@
     pub service: Arc<str>,
     /// Indexes of the servers that take new flows without a limit.
     pub open: Vec<u32>,
-    /// Indexes of the servers that are warming up after a start, whose new flows `ration` limits.
+    /// Indexes of the servers that are warming up after a start, whose new flows `cold_limit` limits.
     pub cold: Vec<u32>,
     /// Number of requests that all servers that take new flows process concurrently.
     pub slots: u32,
     /// Limit on the new flows that all balancers together send to each cold server; `None` if they get
     /// no flows.
-    pub ration: Option<Ration>,
+    pub cold_limit: Option<cold::Limit>,
 }
 
 impl Pool {
@@ -96,7 +96,7 @@
     /// Indexes of the services' pools, each with its weight.
     pub pools: Vec<(u32, u32)>,
     /// Latency objective and priority of its flows. Without one, no flow is refused under load.
-    pub demand: Option<overload::Objective>,
+    pub objective: Option<overload::Objective>,
 }
 
 /// Routes and servers at one point in time.
--- a/crates/cookie/src/speed.rs
+++ b/crates/cookie/src/speed.rs
@@ -11,7 +11,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use acacia_load::{delay::Idle, limits::Limits, signal::Window, speed::Speed, tally::Count};
+use acacia_load::{delay::Idle, limits::Limits, signal::Window, speed::Speed, tally};
 use acacia_wire::collections::Map;
 
 use crate::snapshot::Snapshot;
@@ -27,17 +27,17 @@
 
 /// Counts of one server's requests. The counts of several balancers can be summed up.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServerCount {
+pub struct Count {
     /// The server.
     pub server: Arc<str>,
     /// Its counts.
-    pub count: Count,
+    pub count: tally::Count,
 }
 
 /// The counts of one traffic thread since its last report.
 #[derive(Debug, Default)]
 pub struct Counts {
-    servers: Map<Arc<str>, Count>,
+    servers: Map<Arc<str>, tally::Count>,
     /// When the counts were last reported.
     reported: Duration,
 }
@@ -69,7 +69,7 @@
         self.count(server).failed += 1;
     }
 
-    fn count(&mut self, server: &Arc<str>) -> &mut Count {
+    fn count(&mut self, server: &Arc<str>) -> &mut tally::Count {
         self.servers.entry(Arc::clone(server)).or_default()
     }
 
@@ -83,21 +83,21 @@
     /// assert_eq!(counts.take(Duration::from_millis(200)), []);
     /// assert_eq!(counts.take(Duration::from_secs(1))[0].count.asked, 1);
     /// ```
-    pub fn take(&mut self, now: Duration) -> Vec<ServerCount> {
+    pub fn take(&mut self, now: Duration) -> Vec<Count> {
         if now < self.reported + TICK {
             return Vec::new();
         }
         self.reported = now;
         let counts = self.servers.drain();
         counts
-            .map(|(server, count)| ServerCount { server, count })
+            .map(|(server, count)| Count { server, count })
             .collect()
     }
 }
 
 /// A server whose speed has changed by enough to be reported.
 #[derive(Debug, Clone, PartialEq)]
-pub struct SpeedChange {
+pub struct Change {
     /// The server.
     pub server: Arc<str>,
     /// Requests per second that it answers with each slot.
@@ -108,7 +108,7 @@
 #[derive(Debug, Default)]
 struct Entry {
     /// Counts since the last evaluation.
-    count: Count,
+    count: tally::Count,
     speed: Speed,
     slots: u32,
     /// The speed that was last reported, in requests per second and slot.
@@ -137,7 +137,7 @@
 
 impl Speeds {
     /// Adds counts of a server from this balancer or a peer.
-    pub fn add(&mut self, counted: &ServerCount) {
+    pub fn add(&mut self, counted: &Count) {
         let entry = self.servers.entry(Arc::clone(&counted.server)).or_default();
         entry.count.add(&counted.count);
     }
@@ -152,13 +152,13 @@
         now: Duration,
         visible: f64,
         slots: impl Fn(&str) -> Option<u32>,
-    ) -> Option<Vec<SpeedChange>> {
+    ) -> Option<Vec<Change>> {
         let passed = now.saturating_sub(self.evaluated);
         if passed < TICK {
             return None;
         }
         self.evaluated = now;
-        let mut sum = Count::default();
+        let mut sum = tally::Count::default();
         for entry in self.servers.values() {
             sum.add(&entry.count);
         }
@@ -178,7 +178,7 @@
             let speed = entry.speed_per_slot().unwrap_or_default();
             if (speed - entry.reported).abs() > MIN_CHANGE * entry.reported {
                 entry.reported = speed;
-                changed.push(SpeedChange {
+                changed.push(Change {
                     server: Arc::clone(server),
                     speed,
                 });
--- a/crates/cookie/tests/it/cold.rs
+++ b/crates/cookie/tests/it/cold.rs
@@ -14,8 +14,8 @@
 use acacia_code::Code;
 use acacia_cookie::{
     Action, Resolver, Roster, Snapshot,
-    cold::{Limiter, Ration},
-    roster::WarmupLimits,
+    cold::{Limit, Limiter},
+    roster,
     silence::Detector,
 };
 use acacia_wire::flow::mix;
@@ -82,17 +82,17 @@
         if scene.just_started[balancer] {
             return None;
         }
-        let ration = Ration {
+        let limit = Limit {
             bound: scene.bound,
             balancers: scene.known[balancer],
         };
         let limiter = &mut limiters[balancer];
-        if !limiter.samples(&service, &ration, scene.servers, flow, now) {
+        if !limiter.samples(&service, &limit, scene.servers, flow, now) {
             return None;
         }
         let first = mix(flow) as usize % scene.servers;
         let mut order = (0..scene.servers).map(|step| (first + step) % scene.servers);
-        let server = order.find(|server| limiter.has_room(&names[*server], &ration, now))?;
+        let server = order.find(|server| limiter.has_room(&names[*server], &limit, now))?;
         limiter.add(&names[server], now);
         Some(server)
     })
@@ -196,7 +196,7 @@
 fn cold_servers_are_used_if_there_are_no_others() {
     let scene = scene(9, 14, 2_000, 35.0);
     let service: Arc<str> = "live".into();
-    let ration = Ration {
+    let limit = Limit {
         bound: scene.bound,
         balancers: scene.balancers,
     };
@@ -204,7 +204,7 @@
 
     let flows = (0..8_000u64).filter(|flow| {
         let balancer = *flow as usize % limiters.len();
-        limiters[balancer].samples(&service, &ration, scene.servers, mix(*flow), ms(flow / 2))
+        limiters[balancer].samples(&service, &limit, scene.servers, mix(*flow), ms(flow / 2))
     });
 
     let mean = flows.count() as f64 / 4.0 / scene.servers as f64;
@@ -247,7 +247,7 @@
 /// A roster to which the changes were applied at time 0, in a fleet of `balancers` balancers.
 fn roster(changes: Vec<Change>, balancers: Option<u32>) -> Roster {
     let mut roster = Roster::default();
-    roster.set_warmup_limits(WarmupLimits {
+    roster.set_warmup_limits(roster::Warmup {
         overshoot: 1.5,
         slack: 5.0,
         balancers,
@@ -293,7 +293,7 @@
 
     assert_eq!(cold(&before), ["h-1", "h-2"]);
     assert_eq!(
-        before.pools[0].ration.map(|ration| ration.bound),
+        before.pools[0].cold_limit.map(|limit| limit.bound),
         Some(14.0)
     );
     assert!(cold(&after).is_empty());
--- a/crates/cookie/tests/it/failing.rs
+++ b/crates/cookie/tests/it/failing.rs
@@ -3,7 +3,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use acacia_cookie::failing::{FailingServers, Observer, lower_weights};
+use acacia_cookie::failing::{Observer, Verdicts, lower_weights};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -63,7 +63,7 @@
 /// A failing server restarts. Failures from before the restart must not reduce its flows.
 #[test]
 fn a_server_that_restarts_is_not_avoided() {
-    let (mut observer, mut failing) = (Observer::default(), FailingServers::default());
+    let (mut observer, mut failing) = (Observer::default(), Verdicts::default());
     observer.add(&id(), 9, 0, ms(0));
     failing.mark(&id(), ms(0));
 
@@ -102,7 +102,7 @@
     /// A verdict expires within its lifetime after the last report, whatever reports came before.
     #[test]
     fn no_verdict_outlives_its_lifetime(times in prop::collection::vec(0..60_000u64, 0..50)) {
-        let mut failing = FailingServers::default();
+        let mut failing = Verdicts::default();
         let last = times.iter().max().copied().unwrap_or_default();
         let mut times = times;
         times.sort_unstable();
--- a/crates/cookie/tests/it/flow.rs
+++ b/crates/cookie/tests/it/flow.rs
@@ -2,7 +2,7 @@
 
 use acacia_cookie::{
     cookie::Cookie,
-    flow::{FlowCounts, Observation, Table},
+    flow::{Counts, Observation, Table},
 };
 use acacia_wire::packet::{Kind, Packet};
 use proptest::prelude::*;
@@ -141,7 +141,7 @@
     let observation = table.observe(&middle(1, 302, 0, 1_251), cookie, &server, ms(45));
 
     assert_eq!(observation, Observation::None);
-    assert_eq!(table.counts("i-1"), FlowCounts::default());
+    assert_eq!(table.counts("i-1"), Counts::default());
 }
 
 /// A client gives up a request that has not been answered, and closes or resets its flow.
@@ -160,7 +160,7 @@
     let observation = table.observe(&end, cookie, &server, ms(2_000));
 
     assert_eq!(observation, Observation::Abandoned);
-    assert_eq!(table.counts("i-1"), FlowCounts::default());
+    assert_eq!(table.counts("i-1"), Counts::default());
 }
 
 /// After a server resets a flow, or its client vanishes, no packet of it passes a balancer again. Guards
@@ -262,7 +262,7 @@
                 let counts = |table: &Table| table.counts(server);
                 let flows: u32 = single.iter().map(|table| counts(table).flows).sum();
                 let pending: u32 = single.iter().map(|table| counts(table).pending).sum();
-                prop_assert_eq!(whole.counts(server), FlowCounts { flows, pending });
+                prop_assert_eq!(whole.counts(server), Counts { flows, pending });
             }
         }
     }
--- a/crates/cookie/tests/it/overload.rs
+++ b/crates/cookie/tests/it/overload.rs
@@ -50,7 +50,7 @@
     let route = snapshot.routes[&FRONT].clone();
     for (port, urgent) in [(FRONT.port, false), (URGENT_PORT, true)] {
         let mut route = route.clone();
-        route.demand = refuses.then_some(overload::Objective {
+        route.objective = refuses.then_some(overload::Objective {
             latency: LATENCY,
             priority: Some(if urgent { 1 } else { 2 }),
         });
--- a/crates/cookie/tests/it/speed.rs
+++ b/crates/cookie/tests/it/speed.rs
@@ -1,11 +1,11 @@
 use std::{sync::Arc, time::Duration};
 
-use acacia_cookie::speed::{Counts, ServerCount, Speeds};
+use acacia_cookie::speed::{Count, Counts, Speeds};
 
 use crate::fixture::ms;
 
 /// Counts of one second in which a server answered five requests.
-fn five_answers(server: &str, took: Duration) -> Vec<ServerCount> {
+fn five_answers(server: &str, took: Duration) -> Vec<Count> {
     let server: Arc<str> = server.into();
     let mut counts = Counts::default();
     for _ in 0..5 {
@@ -15,7 +15,7 @@
     counts.take(Duration::from_secs(1))
 }
 
-fn add_all(speeds: &mut Speeds, counts: &[ServerCount]) {
+fn add_all(speeds: &mut Speeds, counts: &[Count]) {
     counts.iter().for_each(|count| speeds.add(count));
 }
 
--- a/crates/node/src/cookie/burn.rs
+++ b/crates/node/src/cookie/burn.rs
@@ -6,7 +6,7 @@
 
 use acacia_burn::{Count, Mark};
 use acacia_catalog::route::Front;
-use acacia_cookie::{EndedFlow, Snapshot, Timing, cookie::Cookie};
+use acacia_cookie::{Reset, Snapshot, Timing, cookie::Cookie};
 use acacia_wire::flow::Key;
 
 use crate::ledger::Ledger;
@@ -29,7 +29,7 @@
 }
 
 /// A flow was ended as its server is lost.
-pub fn ended(ledger: &Ledger, ended: &EndedFlow, snapshot: &Snapshot) {
+pub fn ended(ledger: &Ledger, ended: &Reset, snapshot: &Snapshot) {
     let count = Count {
         broken: 1,
         ..Count::default()
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -17,10 +17,10 @@
 };
 use acacia_cookie::{
     Roster, Snapshot,
-    failing::{FailingServers, Observer},
-    roster::{Limits, WarmupLimits},
+    failing::{Observer, Verdicts},
+    roster::{Limits, Warmup},
     silence::Detector,
-    speed::{ServerCount, Speeds},
+    speed::{Count, Speeds},
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -82,7 +82,7 @@
     /// The largest size of the fleet of late.
     size: Peak,
     /// What the settings say of servers that have just started.
-    warming: WarmupLimits,
+    warming: Warmup,
     catalog: Catalog,
     reading: spread::Schedule,
     roster: Roster,
@@ -91,9 +91,9 @@
     /// How the requests of the servers that this balancer observes have ended.
     ledger: Observer,
     /// Servers that fail their requests.
-    marks: FailingServers,
+    marks: Verdicts,
     /// What was seen of servers here and not told to peers yet.
-    untold: Vec<ServerCount>,
+    untold: Vec<Count>,
     /// Peers that have told what they saw since the speeds were last evaluated.
     reports: usize,
     isolated: bool,
@@ -148,7 +148,7 @@
             detector: Detector::default(),
             speeds: Speeds::default(),
             ledger: Observer::default(),
-            marks: FailingServers::default(),
+            marks: Verdicts::default(),
             untold: Vec::new(),
             reports: 0,
             isolated: false,
@@ -430,7 +430,7 @@
     /// Routes and servers for the traffic threads, and when they change by time alone.
     pub fn snapshot(&mut self, now: Duration) -> (Snapshot, Option<Duration>) {
         let balancers = self.balancers(now);
-        self.roster.set_warmup_limits(WarmupLimits {
+        self.roster.set_warmup_limits(Warmup {
             balancers,
             ..self.warming
         });
@@ -471,8 +471,8 @@
     }
 }
 
-fn warming(settings: &Settings) -> WarmupLimits {
-    WarmupLimits {
+fn warming(settings: &Settings) -> Warmup {
+    Warmup {
         overshoot: settings.cold_overshoot,
         slack: settings.cold_slack,
         balancers: None,
--- a/crates/node/src/cookie/core/failing.rs
+++ b/crates/node/src/cookie/core/failing.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc, time::Duration};
 
 use acacia_catalog::spread::chosen;
-use acacia_cookie::{Snapshot, cookie, failing, speed::ServerCount};
+use acacia_cookie::{Snapshot, cookie, failing, speed};
 
 use super::{Core, Outcome};
 use crate::cookie::message::{Failure, Parcel};
@@ -15,9 +15,9 @@
 
 impl Core {
     /// Reports how the requests of servers that fail some of them ended here.
-    pub(super) fn report_failures(&mut self, seen: &[ServerCount], now: Duration) -> Outcome {
+    pub(super) fn report_failures(&mut self, seen: &[speed::Count], now: Duration) -> Outcome {
         let mut reports: BTreeMap<SocketAddrV4, Vec<Failure>> = BTreeMap::new();
-        for ServerCount { server, count } in seen {
+        for speed::Count { server, count } in seen {
             if !self.marks.should_report(server, count.failed, now) {
                 continue;
             }
--- a/crates/node/src/cookie/core/speed.rs
+++ b/crates/node/src/cookie/core/speed.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, time::Duration};
 
-use acacia_cookie::speed::{ServerCount, SpeedChange};
+use acacia_cookie::speed;
 use rand::seq::IndexedRandom as _;
 
 use super::{Core, Outcome};
@@ -18,7 +18,7 @@
 
 impl Core {
     /// What the traffic threads have seen of the servers.
-    pub fn seen(&mut self, seen: Vec<ServerCount>, now: Duration) -> Outcome {
+    pub fn seen(&mut self, seen: Vec<speed::Count>, now: Duration) -> Outcome {
         let outcome = self.report_failures(&seen, now);
         for seen in seen {
             self.speeds.add(&seen);
@@ -37,7 +37,7 @@
         }
         self.reports += 1;
         for seen in &message.seen {
-            self.speeds.add(&ServerCount::from(seen));
+            self.speeds.add(&speed::Count::from(seen));
         }
     }
 
@@ -75,13 +75,13 @@
 }
 
 /// The servers' speeds in a line of the log: requests a second that each answers with a slot.
-struct Told<'a>(&'a [SpeedChange]);
+struct Told<'a>(&'a [speed::Change]);
 
 impl fmt::Display for Told<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let shown = self.0.iter().take(SHOWN);
         f.write_str("servers=")?;
-        for (number, SpeedChange { server, speed }) in shown.enumerate() {
+        for (number, speed::Change { server, speed }) in shown.enumerate() {
             let comma = if number > 0 { "," } else { "" };
             write!(f, "{comma}{server}:{speed:.1}")?;
         }
--- a/crates/node/src/cookie/message.rs
+++ b/crates/node/src/cookie/message.rs
@@ -72,9 +72,9 @@
     pub opening_us: u64,
 }
 
-impl From<speed::ServerCount> for Seen {
-    fn from(seen: speed::ServerCount) -> Self {
-        let speed::ServerCount { server, count } = seen;
+impl From<speed::Count> for Seen {
+    fn from(seen: speed::Count) -> Self {
+        let speed::Count { server, count } = seen;
         Seen {
             server,
             asked: count.asked,
@@ -86,9 +86,9 @@
     }
 }
 
-impl From<&Seen> for speed::ServerCount {
+impl From<&Seen> for speed::Count {
     fn from(seen: &Seen) -> Self {
-        speed::ServerCount {
+        speed::Count {
             server: Arc::clone(&seen.server),
             count: Count {
                 asked: seen.asked,
--- a/crates/node/src/cookie/traffic.rs
+++ b/crates/node/src/cookie/traffic.rs
@@ -8,7 +8,7 @@
 use acacia_adapter::packet::{self, Frame};
 use acacia_code::Code;
 use acacia_cookie::{
-    Action, EndedFlow, FlowRefusal, Notice, Resolver, Snapshot, cookie::Cookie, snapshot::Server,
+    Action, Notice, Refusal, Reset, Resolver, Snapshot, cookie::Cookie, snapshot::Server,
 };
 use acacia_wire::{
     flow::Key,
@@ -178,7 +178,7 @@
 }
 
 /// Tells of an opening that was refused under load, and by what.
-fn refused(frame: &Frame, refusal: &FlowRefusal, snapshot: &Snapshot) {
+fn refused(frame: &Frame, refusal: &Refusal, snapshot: &Snapshot) {
     let (code, server) = (refusal.code, &snapshot.servers[refusal.server as usize]);
     let (expected, limit) = (refusal.expected.as_millis(), refusal.limit.as_millis());
     let (id, copies) = (&server.id, frame.copies);
@@ -189,7 +189,7 @@
 }
 
 /// Tells the caller of a lost server that its flow has ended.
-fn end(ended: &EndedFlow, snapshot: &Snapshot, context: &Context, to_send: &mut ToSend) {
+fn end(ended: &Reset, snapshot: &Snapshot, context: &Context, to_send: &mut ToSend) {
     let (code, server) = (Code::FlowServerGone, &ended.server);
     burn::ended(&context.ledger, ended, snapshot);
     say(
--- a/crates/node/tests/it/cookie/failing.rs
+++ b/crates/node/tests/it/cookie/failing.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use acacia_cookie::speed::ServerCount;
+use acacia_cookie::speed;
 use acacia_load::tally::Count;
 
 use super::fixture::{Fleet, config, ms, server};
@@ -35,7 +35,7 @@
 }
 
 /// What one balancer has seen of a server within a second.
-fn seen(number: u64, failed: bool) -> ServerCount {
+fn seen(number: u64, failed: bool) -> speed::Count {
     let count = Count {
         asked: 1,
         answered: u32::from(!failed),
@@ -43,7 +43,7 @@
         ..Count::default()
     };
     let server = name(number).into();
-    ServerCount { server, count }
+    speed::Count { server, count }
 }
 
 /// A second of requests, each through another balancer; nine of ten of the failing servers' fail.
--- a/crates/node/tests/it/cookie/speed.rs
+++ b/crates/node/tests/it/cookie/speed.rs
@@ -1,13 +1,16 @@
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
 use acacia_catalog::Change;
-use acacia_cookie::{silence::Finding, speed::Counts, speed::ServerCount};
+use acacia_cookie::{
+    silence::Finding,
+    speed::{Count, Counts},
+};
 use rstest::rstest;
 
 use super::fixture::{Fleet, config, ms, server};
 
 /// Answers of a server, each after `took`.
-fn answers(count: u32, server: &str, took: Duration) -> Vec<ServerCount> {
+fn answers(count: u32, server: &str, took: Duration) -> Vec<Count> {
     let server: Arc<str> = server.into();
     let mut counts = Counts::default();
     for _ in 0..count {
