--- a/crates/cookie/src/lib.rs
+++ b/crates/cookie/src/lib.rs
@@ -12,12 +12,12 @@
 pub mod failing;
 pub mod flow;
 pub mod place;
+pub mod probe;
 pub mod resolver;
 pub mod roster;
 pub mod silence;
 pub mod snapshot;
 pub mod speed;
-pub mod trial;
 
 pub use resolver::{Action, Notice, Refusal, Reset, Resolver, Timing};
 pub use roster::Roster;
--- a/crates/cookie/src/trial.rs
+++ b/crates/cookie/src/probe.rs
@@ -30,7 +30,7 @@
     Control,
 }
 
-/// The steps of a trial, each with the delay after the previous one. With fewer probes of the
+/// The steps of a sequence, each with the delay after the previous one. With fewer probes of the
 /// servers or of the control, live servers are found silent over a lossy link.
 const STEPS: [(Duration, Step); 10] = [
     (Duration::ZERO, Step::Servers),
@@ -45,9 +45,9 @@
     (STEP_GAP, Step::Servers),
 ];
 
-/// Number of probes of each server in a complete trial.
+/// Number of probes of each server in a complete sequence.
 const SERVER_PROBES: u32 = count(Step::Servers);
-/// Number of probes of the control in a complete trial.
+/// Number of probes of the control in a complete sequence.
 const CONTROL_PROBES: u32 = count(Step::Control);
 
 const fn count(step: Step) -> u32 {
@@ -100,9 +100,9 @@
     }
 }
 
-/// The probes of one examination and their results so far.
+/// The sequence of probes in one examination, and their results so far.
 #[derive(Debug, Clone)]
-pub struct Trial {
+pub struct Sequence {
     servers: Vec<Server>,
     /// Index of the next step.
     step: usize,
@@ -118,22 +118,22 @@
     has_control: bool,
 }
 
-impl Trial {
-    /// Creates a trial of `servers` servers that starts at `now`. `has_control` tells whether there
-    /// is a server to be the control.
+impl Sequence {
+    /// Creates the sequence for `servers` servers that starts at `now`. `has_control` tells whether
+    /// there is a server to be the control.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_cookie::{silence::Finding, trial::{Answer, Probe, Trial}};
-    /// let mut trial = Trial::new(1, true, Duration::ZERO);
-    /// assert_eq!(trial.due(Duration::ZERO), [Probe::Server(0)]);
-    /// trial.record(Probe::Server(0), Answer::Accepted);
-    /// assert!(trial.is_over());
-    /// assert_eq!(trial.findings(), [Finding::Answered]);
+    /// use acacia_cookie::{silence::Finding, probe::{Answer, Probe, Sequence}};
+    /// let mut sequence = Sequence::new(1, true, Duration::ZERO);
+    /// assert_eq!(sequence.due(Duration::ZERO), [Probe::Server(0)]);
+    /// sequence.record(Probe::Server(0), Answer::Accepted);
+    /// assert!(sequence.is_over());
+    /// assert_eq!(sequence.findings(), [Finding::Answered]);
     /// ```
     #[must_use]
     pub fn new(servers: usize, has_control: bool, now: Duration) -> Self {
-        Trial {
+        Sequence {
             servers: vec![Server::default(); servers],
             step: 0,
             step_due: now,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Returns the probes to send now. Call [`Trial::record`] with the result of each.
+    /// Returns the probes to send now. Call [`Sequence::record`] with the result of each.
     pub fn due(&mut self, now: Duration) -> Vec<Probe> {
         let Some((_, step)) = self.next_step().filter(|(at, _)| now >= *at) else {
             return Vec::new();
@@ -178,7 +178,7 @@
         Some((self.step_due, *step))
     }
 
-    /// When to call [`Trial::due`] next; `None` if no probes remain.
+    /// When to call [`Sequence::due`] next; `None` if no probes remain.
     #[must_use]
     pub fn next_due(&self) -> Option<Duration> {
         self.next_step().map(|(at, _)| at)
--- a/crates/cookie/src/silence.rs
+++ b/crates/cookie/src/silence.rs
@@ -8,7 +8,7 @@
 //!
 //! In a large data centre, a few balancers examine a server and the others adopt their result.
 //!
-//! [`trial`](crate::trial) describes the probes of an examination and what counts as proof.
+//! [`probe`](crate::probe) describes the probes of an examination and what counts as proof.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/cookie/tests/it/trial.rs
+++ b/crates/cookie/tests/it/probe.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use acacia_cookie::{
+    probe::{Answer, Probe, Sequence, WAIT},
     silence::Finding,
-    trial::{Answer, Probe, Trial, WAIT},
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -12,31 +12,35 @@
 
 use crate::fixture::ms;
 
-/// Simulates a trial of one server and returns the finding and when it was reached.
+/// Simulates the examination of one server and returns the finding and when it was reached.
 ///
 /// `travel` returns the round-trip time of a probe that is sent at the given time, or `None` if the
 /// probe or its answer is lost or the server is down.
 pub fn simulate(
     mut travel: impl FnMut(Probe, Duration) -> Option<Duration>,
 ) -> (Finding, Duration) {
-    let mut trial = Trial::new(1, true, Duration::ZERO);
+    let mut sequence = Sequence::new(1, true, Duration::ZERO);
     let mut ends: BTreeMap<(Duration, usize), (Probe, Answer)> = BTreeMap::new();
     let (mut now, mut sent) = (Duration::ZERO, 0);
-    while !trial.is_over() {
-        for probe in trial.due(now) {
+    while !sequence.is_over() {
+        for probe in sequence.due(now) {
             let answered = travel(probe, now).filter(|took| *took <= WAIT);
             let answer = answered.map_or(Answer::Missing, |_| Answer::Accepted);
             sent += 1;
             ends.insert((now + answered.unwrap_or(WAIT), sent), (probe, answer));
         }
         let end = ends.first_key_value().map(|(key, _)| key.0);
-        now = [trial.next_due(), end].into_iter().flatten().min().unwrap();
+        now = [sequence.next_due(), end]
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap();
         while let Some(entry) = ends.first_entry().filter(|entry| entry.key().0 <= now) {
             let (probe, answer) = entry.remove();
-            trial.record(probe, answer);
+            sequence.record(probe, answer);
         }
     }
-    (trial.findings()[0], now)
+    (sequence.findings()[0], now)
 }
 
 /// A saturated link with its queue and the connections that send over it.
@@ -169,15 +173,15 @@
 #[rstest]
 fn packet_loss_rarely_makes_a_live_server_silent(#[values(0.05, 0.1, 0.2, 0.4, 0.6)] loss: f64) {
     let mut random = Pcg64::seed_from_u64(7);
-    let trials = 20_000;
+    let runs = 20_000;
     let mut silent = 0;
-    for _ in 0..trials {
+    for _ in 0..runs {
         let (found, _) = simulate(|_, _| (!random.random_bool(loss)).then_some(ms(5)));
         silent += u32::from(found == Finding::Silent);
     }
 
     // Upper bound for ten independent probes, of which exactly the six of the server are lost.
-    assert!(f64::from(silent) / f64::from(trials) < 0.0015, "{silent}");
+    assert!(f64::from(silent) / f64::from(runs) < 0.0015, "{silent}");
 }
 
 /// The host of a server is down, and its callers wait for answers that never arrive. The verdict
@@ -210,48 +214,51 @@
 /// cannot explain that, so the verdict does not wait for more probes.
 #[test]
 fn a_server_that_refuses_connections_is_found_silent_at_once() {
-    let mut trial = Trial::new(1, true, ms(0));
+    let mut sequence = Sequence::new(1, true, ms(0));
 
     for (at, answer) in [
         (0, Answer::Refused),
         (25, Answer::Refused),
         (30, Answer::Accepted),
     ] {
-        for probe in trial.due(ms(at)) {
-            trial.record(probe, answer);
+        for probe in sequence.due(ms(at)) {
+            sequence.record(probe, answer);
         }
     }
 
-    assert!(trial.is_over());
-    assert_eq!(trial.findings(), [Finding::Silent]);
+    assert!(sequence.is_over());
+    assert_eq!(sequence.findings(), [Finding::Silent]);
 }
 
-/// The balancer's process is not scheduled for 100 ms during a trial. The probes that became due
-/// meanwhile must not be sent all at once: a short loss could then affect all of them but not the
-/// control.
+/// The balancer's process is not scheduled for 100 ms during an examination. The probes that
+/// became due meanwhile must not be sent all at once: a short loss could then affect all of them
+/// but not the control.
 #[test]
 fn late_steps_are_not_run_at_once() {
-    let mut trial = Trial::new(1, true, ms(0));
+    let mut sequence = Sequence::new(1, true, ms(0));
 
-    assert_eq!(trial.due(ms(0)).len(), 1);
-    assert_eq!(trial.due(ms(100)), [Probe::Server(0)]);
-    assert_eq!(trial.due(ms(100)), []);
-    assert_eq!(trial.next_due(), Some(ms(105)));
+    assert_eq!(sequence.due(ms(0)).len(), 1);
+    assert_eq!(sequence.due(ms(100)), [Probe::Server(0)]);
+    assert_eq!(sequence.due(ms(100)), []);
+    assert_eq!(sequence.next_due(), Some(ms(105)));
 }
 
 /// All other servers are suspected or silent, so there is no control and nothing can be concluded.
-/// The trial must end nevertheless.
+/// The sequence must end nevertheless.
 #[test]
 fn without_a_control_nothing_is_concluded() {
-    let mut trial = Trial::new(1, false, ms(0));
+    let mut sequence = Sequence::new(1, false, ms(0));
     for at in [0, 25, 30] {
-        trial.due(ms(at));
+        sequence.due(ms(at));
     }
 
-    trial.record(Probe::Server(0), Answer::Missing);
-    assert!(!trial.is_over(), "the second probe may still be answered");
-    trial.record(Probe::Server(0), Answer::Missing);
+    sequence.record(Probe::Server(0), Answer::Missing);
+    assert!(
+        !sequence.is_over(),
+        "the second probe may still be answered"
+    );
+    sequence.record(Probe::Server(0), Answer::Missing);
 
-    assert!(trial.is_over());
-    assert_eq!(trial.findings(), [Finding::Unknown]);
+    assert!(sequence.is_over());
+    assert_eq!(sequence.findings(), [Finding::Unknown]);
 }
--- a/crates/cookie/tests/it/silence.rs
+++ b/crates/cookie/tests/it/silence.rs
@@ -3,7 +3,7 @@
 use acacia_cookie::silence::{Detector, Finding, Verdict};
 use acacia_wire::flow::mix;
 
-use crate::{fixture::ms, trial::simulate};
+use crate::{fixture::ms, probe::simulate};
 
 fn id() -> Arc<str> {
     "i-1".into()
--- a/crates/node/src/cookie/examine.rs
+++ b/crates/node/src/cookie/examine.rs
@@ -5,8 +5,8 @@
 use acacia_adapter::probe;
 use acacia_cookie::{
     Notice,
+    probe::{Answer, Probe, Sequence, WAIT},
     silence::Finding,
-    trial::{Answer, Probe, Trial, WAIT},
 };
 use acacia_kernel::BoxError;
 use tokio::{
@@ -57,31 +57,33 @@
 
 async fn examine(targets: Vec<Target>, control: Option<SocketAddrV4>) -> Vec<(Arc<str>, Finding)> {
     let begun = clock::now();
-    let mut trial = Trial::new(targets.len(), control.is_some(), begun);
+    let mut sequence = Sequence::new(targets.len(), control.is_some(), begun);
     // Probes that the outcome no longer waits for end with this set.
     let mut probes = JoinSet::new();
-    while !trial.is_over() {
-        for probe in trial.due(clock::now()) {
+    while !sequence.is_over() {
+        for probe in sequence.due(clock::now()) {
             let address = match probe {
                 Probe::Server(index) => Some(targets[index].address),
                 Probe::Control => control,
             };
             probes.spawn(async move { (probe, ask(address).await) });
         }
-        let next = trial.next_due().map(|at| at.saturating_sub(clock::now()));
+        let next = sequence
+            .next_due()
+            .map(|at| at.saturating_sub(clock::now()));
         tokio::select! {
             () = time::sleep(next.unwrap_or(WAIT)) => {}
             Some(joined) = probes.join_next() => match joined {
-                Ok((probe, answer)) => trial.record(probe, answer),
+                Ok((probe, answer)) => sequence.record(probe, answer),
                 Err(error) => {
-                    // Without this probe's end the trial would wait for ever.
+                    // Without this probe's end the sequence would wait for ever.
                     log::error!("event=examination-failed error=\"{error}\"");
                     break;
                 }
             },
         }
     }
-    let findings = trial.findings();
+    let findings = sequence.findings();
     log_doubtful(&findings, clock::now().saturating_sub(begun));
     let servers = targets.into_iter().map(|target| target.server);
     servers.zip(findings).collect()
