--- a/crates/cookie/src/flow.rs
+++ b/crates/cookie/src/flow.rs
@@ -1,11 +1,11 @@
-//! State of the flows that pass through this balancer, as observed from the clients' packets alone.
+//! State of the flows that pass through this balancer, as observed from the callers' packets alone.
 //!
-//! The balancer doesn't see the servers' packets, which go to the clients directly. It infers answers
-//! from the clients' acknowledgements.
+//! The balancer doesn't see the servers' packets, which go to the callers directly. It infers answers
+//! from the callers' acknowledgements.
 //!
 //! Packets are not routed by this table: with an empty or a full one, a balancer sends each packet to
 //! the same server. The table shows which packets went unanswered, how many flows each server has,
-//! and which clients to notify when a server is gone.
+//! and which callers to notify when a server is gone.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,7 +20,7 @@
 /// Maximum number of flows in the table, of about 100 bytes each. A balancer of the largest deployment
 /// has 10,000 open at a time.
 const MAX_FLOWS: usize = 32_768;
-/// Least time between a packet and its retransmission for the packet to count as unanswered. Clients
+/// Least time between a packet and its retransmission for the packet to count as unanswered. Callers
 /// retransmit after 200 ms; if both arrive within less than this, they were queued before a balancer
 /// that was frozen or overloaded, and the server had no time to answer.
 const MIN_RETRANSMISSION_GAP: Duration = Duration::from_millis(120);
@@ -28,8 +28,8 @@
 /// trips; without an entry, they would be taken for packets of a flow from another balancer, and
 /// every short flow would count as open at its server until the idle timeout.
 const CLOSED_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long after the flow's last packet an unanswered request counts as given up: the client has
-/// vanished, or the server has reset the flow, which no balancer sees. Clients pause for at most 1.6 s
+/// How long after the flow's last packet an unanswered request counts as given up: the caller has
+/// vanished, or the server has reset the flow, which no balancer sees. Callers pause for at most 1.6 s
 /// between two retransmissions.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -40,21 +40,21 @@
     pub cookie: Cookie,
     /// The name of its server, under which the flow is counted.
     pub server: Arc<str>,
-    /// The client's highest acknowledgement number.
+    /// The caller's highest acknowledgement number.
     pub acknowledged: u32,
-    /// The sequence number after the last byte that the client has sent.
+    /// The sequence number after the last byte that the caller has sent.
     next_sequence: u32,
     /// When the SYN or the data that still awaits an answer first arrived.
     unanswered_since: Option<Duration>,
     /// Whether only the SYN has arrived.
     half_open: bool,
-    /// Whether the client has sent its FIN.
+    /// Whether the caller has sent its FIN.
     closed: bool,
     /// When the last packet arrived.
     pub seen: Duration,
 }
 
-/// What a client's packet tells about the flow's server.
+/// What a caller's packet tells about the flow's server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
     /// Nothing.
@@ -69,7 +69,7 @@
     RequestSent,
     /// The packet is a retransmission, and the server had time to answer the original.
     Unanswered,
-    /// The client ends the flow before its request has been answered.
+    /// The caller ends the flow before its request has been answered.
     Abandoned,
 }
 
@@ -83,7 +83,7 @@
 /// Flows of one server that pass through this balancer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Flows that their clients have not closed.
+    /// Flows that their callers have not closed.
     pub flows: u32,
     /// Flows among them with an unanswered request.
     pub pending: u32,
@@ -254,7 +254,7 @@
     }
 
     /// Removes the flows of the servers for which `is_affected` holds, and returns those that are not
-    /// closed, whose clients are to be notified.
+    /// closed, whose callers are to be notified.
     pub fn remove_flows_of(&mut self, is_affected: impl Fn(&Arc<str>) -> bool) -> Vec<(Key, Flow)> {
         let mut removed: Vec<(Key, Flow)> = self
             .flows
@@ -340,7 +340,7 @@
 
     /// Updates the flow by a packet that acknowledges more than before. Only an acknowledgement
     /// without data gives the server's response time: one with data may have been delayed until the
-    /// client had data to send.
+    /// caller had data to send.
     fn advance(&mut self, packet: &Packet, end: u32, now: Duration) -> Observation {
         let took = self.unanswered_since.map(|since| now.saturating_sub(since));
         let opened = std::mem::take(&mut self.half_open);
--- a/crates/cookie/src/lib.rs
+++ b/crates/cookie/src/lib.rs
@@ -1,4 +1,4 @@
-//! Flow resolution by cookies: 32 bits set by the balancer that clients send in every packet.
+//! Flow resolution by cookies: 32 bits set by the balancer that callers send in every packet.
 //!
 //! The cookie names the flow's server, so any balancer resolves any packet from the packet and the
 //! list of servers alone, without flow tables shared, owned or handed over between balancers. A
--- a/crates/cookie/src/resolver.rs
+++ b/crates/cookie/src/resolver.rs
@@ -25,7 +25,7 @@
     speed::{self, Counts},
 };
 
-/// What to do with a client's packet.
+/// What to do with a caller's packet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Forward it to a server. In a SYN, write the cookie into it.
@@ -45,7 +45,7 @@
         /// The decision and the estimates that led to it.
         refusal: Refusal,
     },
-    /// Drop the packet; the client's transport retransmits it.
+    /// Drop the packet; the caller's transport retransmits it.
     Drop {
         /// The reason.
         code: Code,
@@ -67,14 +67,14 @@
     pub limit: Duration,
 }
 
-/// How long a SYN is remembered. Clients retransmit it 200 and 600 ms after the original and give up
+/// How long a SYN is remembered. Callers retransmit it 200 and 600 ms after the original and give up
 /// after 1.4 s.
 const OPENING_TIMEOUT: Duration = Duration::from_secs(3);
 /// Minimum interval between two notices about one server. A probe of the server takes this long, and
 /// notices during a probe are redundant.
 const NOTICE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a flow without a packet is remembered. Clients that are idle for longer than this learn
+/// How long a flow without a packet is remembered. Callers that are idle for longer than this learn
 /// from the server, when they send again, that their flow has ended.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -103,14 +103,14 @@
 /// A response time measured on a flow, for the metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Timing {
-    /// From a SYN to the client's next packet.
+    /// From a SYN to the caller's next packet.
     Opening {
         /// The server's name.
         server: Arc<str>,
         /// The response time.
         took: Duration,
     },
-    /// From a client's request to the client's first acknowledgement of the answer.
+    /// From a caller's request to the caller's first acknowledgement of the answer.
     Answer {
         /// The server's name.
         server: Arc<str>,
@@ -119,14 +119,14 @@
     },
 }
 
-/// A flow that was ended because its server is gone, and whose client is to be sent a reset.
+/// A flow that was ended because its server is gone, and whose caller is to be sent a reset.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reset {
     /// The flow.
     pub key: Key,
     /// The name of its server.
     pub server: Arc<str>,
-    /// The client's highest acknowledgement number.
+    /// The caller's highest acknowledgement number.
     pub acknowledged: u32,
 }
 
@@ -159,7 +159,7 @@
 }
 
 impl Resolver {
-    /// Decides what to do with a client's packet that carries `cookie`.
+    /// Decides what to do with a caller's packet that carries `cookie`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -204,9 +204,9 @@
         std::mem::take(&mut self.timings)
     }
 
-    /// Removes and returns the flows of servers that are gone, so that their clients can be notified.
+    /// Removes and returns the flows of servers that are gone, so that their callers can be notified.
     ///
-    /// A client that is notified opens another flow at once; otherwise it would wait until its deadline.
+    /// A caller that is notified opens another flow at once; otherwise it would wait until its deadline.
     pub fn end_flows_of_gone_servers(&mut self, snapshot: &Snapshot) -> Vec<Reset> {
         let is_gone = |server: &Arc<str>| {
             let server = snapshot.server(Cookie::of(server, 0));
@@ -336,7 +336,7 @@
     }
 
     /// Issues notices about the servers of flows that have remained half open. They are needed for a
-    /// server that refuses connections: it resets the flow at the client directly, and the client opens
+    /// server that refuses connections: it resets the flow at the caller directly, and the caller opens
     /// another flow instead of retransmitting.
     fn notice_half_open(&mut self, now: Duration) {
         for (sent, key) in self.half_open.due(now) {
--- a/crates/cookie/src/resolver/half_open.rs
+++ b/crates/cookie/src/resolver/half_open.rs
@@ -1,10 +1,10 @@
-//! Half-open flows: a SYN has been forwarded, and the client's next packet has not arrived.
+//! Half-open flows: a SYN has been forwarded, and the caller's next packet has not arrived.
 
 use std::{collections::VecDeque, time::Duration};
 
 use acacia_wire::flow::Key;
 
-/// Longest wait for the packet that follows a SYN. After this time, the client retransmits the SYN.
+/// Longest wait for the packet that follows a SYN. After this time, the caller retransmits the SYN.
 const MAX_WAIT: Duration = Duration::from_millis(200);
 /// Shortest wait, to allow for the delay of packets at a balancer whose processor is busy.
 const MIN_WAIT: Duration = Duration::from_millis(40);
@@ -17,11 +17,11 @@
 /// not answer.
 const MAX_TRACKED: usize = 4_096;
 
-/// The SYNs forwarded recently, and the usual time from a SYN to the client's next packet.
+/// The SYNs forwarded recently, and the usual time from a SYN to the caller's next packet.
 #[derive(Debug, Default)]
 pub(super) struct Tracker {
     sent: VecDeque<(Duration, Key)>,
-    /// Smoothed mean and mean deviation of the time from a SYN to the client's next packet, in seconds;
+    /// Smoothed mean and mean deviation of the time from a SYN to the caller's next packet, in seconds;
     /// `None` before the first sample.
     estimate: Option<(f64, f64)>,
 }
--- a/crates/cookie/src/snapshot.rs
+++ b/crates/cookie/src/snapshot.rs
@@ -108,9 +108,9 @@
     pub revision: u64,
     /// Data centre of this balancer.
     pub data_centre: Arc<str>,
-    /// Number of balancers among which the clients' packets are spread, including this one.
+    /// Number of balancers among which the callers' packets are spread, including this one.
     pub balancers: u32,
-    /// Routes by the address and port to which clients connect.
+    /// Routes by the address and port to which callers connect.
     pub routes: Map<Front, Route>,
     /// Pools of all services that are targets of routes.
     pub pools: Vec<Pool>,
--- a/crates/cookie/tests/it/evacuation.rs
+++ b/crates/cookie/tests/it/evacuation.rs
@@ -64,7 +64,7 @@
     assert_eq!(used, left);
 }
 
-/// Guards against leaving clients without an answer if no data centre takes new flows.
+/// Guards against leaving callers without an answer if no data centre takes new flows.
 #[test]
 fn new_flows_are_reset_at_once_if_all_servers_are_evacuated() {
     let snapshot = snapshot_in_a([evacuation("a", 6, true), evacuation("b", 7, true)]);
--- a/crates/cookie/tests/it/flow.rs
+++ b/crates/cookie/tests/it/flow.rs
@@ -66,7 +66,7 @@
     assert_eq!(observation, Observation::AnsweredAfter(ms(30)));
 }
 
-/// A client may pause for seconds and acknowledge the last answer with its next request. Guards against
+/// A caller may pause for seconds and acknowledge the last answer with its next request. Guards against
 /// counting the pause as the server's response time, which would make it look the slowest of all.
 #[test]
 fn an_acknowledgement_with_the_next_request_gives_no_response_time() {
@@ -124,7 +124,7 @@
     assert_eq!(table.len(), 0);
 }
 
-/// A client closes its flow and then acknowledges the server's FIN. Guards against taking that
+/// A caller closes its flow and then acknowledges the server's FIN. Guards against taking that
 /// acknowledgement for a packet of a flow from another balancer: each short flow then counted at its
 /// server for 20 s more, a request on it seemed pending, and servers with many short flows got too few
 /// new ones.
@@ -144,7 +144,7 @@
     assert_eq!(table.counts("i-1"), Counts::default());
 }
 
-/// A client gives up a request that has not been answered, and closes or resets its flow.
+/// A caller gives up a request that has not been answered, and closes or resets its flow.
 #[rstest]
 #[case::closed(Kind::Closing)]
 #[case::reset(Kind::Reset)]
@@ -163,7 +163,7 @@
     assert_eq!(table.counts("i-1"), Counts::default());
 }
 
-/// After a server resets a flow, or its client vanishes, no packet of it passes a balancer again. Guards
+/// After a server resets a flow, or its caller vanishes, no packet of it passes a balancer again. Guards
 /// against counting its request as pending until the flow expires, which would make the server look
 /// loaded.
 #[test]
--- a/crates/cookie/tests/it/half_open.rs
+++ b/crates/cookie/tests/it/half_open.rs
@@ -9,7 +9,7 @@
     snapshot(servers.chain([routed(&["live"], 20)]))
 }
 
-/// Opens one flow per element of `took`, 500 ms apart and starting after `at`. The client's next packet
+/// Opens one flow per element of `took`, 500 ms apart and starting after `at`. The caller's next packet
 /// follows each SYN after that many milliseconds.
 fn open(resolver: &mut Resolver, snapshot: &Snapshot, at: Duration, took: &[u64]) {
     for (port, took) in (1_000..).zip(took) {
@@ -31,7 +31,7 @@
     notices.filter_map(suspect).collect()
 }
 
-/// A server refuses connections: its clients are reset at once and open other flows through any
+/// A server refuses connections: its callers are reset at once and open other flows through any
 /// balancer, so that no retransmission shows the failure.
 #[test]
 fn a_server_whose_flows_stay_half_open_is_suspected_within_45_ms() {
@@ -57,10 +57,10 @@
     assert!(suspects(&mut resolver, 60_000).is_empty());
 }
 
-/// Clients on slow radio links send their next packet up to a fifth of a second after the SYN. Guards
+/// Callers on slow radio links send their next packet up to a fifth of a second after the SYN. Guards
 /// against suspecting live servers because of them.
 #[test]
-fn clients_on_slow_links_make_no_server_suspected() {
+fn callers_on_slow_links_make_no_server_suspected() {
     let snapshot = fleet();
     let mut resolver = Resolver::default();
     let took: Vec<u64> = (0..40).map(|number| 100 + number % 5 * 20).collect();
--- a/crates/cookie/tests/it/load.rs
+++ b/crates/cookie/tests/it/load.rs
@@ -30,7 +30,7 @@
     (server, Some(cookie))
 }
 
-/// Acknowledges the answer with the client's FIN.
+/// Acknowledges the answer with the caller's FIN.
 fn answer(resolver: &mut Resolver, fleet: &Snapshot, port: u16, cookie: Option<Cookie>, at: u64) {
     let closing = Packet {
         kind: Kind::Closing,
@@ -40,7 +40,7 @@
 }
 
 /// Opens a flow with one request every 10 ms for 20 s; `takes` gives the response time of a server in
-/// milliseconds, or `None` if it doesn't answer and the client resets the flow after 2 s. Returns the
+/// milliseconds, or `None` if it doesn't answer and the caller resets the flow after 2 s. Returns the
 /// number of flows that each server got in the last 10 s.
 fn simulate(takes: impl Fn(&str, u16) -> Option<u64>) -> BTreeMap<Arc<str>, u32> {
     simulate_with(None, takes)
@@ -100,7 +100,7 @@
 }
 
 /// Four of 14 servers accept flows and requests but answer only one request in ten. They keep their
-/// connections open and pass every probe, while their clients wait until their deadlines. When
+/// connections open and pass every probe, while their callers wait until their deadlines. When
 /// placement went by the number of open flows alone, these servers got a quarter of all new flows.
 #[test]
 fn servers_that_leave_requests_unanswered_get_few_new_flows() {
@@ -144,7 +144,7 @@
 }
 
 /// Four of 14 servers fail nearly all requests immediately, without processing them. By its response
-/// times, such a server is the fastest of all: it got more and more flows, whose clients saw errors.
+/// times, such a server is the fastest of all: it got more and more flows, whose callers saw errors.
 #[test]
 fn servers_that_fail_requests_immediately_get_few_new_flows() {
     let takes = |server: &str, port: u16| {
--- a/crates/cookie/tests/it/overload.rs
+++ b/crates/cookie/tests/it/overload.rs
@@ -1,4 +1,4 @@
-//! Simulation of several balancers, servers with short queues, and clients whose demand exceeds the
+//! Simulation of several balancers, servers with short queues, and callers whose demand exceeds the
 //! servers' capacity.
 
 use std::{
@@ -24,15 +24,15 @@
 const QUEUE: usize = 12;
 /// Mean processing time of a request on a server of speed 1, in microseconds.
 const WORK: u64 = 43_000;
-/// One-way latency between client and server, in microseconds.
+/// One-way latency between caller and server, in microseconds.
 const ONE_WAY: u64 = 3_000;
-/// Retries of a client after its first attempt, each without a delay.
+/// Retries of a caller after its first attempt, each without a delay.
 const RETRIES: u32 = 2;
 /// Requests per second that all servers together can process, at speeds of 0.55 and 1.2.
 const CAPACITY: f64 = 998.0;
-/// How long clients send new requests, in microseconds.
+/// How long callers send new requests, in microseconds.
 const REQUEST_PERIOD: u64 = 6_000_000;
-/// Latency objective: answers that take longer are useless to the client.
+/// Latency objective: answers that take longer are useless to the caller.
 const LATENCY: Duration = Duration::from_millis(200);
 /// Port of the urgent route.
 const URGENT_PORT: u16 = 8_080;
@@ -68,7 +68,7 @@
     snapshot
 }
 
-/// A client's request.
+/// A caller's request.
 #[derive(Clone)]
 struct Request {
     asked: u64,
@@ -81,13 +81,13 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The client opens a flow for the request.
+    /// The caller opens a flow for the request.
     Open(usize),
     /// The request arrives at the balancer and then the server.
     Arrive(usize),
     /// The server has processed the request.
     Done(usize),
-    /// The client has received the answer and closes the flow.
+    /// The caller has received the answer and closes the flow.
     Close(usize),
 }
 
@@ -97,7 +97,7 @@
     queue: VecDeque<usize>,
 }
 
-/// Outcomes of the clients' requests.
+/// Outcomes of the callers' requests.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 struct Outcomes {
     asked: u32,
@@ -111,7 +111,7 @@
     hosts: Vec<Host>,
     requests: Vec<Request>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    /// Of ordinary and of urgent clients.
+    /// Of ordinary and of urgent callers.
     outcomes: [Outcomes; 2],
     draws: u64,
 }
@@ -218,7 +218,7 @@
     }
 }
 
-/// Runs a simulation in which clients ask for `times` the capacity of the servers, a quarter of them
+/// Runs a simulation in which callers ask for `times` the capacity of the servers, a quarter of them
 /// on the urgent route.
 fn simulate(times: f64, refuses: bool) -> [Outcomes; 2] {
     let mut simulation = Simulation {
@@ -295,7 +295,7 @@
 /// Urgent requests arrive beside ordinary ones, and both together exceed the capacity by a fifth. The
 /// urgent ones are answered, and ordinary ones are refused.
 #[test]
-fn urgent_clients_are_served_before_others() {
+fn urgent_callers_are_served_before_others() {
     let [ordinary, urgent] = simulate(1.2, true);
 
     assert!(share_in_time(urgent) > 0.95, "{urgent:?}");
@@ -328,7 +328,7 @@
 /// Demand is twice the capacity, and servers with full queues reject urgent requests like ordinary ones.
 /// Ordinary ones must be refused before that, at the balancers.
 #[test]
-fn at_twice_the_capacity_urgent_clients_are_served_before_others() {
+fn at_twice_the_capacity_urgent_callers_are_served_before_others() {
     let [ordinary, urgent] = simulate(2.0, true);
 
     assert!(share_in_time(urgent) > 0.9, "{urgent:?}");
--- a/crates/cookie/tests/it/resolver.rs
+++ b/crates/cookie/tests/it/resolver.rs
@@ -82,7 +82,7 @@
     assert_eq!(sent(&open, &after).map(|(server, _)| server), Some(server));
 }
 
-/// The answer to a SYN is lost, and the client retransmits the SYN. If two servers answered it, the flow
+/// The answer to a SYN is lost, and the caller retransmits the SYN. If two servers answered it, the flow
 /// would stay half open at one of them.
 #[test]
 fn a_retransmitted_syn_goes_to_the_same_server_if_that_one_answers_other_flows() {
@@ -99,7 +99,7 @@
 }
 
 /// A server has just failed, and its entry is still in the store. If all retransmissions of a SYN went
-/// there, the client would give up after 1.4 s.
+/// there, the caller would give up after 1.4 s.
 #[test]
 fn a_retransmitted_syn_goes_to_another_server_if_the_first_one_answers_nothing() {
     let snapshot = snapshot(fleet(14));
@@ -158,7 +158,7 @@
     );
 }
 
-/// A server with open flows stops answering. Its clients would wait until their deadlines; when their
+/// A server with open flows stops answering. Its callers would wait until their deadlines; when their
 /// flows are ended, they open others at once. No flow of another server may be ended.
 #[test]
 fn only_the_flows_of_a_silent_server_are_ended() {
@@ -200,7 +200,7 @@
 }
 
 /// A balancer lags behind the store and receives a packet of a flow at a server that it doesn't know yet.
-/// A reset would end a working flow; after a drop, the client retransmits the packet.
+/// A reset would end a working flow; after a drop, the caller retransmits the packet.
 #[test]
 fn a_packet_for_a_server_that_is_not_known_yet_is_dropped_and_not_reset() {
     let ahead = snapshot(fleet(14));
