--- a/crates/cookie/src/lib.rs
+++ b/crates/cookie/src/lib.rs
@@ -1,4 +1,4 @@
-//! Flow resolution by cookies: 32 bits set by the balancer that clients send in every packet.
+//! Flow resolution by cookies: 32 bits set by the balancer that callers send in every packet.
 //!
 //! The cookie names the flow's server, so any balancer resolves any packet from the packet and the
 //! list of servers alone, without flow tables shared, owned or handed over between balancers. A
@@ -12,13 +12,13 @@
 pub mod failing;
 pub mod flow;
 pub mod place;
+pub mod probe;
 pub mod resolver;
 pub mod roster;
 pub mod silence;
 pub mod snapshot;
 pub mod speed;
-pub mod trial;
 
-pub use resolver::{Action, EndedFlow, FlowRefusal, Notice, Resolver, Timing};
+pub use resolver::{Action, Notice, Refusal, Reset, Resolver, Timing};
 pub use roster::Roster;
 pub use snapshot::Snapshot;
--- a/crates/cookie/tests/it/flow.rs
+++ b/crates/cookie/tests/it/flow.rs
@@ -2,7 +2,7 @@
 
 use acacia_cookie::{
     cookie::Cookie,
-    flow::{FlowCounts, Observation, Table},
+    flow::{Counts, Observation, Table},
 };
 use acacia_wire::packet::{Kind, Packet};
 use proptest::prelude::*;
@@ -66,7 +66,7 @@
     assert_eq!(observation, Observation::AnsweredAfter(ms(30)));
 }
 
-/// A client may pause for seconds and acknowledge the last answer with its next request. Guards against
+/// A caller may pause for seconds and acknowledge the last answer with its next request. Guards against
 /// counting the pause as the server's response time, which would make it look the slowest of all.
 #[test]
 fn an_acknowledgement_with_the_next_request_gives_no_response_time() {
@@ -124,7 +124,7 @@
     assert_eq!(table.len(), 0);
 }
 
-/// A client closes its flow and then acknowledges the server's FIN. Guards against taking that
+/// A caller closes its flow and then acknowledges the server's FIN. Guards against taking that
 /// acknowledgement for a packet of a flow from another balancer: each short flow then counted at its
 /// server for 20 s more, a request on it seemed pending, and servers with many short flows got too few
 /// new ones.
@@ -141,10 +141,10 @@
     let observation = table.observe(&middle(1, 302, 0, 1_251), cookie, &server, ms(45));
 
     assert_eq!(observation, Observation::None);
-    assert_eq!(table.counts("i-1"), FlowCounts::default());
+    assert_eq!(table.counts("i-1"), Counts::default());
 }
 
-/// A client gives up a request that has not been answered, and closes or resets its flow.
+/// A caller gives up a request that has not been answered, and closes or resets its flow.
 #[rstest]
 #[case::closed(Kind::Closing)]
 #[case::reset(Kind::Reset)]
@@ -160,10 +160,10 @@
     let observation = table.observe(&end, cookie, &server, ms(2_000));
 
     assert_eq!(observation, Observation::Abandoned);
-    assert_eq!(table.counts("i-1"), FlowCounts::default());
+    assert_eq!(table.counts("i-1"), Counts::default());
 }
 
-/// After a server resets a flow, or its client vanishes, no packet of it passes a balancer again. Guards
+/// After a server resets a flow, or its caller vanishes, no packet of it passes a balancer again. Guards
 /// against counting its request as pending until the flow expires, which would make the server look
 /// loaded.
 #[test]
@@ -262,7 +262,7 @@
                 let counts = |table: &Table| table.counts(server);
                 let flows: u32 = single.iter().map(|table| counts(table).flows).sum();
                 let pending: u32 = single.iter().map(|table| counts(table).pending).sum();
-                prop_assert_eq!(whole.counts(server), FlowCounts { flows, pending });
+                prop_assert_eq!(whole.counts(server), Counts { flows, pending });
             }
         }
     }
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -12,15 +12,15 @@
 
 use acacia_catalog::{
     Catalog, Change,
-    member::{Member, MemberList, Peak},
-    spread::{ReadAction, ReadSchedule, ReadTiming, is_reader},
+    member::{Member, Members, Peak},
+    spread::{self, is_reader},
 };
 use acacia_cookie::{
     Roster, Snapshot,
-    failing::{FailingServers, Observer},
-    roster::{Limits, WarmupLimits},
+    failing::{Observer, Verdicts},
+    roster::{Limits, Warmup},
     silence::Detector,
-    speed::{ServerCount, Speeds},
+    speed::{Count, Speeds},
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -78,22 +78,22 @@
     /// When the process started.
     born: Duration,
     seeds: Vec<SocketAddrV4>,
-    list: MemberList,
+    list: Members,
     /// The largest size of the fleet of late.
     size: Peak,
     /// What the settings say of servers that have just started.
-    warming: WarmupLimits,
+    warming: Warmup,
     catalog: Catalog,
-    reading: ReadSchedule,
+    reading: spread::Schedule,
     roster: Roster,
     detector: Detector,
     speeds: Speeds,
     /// How the requests of the servers that this balancer observes have ended.
     ledger: Observer,
     /// Servers that fail their requests.
-    marks: FailingServers,
+    marks: Verdicts,
     /// What was seen of servers here and not told to peers yet.
-    untold: Vec<ServerCount>,
+    untold: Vec<Count>,
     /// Peers that have told what they saw since the speeds were last evaluated.
     reports: usize,
     isolated: bool,
@@ -136,11 +136,11 @@
             },
             born: now,
             seeds: settings.seeds.clone(),
-            list: MemberList::default(),
+            list: Members::default(),
             size: Peak::default(),
             warming: warming(settings),
             catalog: Catalog::default(),
-            reading: ReadSchedule::new(ReadTiming::within(settings.in_force)),
+            reading: spread::Schedule::new(spread::Timing::within(settings.in_force)),
             roster: Roster::new(Limits {
                 known: settings.flow,
                 ..Limits::default()
@@ -148,7 +148,7 @@
             detector: Detector::default(),
             speeds: Speeds::default(),
             ledger: Observer::default(),
-            marks: FailingServers::default(),
+            marks: Verdicts::default(),
             untold: Vec::new(),
             reports: 0,
             isolated: false,
@@ -169,13 +169,13 @@
     pub fn renew(&mut self, settings: &Settings) {
         self.seeds = settings.seeds.clone();
         self.reading
-            .set_timing(ReadTiming::within(settings.in_force));
+            .set_timing(spread::Timing::within(settings.in_force));
         self.warming = warming(settings);
     }
 
     /// The pace of readings.
     #[must_use]
-    pub const fn pace(&self) -> ReadTiming {
+    pub const fn pace(&self) -> spread::Timing {
         self.reading.timing()
     }
 
@@ -221,12 +221,12 @@
 
     /// The other balancers.
     #[must_use]
-    pub const fn list(&self) -> &MemberList {
+    pub const fn list(&self) -> &Members {
         &self.list
     }
 
     /// What to do about the store now.
-    pub fn turn(&mut self, now: Duration) -> ReadAction {
+    pub fn turn(&mut self, now: Duration) -> spread::Action {
         self.own.sighted = self.reading.is_store_reachable();
         let reads = !self.is_joining(now) && is_reader(&self.own, &self.list);
         if reads != self.reads {
@@ -430,7 +430,7 @@
     /// Routes and servers for the traffic threads, and when they change by time alone.
     pub fn snapshot(&mut self, now: Duration) -> (Snapshot, Option<Duration>) {
         let balancers = self.balancers(now);
-        self.roster.set_warmup_limits(WarmupLimits {
+        self.roster.set_warmup_limits(Warmup {
             balancers,
             ..self.warming
         });
@@ -471,8 +471,8 @@
     }
 }
 
-fn warming(settings: &Settings) -> WarmupLimits {
-    WarmupLimits {
+fn warming(settings: &Settings) -> Warmup {
+    Warmup {
         overshoot: settings.cold_overshoot,
         slack: settings.cold_slack,
         balancers: None,
