--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -105,7 +105,7 @@
             document: document.clone(),
             ledger: ledger.clone(),
         };
-        server::connection(stream, LONGEST_QUESTION, move |ctx, req| {
+        server::serve_connection(stream, LONGEST_QUESTION, move |ctx, req| {
             slot.activate();
             answers.clone().serve().serve(ctx, req)
         })
--- a/crates/node/src/cookie/exchange.rs
+++ b/crates/node/src/cookie/exchange.rs
@@ -96,7 +96,7 @@
     let answers = Answers { difference };
     let handle = move |ctx, request| answers.clone().serve().serve(ctx, request);
     let codec = MessagePack::default();
-    server::connection_as(stream, codec, LONGEST_QUESTION, handle, idle).await;
+    server::serve_connection_with(stream, codec, LONGEST_QUESTION, handle, idle).await;
 }
 
 /// The answers as a tarpc service.
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -30,18 +30,18 @@
 /// let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
 /// let (stream, _) = listener.accept().await?;
 /// let answer = async |_, _: String| Ok(String::from("answer"));
-/// server::connection(stream, 1_024, answer).await;
+/// server::serve_connection(stream, 1_024, answer).await;
 /// # Ok(())
 /// # }
 /// ```
-pub async fn connection<Req, Resp, H, F>(stream: TcpStream, longest: usize, handle: H)
+pub async fn serve_connection<Req, Resp, H, F>(stream: TcpStream, longest: usize, handle: H)
 where
     Req: for<'a> Deserialize<'a>,
     Resp: Serialize + Send + 'static,
     H: Fn(context::Context, Req) -> F,
     F: Future<Output = Result<Resp, ServerError>> + Send + 'static,
 {
-    connection_as(stream, Json::default(), longest, handle, || {}).await;
+    serve_connection_with(stream, Json::default(), longest, handle, || {}).await;
 }
 
 /// The same with messages encoded by `codec`. `idle` is called whenever all requests so far have been
@@ -52,10 +52,10 @@
 /// # use tarpc::tokio_serde::formats::Json;
 /// # async fn example(stream: tokio::net::TcpStream) {
 /// let answer = async |_, _: String| Ok(String::from("answer"));
-/// server::connection_as(stream, Json::default(), 1_024, answer, || {}).await;
+/// server::serve_connection_with(stream, Json::default(), 1_024, answer, || {}).await;
 /// # }
 /// ```
-pub async fn connection_as<Req, Resp, C, E, H, F>(
+pub async fn serve_connection_with<Req, Resp, C, E, H, F>(
     stream: TcpStream,
     codec: C,
     longest: usize,
--- a/crates/stand/src/platform/serve.rs
+++ b/crates/stand/src/platform/serve.rs
@@ -86,7 +86,7 @@
             move |stream, slot| {
                 slot.activate();
                 let steer = Steer(Arc::clone(&shared));
-                server::connection(stream, LONGEST_CALL, move |ctx, req| {
+                server::serve_connection(stream, LONGEST_CALL, move |ctx, req| {
                     steer.clone().serve().serve(ctx, req)
                 })
             },
@@ -176,7 +176,7 @@
     let mut changes = shared.changes();
     let down = shared.clone();
     let session = Session { shared, number };
-    let serve = server::connection(stream, LONGEST_CALL, move |ctx, req| {
+    let serve = server::serve_connection(stream, LONGEST_CALL, move |ctx, req| {
         session.clone().serve().serve(ctx, req)
     });
     tokio::select! {
