--- a/crates/api/src/ask.rs
+++ b/crates/api/src/ask.rs
@@ -48,7 +48,7 @@
     let admin = new.client;
     // The connection is served here and not by a task of its own: it ends with this call.
     let call = time::timeout_at(deadline, question(&admin, ctx));
-    match answer::of(call, new.dispatch).await {
+    match answer::wait_for(call, new.dispatch).await {
         Ok(Ok(value)) => Ok(value),
         Ok(Err(_)) | Err(_) => Err(Error::Silent),
     }
--- a/crates/e2e/src/fault.rs
+++ b/crates/e2e/src/fault.rs
@@ -126,7 +126,7 @@
             let stream = TcpStream::connect(address).await?;
             let transport = Transport::from((stream, Json::default()));
             let new = ControlClient::new(client::Config::default(), transport);
-            Ok(answer::of(ask(&new.client), new.dispatch).await?)
+            Ok(answer::wait_for(ask(&new.client), new.dispatch).await?)
         })
     }
 }
--- a/crates/node/src/cookie/exchange.rs
+++ b/crates/node/src/cookie/exchange.rs
@@ -84,7 +84,7 @@
     ctx.deadline = deadline.into_std();
     // The connection is served here and not by a task of its own: it ends with this call.
     let call = time::timeout_at(deadline, new.client.difference(ctx, revision));
-    Ok(answer::of(call, new.dispatch).await??)
+    Ok(answer::wait_for(call, new.dispatch).await??)
 }
 
 /// Answers a peer on one connection until it ends. `idle` is called whenever all that was asked has been
--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/answer.rs
@@ -8,11 +8,11 @@
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
 /// # async fn main() {
-/// let answer = acacia_platform::answer::of(async { 7 }, async {}).await;
+/// let answer = acacia_platform::answer::wait_for(async { 7 }, async {}).await;
 /// assert_eq!(answer, 7);
 /// # }
 /// ```
-pub async fn of<T>(call: impl Future<Output = T>, connection: impl Future) -> T {
+pub async fn wait_for<T>(call: impl Future<Output = T>, connection: impl Future) -> T {
     let mut call = pin!(call);
     tokio::select! {
         biased;
