--- a/crates/ctl/src/verb/apply.rs
+++ b/crates/ctl/src/verb/apply.rs
@@ -7,7 +7,7 @@
     Config,
     document::{Document, Draft, Id},
 };
-use acacia_platform::apply::{self, Reason, Request, SETTLE, Verdict};
+use acacia_platform::apply::{self, READ_BACK, Reason, Request, Verdict};
 use serde_json::json;
 use tokio::time::{self, Instant};
 
@@ -51,8 +51,8 @@
     let change = draft.change;
     let request = Request {
         draft,
-        over,
-        settle: SETTLE,
+        reviewed_revision: over,
+        read_back: READ_BACK,
     };
     match apply::run(&client, request, settings.seed()).await {
         Verdict::Accepted { revision } => {
--- a/crates/platform/src/apply.rs
+++ b/crates/platform/src/apply.rs
@@ -34,13 +34,13 @@
     pub draft: Draft,
     /// The revision that the operator reviewed the change against, if any: while another one is
     /// in force, by the store or by the draft itself, it is not written.
-    pub over: Option<u64>,
+    pub reviewed_revision: Option<u64>,
     /// How often and at which distances a write without answer is read back.
-    pub settle: Schedule,
+    pub read_back: Schedule,
 }
 
 /// Patience with a store that lost an answer: about half a minute, longer than a restart takes.
-pub const SETTLE: Schedule = Schedule {
+pub const READ_BACK: Schedule = Schedule {
     tries: 10,
     base: Duration::from_millis(200),
     cap: Duration::from_secs(5),
@@ -202,7 +202,11 @@
         if same && revision == in_force {
             return Ok(self.done(Verdict::Unchanged { revision }));
         }
-        if self.request.over.is_some_and(|over| over != in_force) {
+        if self
+            .request
+            .reviewed_revision
+            .is_some_and(|reviewed| reviewed != in_force)
+        {
             let theirs = before.filter(|b| b.revision == in_force).map(Box::new);
             return Ok(self.done(Verdict::Conflict { theirs }));
         }
@@ -247,7 +251,7 @@
                 let theirs = Some(theirs);
                 self.done(Verdict::Conflict { theirs })
             }
-            Finding::Open => match self.request.settle.pause(tried, &mut self.random) {
+            Finding::Open => match self.request.read_back.pause(tried, &mut self.random) {
                 Some(after) => {
                     self.state = State::Settling(base, tried + 1);
                     Action::Read { after }
--- a/crates/platform/src/apply/run.rs
+++ b/crates/platform/src/apply/run.rs
@@ -22,7 +22,7 @@
 ///     config: Config::default(),
 ///     in_force: None,
 /// };
-/// let request = apply::Request { draft, over: None, settle: apply::SETTLE };
+/// let request = apply::Request { draft, reviewed_revision: None, read_back: apply::READ_BACK };
 /// let verdict = apply::run(&client, request, rand::random()).await;
 /// # Ok(())
 /// # }
--- a/crates/platform/tests/it/apply.rs
+++ b/crates/platform/tests/it/apply.rs
@@ -23,8 +23,8 @@
             config,
             in_force: None,
         },
-        over: None,
-        settle: Schedule {
+        reviewed_revision: None,
+        read_back: Schedule {
             tries: 4,
             base: Duration::from_millis(5),
             cap: Duration::from_millis(20),
--- a/crates/platform/tests/it/apply/decide.rs
+++ b/crates/platform/tests/it/apply/decide.rs
@@ -148,7 +148,7 @@
 fn a_change_reviewed_against_another_revision_is_not_written() {
     let (mut world, _) = play(2, &[]);
     let mut reviewed = request(9);
-    reviewed.over = Some(1);
+    reviewed.reviewed_revision = Some(1);
     let mut operator = Operator::new(reviewed);
     while operator.verdict.is_none() {
         world.step(&mut operator, Fault::None);
