--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -17,7 +17,7 @@
     limit::{Bucket, Rate},
     machine::Machine,
     retry::Schedule,
-    seen::{Seen, Verdict},
+    revisions::{Freshness, HighestRevisions},
     service,
     store::{Entry, Events, Item, Lease, Outcome, Refusal, Swap},
     transport::{Answer, Call, Consistency, Failure, Transport},
@@ -85,7 +85,7 @@
 #[derive(Debug)]
 struct State {
     bucket: Bucket,
-    seen: Seen,
+    revisions: HighestRevisions,
     random: Pcg64,
 }
 
@@ -130,7 +130,7 @@
             start: Instant::now(),
             state: Mutex::new(State {
                 bucket: Bucket::new(options.rate),
-                seen: Seen::default(),
+                revisions: HighestRevisions::default(),
                 random: Pcg64::seed_from_u64(options.seed),
             }),
             calls: Slot::default(),
@@ -158,7 +158,7 @@
     pub async fn get(&self, key: &Arc<str>) -> Result<Entry, Error> {
         self.retry(async || {
             let entry = self.read(key).await?;
-            self.judge(key, entry)
+            self.check_revision(key, entry)
         })
         .await
     }
@@ -195,7 +195,7 @@
         let key = Arc::clone(&swap.key);
         let outcome = self.write(Call::Swap(swap), Answer::swapped).await?;
         if let Outcome::Written { revision } = outcome {
-            let _known = self.state().seen.judge(&key, revision);
+            let _freshness = self.state().revisions.check(&key, revision);
         }
         Ok(outcome)
     }
@@ -314,10 +314,10 @@
         answer.events().ok_or(Error::Malformed)
     }
 
-    fn judge(&self, key: &Arc<str>, entry: Entry) -> Result<Entry, Error> {
-        match self.state().seen.judge(key, entry.revision) {
-            Verdict::Current => Ok(entry),
-            Verdict::Stale { seen } => {
+    fn check_revision(&self, key: &Arc<str>, entry: Entry) -> Result<Entry, Error> {
+        match self.state().revisions.check(key, entry.revision) {
+            Freshness::Current => Ok(entry),
+            Freshness::Stale { seen } => {
                 let answered = entry.revision;
                 log::warn!("event=platform-stale key={key} answered={answered} seen={seen}");
                 Err(Error::Stale { answered, seen })
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client of the platform: its small key-value service and its lagging list of VMs.
 //!
 //! [`Client`] makes the calls. What it decides (when to try again, what an answer means, when a
-//! watch or a connection has gone silent) lives in [`retry`], [`seen`], [`limit`] and [`link`],
+//! watch or a connection has gone silent) lives in [`retry`], [`revisions`], [`limit`] and [`link`],
 //! which know no sockets and read no clocks.
 //!
 //! How a call travels is plugged in as a [`transport::Transport`]. The project's own is
@@ -15,7 +15,7 @@
 pub mod link;
 pub mod machine;
 pub mod retry;
-pub mod seen;
+pub mod revisions;
 pub mod server;
 pub mod service;
 pub mod store;
--- a/crates/platform/src/seen.rs
+++ b/crates/platform/src/revisions.rs
@@ -4,7 +4,7 @@
 
 /// What an answer is, compared with those before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Freshness {
     /// As new as any before, or newer.
     Current,
     /// Older than one before. A replica that lags, a restored backup or an answer that was held
@@ -17,37 +17,37 @@
 
 /// The highest revision seen of each key. A few keys, all ours.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct HighestRevisions {
     highest: BTreeMap<Arc<str>, u64>,
 }
 
-impl Seen {
+impl HighestRevisions {
     /// Judges an answer and remembers its revision.
     ///
     /// ```
-    /// use acacia_platform::seen::{Seen, Verdict};
-    /// let mut seen = Seen::default();
+    /// use acacia_platform::revisions::{Freshness, HighestRevisions};
+    /// let mut revisions = HighestRevisions::default();
     /// let key = "config".into();
-    /// assert_eq!(seen.judge(&key, 5), Verdict::Current);
-    /// assert_eq!(seen.judge(&key, 4), Verdict::Stale { seen: 5 });
+    /// assert_eq!(revisions.check(&key, 5), Freshness::Current);
+    /// assert_eq!(revisions.check(&key, 4), Freshness::Stale { seen: 5 });
     /// ```
-    pub fn judge(&mut self, key: &Arc<str>, revision: u64) -> Verdict {
+    pub fn check(&mut self, key: &Arc<str>, revision: u64) -> Freshness {
         let highest = self.highest.entry(Arc::clone(key)).or_default();
         if revision < *highest {
-            return Verdict::Stale { seen: *highest };
+            return Freshness::Stale { seen: *highest };
         }
         *highest = revision;
-        Verdict::Current
+        Freshness::Current
     }
 
     /// The highest revision seen of a key; 0 if none was.
     ///
     /// ```
-    /// use acacia_platform::seen::Seen;
-    /// let mut seen = Seen::default();
-    /// seen.judge(&"config".into(), 5);
-    /// seen.judge(&"config".into(), 4);
-    /// assert_eq!(seen.highest("config"), 5);
+    /// use acacia_platform::revisions::HighestRevisions;
+    /// let mut revisions = HighestRevisions::default();
+    /// revisions.check(&"config".into(), 5);
+    /// revisions.check(&"config".into(), 4);
+    /// assert_eq!(revisions.highest("config"), 5);
     /// ```
     #[must_use]
     pub fn highest(&self, key: &str) -> u64 {
--- a/crates/platform/tests/it/main.rs
+++ b/crates/platform/tests/it/main.rs
@@ -7,4 +7,4 @@
 mod limit;
 mod link;
 mod retry;
-mod seen;
+mod revisions;
