--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -371,11 +371,11 @@
         let answer = time::timeout_at(deadline, open.call(call, deadline)).await;
         match answer {
             Ok(Ok(value)) => {
-                open.heard(self.start.elapsed());
+                open.record_answer(self.start.elapsed());
                 return Ok(value);
             }
             Ok(Err(Failure::Refused(error))) => {
-                open.heard(self.start.elapsed());
+                open.record_answer(self.start.elapsed());
                 return Err(error);
             }
             Ok(Err(Failure::Deadline)) | Err(_) if !open.is_silent(sent) => {}
--- a/crates/platform/src/client/slot.rs
+++ b/crates/platform/src/client/slot.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::{
-    link::Link,
+    liveness::Liveness,
     transport::{Answer, Call, Caller, Failure, Transport},
 };
 
@@ -28,14 +28,14 @@
 /// An open connection. The task that serves it ends with the last call that uses it.
 pub(super) struct Open {
     caller: Caller,
-    link: Mutex<Link>,
+    liveness: Mutex<Liveness>,
     _stop: DropGuard,
 }
 
 impl std::fmt::Debug for Open {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Open")
-            .field("link", &self.link)
+            .field("liveness", &self.liveness)
             .finish_non_exhaustive()
     }
 }
@@ -46,14 +46,14 @@
         (self.caller)(call, deadline).await
     }
 
-    pub(super) fn heard(&self, now: Duration) {
-        let mut link = self.link.lock().unwrap_or_else(PoisonError::into_inner);
-        link.heard(now);
+    pub(super) fn record_answer(&self, now: Duration) {
+        let mut liveness = self.liveness.lock().unwrap_or_else(PoisonError::into_inner);
+        liveness.record_answer(now);
     }
 
     pub(super) fn is_silent(&self, sent: Duration) -> bool {
-        let link = self.link.lock().unwrap_or_else(PoisonError::into_inner);
-        link.is_silent(sent)
+        let liveness = self.liveness.lock().unwrap_or_else(PoisonError::into_inner);
+        liveness.is_silent(sent)
     }
 }
 
@@ -81,7 +81,7 @@
         });
         let open = Arc::new(Open {
             caller: connection.call,
-            link: Mutex::new(Link::new(start.elapsed())),
+            liveness: Mutex::new(Liveness::new(start.elapsed())),
             _stop: stop.drop_guard(),
         });
         *self.lock() = Some(Arc::clone(&open));
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client of the platform: its small key-value service and its lagging list of VMs.
 //!
 //! [`Client`] makes the calls. What it decides (when to try again, what an answer means, when a
-//! watch or a connection has gone silent) lives in [`retry`], [`revisions`], [`limit`] and [`link`],
+//! watch or a connection has gone silent) lives in [`retry`], [`revisions`], [`limit`] and [`liveness`],
 //! which know no sockets and read no clocks.
 //!
 //! How a call travels is plugged in as a [`transport::Transport`]. The project's own is
@@ -12,7 +12,7 @@
 mod client;
 mod error;
 pub mod limit;
-pub mod link;
+pub mod liveness;
 pub mod machine;
 pub mod retry;
 pub mod revisions;
--- a/crates/platform/src/link.rs
+++ b/crates/platform/src/liveness.rs
@@ -4,21 +4,21 @@
 
 /// What is known of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Link {
+pub struct Liveness {
     /// When the last answer came in, or the connection was opened.
-    heard: Duration,
+    last_answer: Duration,
 }
 
-impl Link {
+impl Liveness {
     /// A connection opened at `now`, counted from any fixed start.
     #[must_use]
     pub fn new(now: Duration) -> Self {
-        Link { heard: now }
+        Liveness { last_answer: now }
     }
 
     /// An answer has come in.
-    pub fn heard(&mut self, now: Duration) {
-        self.heard = self.heard.max(now);
+    pub fn record_answer(&mut self, now: Duration) {
+        self.last_answer = self.last_answer.max(now);
     }
 
     /// Whether a call that was sent at `sent` and is now past its deadline condemns the
@@ -31,15 +31,15 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_platform::link::Link;
+    /// use acacia_platform::liveness::Liveness;
     /// let second = Duration::from_secs;
-    /// let mut link = Link::new(second(0));
-    /// assert!(link.is_silent(second(1)));
-    /// link.heard(second(2));
-    /// assert!(!link.is_silent(second(1)));
+    /// let mut connection = Liveness::new(second(0));
+    /// assert!(connection.is_silent(second(1)));
+    /// connection.record_answer(second(2));
+    /// assert!(!connection.is_silent(second(1)));
     /// ```
     #[must_use]
     pub fn is_silent(&self, sent: Duration) -> bool {
-        self.heard <= sent
+        self.last_answer <= sent
     }
 }
--- a/crates/platform/tests/it/main.rs
+++ b/crates/platform/tests/it/main.rs
@@ -5,6 +5,6 @@
 mod client;
 mod fixture;
 mod limit;
-mod link;
+mod liveness;
 mod retry;
 mod revisions;
