--- a/crates/platform/src/client/slot.rs
+++ b/crates/platform/src/client/slot.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     liveness::Liveness,
-    transport::{Answer, Call, Caller, Failure, Transport},
+    transport::{Answer, Call, CallFn, Failure, Transport},
 };
 
 /// Holds the connection in use, if any, and all tasks that serve connections.
@@ -27,7 +27,7 @@
 
 /// An open connection. The task that serves it ends with the last call that uses it.
 pub(super) struct Open {
-    caller: Caller,
+    caller: CallFn,
     liveness: Mutex<Liveness>,
     _stop: DropGuard,
 }
@@ -75,7 +75,7 @@
         self.tasks.spawn(async move {
             tokio::select! {
                 // Its error reaches each caller as the failure of its own call.
-                () = connection.serve => {}
+                () = connection.driver => {}
                 () = stopped.cancelled() => {}
             }
         });
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -57,7 +57,7 @@
     let (rpc, dispatch) = (new.client, new.dispatch);
     Ok(Connection {
         call: Box::new(move |call, deadline| Box::pin(make(rpc.clone(), call, deadline))),
-        serve: Box::pin(async move {
+        driver: Box::pin(async move {
             // Its error reaches each caller as the failure of its own call.
             let _ = dispatch.await;
         }),
--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -157,23 +157,23 @@
 }
 
 /// A call under way.
-pub type Answering = Pin<Box<dyn Future<Output = Result<Answer, Failure>> + Send>>;
+pub type CallFuture = Pin<Box<dyn Future<Output = Result<Answer, Failure>> + Send>>;
 /// Makes a call on a connection, until a deadline.
-pub type Caller = Box<dyn Fn(Call, Instant) -> Answering + Send + Sync>;
+pub type CallFn = Box<dyn Fn(Call, Instant) -> CallFuture + Send + Sync>;
 /// A connection that is being opened.
-pub type Opening = Pin<Box<dyn Future<Output = std::io::Result<Connection>> + Send>>;
+pub type ConnectFuture = Pin<Box<dyn Future<Output = std::io::Result<Connection>> + Send>>;
 
 /// An open connection.
 pub struct Connection {
     /// Makes calls on it.
-    pub call: Caller,
+    pub call: CallFn,
     /// Carries them; ends with the connection.
-    pub serve: Pin<Box<dyn Future<Output = ()> + Send>>,
+    pub driver: Pin<Box<dyn Future<Output = ()> + Send>>,
 }
 
 /// Opens connections.
 pub struct Transport {
-    open: Box<dyn Fn(SocketAddr) -> Opening + Send + Sync>,
+    open: Box<dyn Fn(SocketAddr) -> ConnectFuture + Send + Sync>,
 }
 
 impl Transport {
@@ -184,13 +184,13 @@
     /// let refusing = Transport::new(|_| Box::pin(async { Err(std::io::ErrorKind::Other.into()) }));
     /// assert!(format!("{refusing:?}").contains("Transport"));
     /// ```
-    pub fn new(open: impl Fn(SocketAddr) -> Opening + Send + Sync + 'static) -> Self {
+    pub fn new(open: impl Fn(SocketAddr) -> ConnectFuture + Send + Sync + 'static) -> Self {
         Transport {
             open: Box::new(open),
         }
     }
 
-    pub(crate) fn open(&self, address: SocketAddr) -> Opening {
+    pub(crate) fn open(&self, address: SocketAddr) -> ConnectFuture {
         (self.open)(address)
     }
 }
