--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/answer.rs
@@ -1,9 +1,10 @@
-//! Waits for the answer to one call on a connection that is served in the same task.
+//! Waits for the answer to a call while polling the connection that carries it.
 
 use std::pin::pin;
 
-/// Gives how `call` ends, while `connection` carries it. An answer that has come counts, though the
-/// connection ends in the same moment; one that has not ends as the call itself says.
+/// Polls `call` and `connection` until `call` has ended, and returns its output. If both are ready
+/// at the same time, the output of `call` is returned. If the connection ends first, `call` is
+/// polled on, so that it reports the failure itself.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
