--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -5,52 +5,52 @@
 
 use crate::store::Refusal;
 
-/// Why a call of the platform has no answer.
+/// Why a call to the platform failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The call never left: there is no connection. It has had no effect.
+    /// There is no connection. The call was not sent and has had no effect.
     #[error("the platform can't be reached")]
     Unreachable,
-    /// A read had no answer in time.
+    /// A read was not answered in time.
     #[error("the platform did not answer in time")]
     Timeout,
-    /// A write had no answer. It may have taken effect or may still do so; only reading back
-    /// tells.
+    /// A write was not answered. It may have taken effect or may still do so; only a later read
+    /// shows which.
     #[error("the platform's answer to a write was lost: it may have taken effect")]
     Unknown,
-    /// The platform answered a state older than one that it gave before.
+    /// The answer is older than one that the platform gave before.
     #[error("the platform answered revision {answered}, older than {seen} seen before")]
     Stale {
-        /// The revision answered.
+        /// The revision in the answer.
         answered: u64,
-        /// The highest revision seen of that key.
+        /// The highest revision seen for that key.
         seen: u64,
     },
-    /// The platform refused. The call has had no effect.
-    #[error("the platform refuses: {0:?}")]
+    /// The platform refused the call, which has had no effect.
+    #[error("the platform refused the call: {0:?}")]
     Refused(Refusal),
-    /// The platform is too busy for the call, and has not made it.
+    /// The platform is overloaded and has not processed the call.
     #[error("the platform is busy; the call was not made")]
     Busy,
-    /// The store no longer holds the history that was asked for.
-    #[error("the store no longer holds that history")]
+    /// The store no longer holds the requested history.
+    #[error("the store no longer holds the requested history")]
     HistoryGone,
-    /// The answer can't be understood.
-    #[error("the platform's answer can't be understood")]
+    /// The answer can't be decoded or does not belong to the kind of call.
+    #[error("the platform's answer is malformed")]
     Malformed,
     /// The platform does not offer the call.
     #[error("the platform does not offer this call")]
     Unsupported,
-    /// Our own limit on calls. The call was not made.
-    #[error("the limit on calls to the platform is reached; try again in {after:?}")]
+    /// The client's own rate limit is reached. The call was not made.
+    #[error("the rate limit on calls to the platform is reached; try again in {after:?}")]
     Limited {
-        /// When the limit allows the next call.
+        /// How long until the limit allows the next call.
         after: Duration,
     },
 }
 
 impl Error {
-    /// The error's row in the table of result codes.
+    /// The result code of this error.
     ///
     /// ```
     /// use acacia_platform::Error;
