--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,12 @@
-//! Client of the platform: its small key-value service and its lagging list of VMs.
+//! Client of the platform: its small key-value service and its eventually consistent list of VMs.
 //!
-//! [`Client`] makes the calls. What it decides (when to try again, what an answer means, when a
-//! watch or a connection has gone silent) lives in [`retry`], [`revisions`], [`limit`] and [`liveness`],
-//! which know no sockets and read no clocks.
+//! [`Client`] makes the calls. Its decisions are made without I/O and without reading a clock:
+//! [`retry`] schedules retries, [`revisions`] detects stale answers, [`limit`] bounds the rate of
+//! calls, and [`liveness`] detects silent connections.
 //!
-//! How a call travels is plugged in as a [`transport::Transport`]. The project's own is
-//! [`service::Platform`], a tarpc trait carried as JSON over TCP. [`server`] runs such a trait on an accepted connection.
+//! The protocol is pluggable through [`transport::Transport`]. The project's own is
+//! [`service::Platform`], a tarpc service with JSON over TCP. [`server`] serves any tarpc service
+//! on an accepted connection.
 
 pub mod answer;
 pub mod apply;
