--- a/crates/platform/src/limit.rs
+++ b/crates/platform/src/limit.rs
@@ -1,22 +1,22 @@
-//! The bound on calls to the platform: a token bucket for each client.
+//! Limits the rate of calls to the platform with one token bucket per client.
 
 use std::time::Duration;
 
-/// How many calls a client may make.
+/// The rate at which a client may make calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rate {
-    /// Calls a second in the long run.
+    /// Sustained number of calls per second.
     pub per_second: f64,
-    /// Calls that may be made at once after a quiet time.
+    /// Number of calls that may be made at once by a client that was idle before.
     pub burst: f64,
 }
 
-/// A token bucket. Over any time `t` it grants at most `burst + per_second * t` calls.
+/// A token bucket. In any interval of length `t` it grants at most `burst + per_second * t` calls.
 ///
-/// Load: the platform serves about two thousand reads a second to everyone, and its rates grow
-/// more slowly than the fleet. Harm: a client that loops on an error takes the store away from
-/// all others just when it is recovering. Hence the limit stands here, below every retry and
-/// every loop, and not with the callers.
+/// The platform serves about two thousand reads a second in total, and this capacity grows more
+/// slowly than the fleet. A client that loops on an error would starve all others while the store
+/// is recovering. Every call, retries included, therefore passes this limit in the client; callers
+/// don't have to limit themselves.
 #[derive(Debug, Clone)]
 pub struct Bucket {
     rate: Rate,
@@ -35,11 +35,10 @@
         }
     }
 
-    /// Takes a token at the time `now`, counted from any fixed start. Without one, the error says
-    /// how long until the next.
+    /// Takes a token at the time `now`, measured from any fixed start.
     ///
     /// # Errors
-    /// The wait until a token is there.
+    /// The time until the next token if there is none.
     ///
     /// ```
     /// use std::time::Duration;
