--- a/crates/platform/src/liveness.rs
+++ b/crates/platform/src/liveness.rs
@@ -1,33 +1,32 @@
-//! Whether a connection to the platform has gone silent.
+//! Detects connections to the platform that have gone silent.
 
 use std::time::Duration;
 
-/// What is known of a connection.
+/// Tracks when a connection last carried an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Liveness {
-    /// When the last answer came in, or the connection was opened.
+    /// When the last answer was received; at first when the connection was opened.
     last_answer: Duration,
 }
 
 impl Liveness {
-    /// A connection opened at `now`, counted from any fixed start.
+    /// A connection opened at `now`, measured from any fixed start.
     #[must_use]
     pub fn new(now: Duration) -> Self {
         Liveness { last_answer: now }
     }
 
-    /// An answer has come in.
+    /// Records that an answer was received at `now`.
     pub fn record_answer(&mut self, now: Duration) {
         self.last_answer = self.last_answer.max(now);
     }
 
-    /// Whether a call that was sent at `sent` and is now past its deadline condemns the
-    /// connection.
+    /// Whether the connection is to be replaced after a call that was sent at `sent` has timed out.
     ///
-    /// Something between the two ends may have lost track of the connection: packets vanish and
-    /// nobody is told, while new connections work. One notices by calls that time out with
-    /// nothing else answered since they were sent. A connection on which others were answered is
-    /// only slow, and replacing it would add load to a slow platform.
+    /// A middlebox may have dropped its state of the connection: packets are lost without an error
+    /// to either end, while new connections work. The sign is a call that times out with no answer
+    /// to any other call since it was sent. If other calls were answered, the platform is only
+    /// slow, and replacing the connection would add to its load.
     ///
     /// ```
     /// use std::time::Duration;
