--- a/crates/platform/src/machine.rs
+++ b/crates/platform/src/machine.rs
@@ -1,10 +1,10 @@
-//! The platform's list of VMs. It lags, so it is a hint and never the truth.
+//! The platform's list of VMs. It is updated with a delay, so it is a hint and not authoritative.
 
 use std::{net::IpAddr, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// One VM of the list.
+/// A VM in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     /// Its name.
@@ -13,14 +13,14 @@
     pub address: IpAddr,
     /// The data centre that it runs in.
     pub data_centre: Arc<str>,
-    /// Whether it is to stay.
+    /// Whether it is about to be stopped.
     pub state: State,
 }
 
-/// Whether a VM is to stay.
+/// Whether a VM is about to be stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It runs.
+    /// It is running and is to keep running.
     Live,
     /// It is about to be stopped.
     Leaving,
