--- a/crates/platform/src/retry.rs
+++ b/crates/platform/src/retry.rs
@@ -1,28 +1,28 @@
-//! When a read is tried again. Writes are never tried again here: an answer may have been lost
-//! after the write took effect, and only reading back tells.
+//! Schedules retries of reads. Writes are never retried: the answer may have been lost after the
+//! write took effect, and only a later read shows whether it did.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt as _};
 
-/// How often and at which distances a read is tried.
+/// Number of attempts of a read and the pauses between them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Schedule {
-    /// Tries in all, the first included.
+    /// Total number of attempts, the first included.
     pub tries: u32,
-    /// Upper end of the first pause; it doubles with each try.
+    /// Upper bound of the first pause; it doubles with each attempt.
     pub base: Duration,
-    /// Upper end of any pause.
+    /// Upper bound of every pause.
     pub cap: Duration,
 }
 
 impl Schedule {
-    /// The pause after the try with the given number (from 1), none after the last.
+    /// The pause after attempt number `tried` (from 1); `None` after the last.
     ///
-    /// Load: the whole fleet and all operators lose the platform in the same instant. Harm: if
-    /// they all come back together, they bring it down again. Hence the pause is drawn evenly
-    /// from zero to its upper end, which spreads them best, and tries are few: whoever called
-    /// knows better whether it is worth going on.
+    /// After an outage of the platform the whole fleet and all operators retry at the same time,
+    /// and synchronized retries would overload it again. The pause is therefore drawn uniformly
+    /// between zero and its upper bound (full jitter), which spreads the retries best. Attempts are
+    /// few, as the caller knows better whether to go on.
     ///
     /// ```
     /// use std::time::Duration;
