--- a/crates/platform/src/revisions.rs
+++ b/crates/platform/src/revisions.rs
@@ -1,28 +1,29 @@
-//! The highest revision seen of each key: what an answer is worth.
+//! Detects stale answers by the highest revision seen for each key.
 
 use std::{collections::BTreeMap, sync::Arc};
 
-/// What an answer is, compared with those before it.
+/// How recent an answer is, compared with earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// As new as any before, or newer.
+    /// At least as new as every earlier answer.
     Current,
-    /// Older than one before. A replica that lags, a restored backup or an answer that was held
-    /// up on its way; taking it would revert what is in force.
+    /// Older than an earlier answer. It came from a lagging replica or a restored backup, or was
+    /// delayed in the network. Using it would revert the configuration in force.
     Stale {
         /// The highest revision seen before.
         seen: u64,
     },
 }
 
-/// The highest revision seen of each key. A few keys, all ours.
+/// The highest revision seen for each key. It is unbounded, as the project reads only a few keys,
+/// all of them its own.
 #[derive(Debug, Clone, Default)]
 pub struct HighestRevisions {
     highest: BTreeMap<Arc<str>, u64>,
 }
 
 impl HighestRevisions {
-    /// Judges an answer and remembers its revision.
+    /// Compares an answer's revision with the highest one seen, and records it if it is not lower.
     ///
     /// ```
     /// use acacia_platform::revisions::{Freshness, HighestRevisions};
@@ -40,7 +41,7 @@
         Freshness::Current
     }
 
-    /// The highest revision seen of a key; 0 if none was.
+    /// The highest revision seen for a key; 0 if there was none.
     ///
     /// ```
     /// use acacia_platform::revisions::HighestRevisions;
