--- a/crates/platform/src/apply.rs
+++ b/crates/platform/src/apply.rs
@@ -1,16 +1,22 @@
-//! Puts a configuration into the platform's store: accepted means that the compare-and-swap took
-//! effect.
+//! Writes a configuration to the platform's store. A change is accepted once its compare-and-swap
+//! has taken effect.
 //!
-//! [`Apply`] decides without sockets: it says what to do next and is told what came of it.
-//! [`run`] does so with a [`Client`](crate::Client).
+//! [`Apply`] is a state machine without I/O: it returns the next [`Action`] and takes the [`Event`]
+//! that results from it. [`run`] drives it with a [`Client`](crate::Client).
 //!
-//! A write is made once. If its answer is lost, the key is read back until the change's own id
-//! is found (accepted), the key has moved on without it (not accepted, and it can't be any more:
-//! the compare-and-swap names the old revision) or the patience is over (unknown). Starting
-//! again is safe after any outcome: a new attempt writes only over what it has read.
+//! The write is sent at most once. If its answer is lost, the key is read back until one of these
+//! holds:
+//!
+//! - The stored document or its history has the id of the change: it was accepted.
+//! - The key has a later revision without the change: it was not accepted and can't be later, as
+//!   the compare-and-swap expects the old revision.
+//! - No read is left by the schedule: the outcome is unknown.
+//!
+//! Applying the change again is safe after any outcome, as a new attempt replaces only the revision
+//! that it has read.
 
+mod read_back;
 mod run;
-mod settle;
 
 use std::time::Duration;
 
@@ -24,53 +30,54 @@
     store::{Entry, Outcome},
 };
 
+use read_back::Finding;
 pub use run::run;
-use settle::Finding;
 
 /// A change to apply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
     /// The change.
     pub draft: Draft,
-    /// The revision that the operator reviewed the change against, if any: while another one is
-    /// in force, by the store or by the draft itself, it is not written.
+    /// The revision that the operator reviewed the change against, if any. The change is not
+    /// written if another revision is in force according to the store or to the draft.
     pub reviewed_revision: Option<u64>,
-    /// How often and at which distances a write without answer is read back.
+    /// Schedule of the reads after a lost answer to the write.
     pub read_back: Schedule,
 }
 
-/// Patience with a store that lost an answer: about half a minute, longer than a restart takes.
+/// Default schedule of the reads after a lost answer: about half a minute, which is longer than a
+/// restart of the store takes.
 pub const READ_BACK: Schedule = Schedule {
     tries: 10,
     base: Duration::from_millis(200),
     cap: Duration::from_secs(5),
 };
 
-/// What to do next.
+/// The next step of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Read the key after a pause.
     Read {
-        /// How long to wait before.
+        /// The pause before the read.
         after: Duration,
     },
-    /// Write the value if the key has the expected revision. Asked for once at most.
+    /// Write the value if the key has the expected revision. Returned at most once per attempt.
     Write {
         /// The revision that the key must have.
         expected: u64,
         /// The value.
         value: String,
     },
-    /// It is over.
+    /// Nothing: the attempt has ended.
     Done(Verdict),
 }
 
-/// What came of an action.
+/// The result of an action.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The key was read, or not.
+    /// Result of the read.
     Read(Result<Entry, Error>),
-    /// The write was answered, or not.
+    /// Result of the write.
     Written(Result<Outcome, Error>),
 }
 
@@ -79,35 +86,35 @@
 pub enum Verdict {
     /// The change took effect.
     Accepted {
-        /// The revision that it made.
+        /// The revision of the new document.
         revision: u64,
     },
-    /// The configuration was in force already; nothing was written.
+    /// The configuration was already in force; nothing was written.
     Unchanged {
         /// The revision in force.
         revision: u64,
     },
-    /// Another change came first. Ours has not taken effect and never will.
+    /// Another change was made first. This one has not taken effect and never will.
     Conflict {
-        /// What is in force instead, if it could be read.
+        /// The document in force instead, if it could be read.
         theirs: Option<Box<Document>>,
     },
-    /// The change can't be made; nothing was written.
+    /// The change could not be made; nothing was written.
     Refused(Reason),
     /// The change may have taken effect or may still do so.
     Unknown {
-        /// Its id, to be looked for in the history.
+        /// The id of the change, to be searched for in the history.
         change: Id,
     },
 }
 
-/// Why a change can't be made.
+/// Why a change could not be made.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Reason {
-    /// The platform gave no answer to go by, or refused.
+    /// The call to the platform failed or was refused.
     #[error(transparent)]
     Platform(#[from] Error),
-    /// The stored document can't be understood, or the new one can't be made.
+    /// The stored document can't be decoded, or the new one is invalid.
     #[error(transparent)]
     Document(#[from] document::Error),
 }
@@ -120,22 +127,22 @@
     random: Pcg64,
 }
 
-/// Where an attempt stands.
+/// The state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Reading what is in force.
+    /// Reading the document in force.
     Reading,
-    /// Waiting for the answer to the write, which makes this revision.
+    /// Waiting for the answer to the write; the number is the revision of the new document.
     Writing(Base, u64),
-    /// Refused because of another change, which is being read.
-    Losing,
-    /// Reading back after the answer was lost.
-    Settling(Base, u32),
-    /// Over.
-    Over,
+    /// Reading the other change after a conflict.
+    ReadingConflict,
+    /// Reading back after the answer to the write was lost; the number counts the reads from 1.
+    ReadingBack(Base, u32),
+    /// Ended.
+    Done,
 }
 
-/// What a write went over.
+/// The revisions that a write replaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Base {
     /// The key's revision in the store.
@@ -145,7 +152,7 @@
 }
 
 impl Apply {
-    /// An attempt, and its first action. `seed` spreads the pauses.
+    /// Starts an attempt and returns its first action. `seed` determines the random pauses.
     #[must_use]
     pub fn start(request: Request, seed: u64) -> (Self, Action) {
         let apply = Apply {
@@ -157,20 +164,22 @@
         (apply, Action::Read { after })
     }
 
-    /// Takes what came of the last action and gives the next one.
+    /// Takes the result of the last action and returns the next one.
     pub fn step(&mut self, event: Event) -> Action {
         match (self.state, event) {
-            (State::Reading, Event::Read(entry)) => self.write_over(entry),
+            (State::Reading, Event::Read(entry)) => self.write(entry),
             (State::Writing(base, next), Event::Written(answer)) => {
                 self.written(base, next, answer)
             }
-            (State::Losing, Event::Read(entry)) => {
-                let theirs = entry.ok().as_ref().and_then(settle::decode);
+            (State::ReadingConflict, Event::Read(entry)) => {
+                let theirs = entry.ok().as_ref().and_then(read_back::decode);
                 let theirs = theirs.map(Box::new);
                 self.done(Verdict::Conflict { theirs })
             }
-            (State::Settling(base, tried), Event::Read(entry)) => self.settle(base, tried, entry),
-            // Not an answer to the last action: nothing can be concluded from it.
+            (State::ReadingBack(base, tried), Event::Read(entry)) => {
+                self.resolve(base, tried, entry)
+            }
+            // The event does not belong to the last action, so the outcome can't be determined.
             (_, _) => {
                 let change = self.request.draft.change;
                 self.done(Verdict::Unknown { change })
@@ -178,8 +187,8 @@
         }
     }
 
-    /// Makes the new document from what is in force.
-    fn write_over(&mut self, entry: Result<Entry, Error>) -> Action {
+    /// Creates the new document from the stored one, and writes it unless that is refused.
+    fn write(&mut self, entry: Result<Entry, Error>) -> Action {
         let prepared = entry
             .map_err(Reason::from)
             .and_then(|entry| self.prepare(&entry));
@@ -193,11 +202,11 @@
         let before = entry.value.as_deref().map(Document::decode).transpose()?;
         let revision = before.as_ref().map_or(0, |document| document.revision);
         let next = Document::follow(before.as_ref(), &self.request.draft)?;
-        let elsewhere = &self.request.draft.in_force;
-        let elsewhere = elsewhere.as_ref().map_or(0, |document| document.revision);
-        let in_force = revision.max(elsewhere);
-        // A store behind the balancers (restored from a backup) may hold the same text while
-        // they have another one in force.
+        let known = &self.request.draft.in_force;
+        let known = known.as_ref().map_or(0, |document| document.revision);
+        let in_force = revision.max(known);
+        // A store that was restored from a backup may hold the same text while the balancers have a
+        // later revision with another text in force.
         let same = before.as_ref().is_some_and(|b| b.text == next.text);
         if same && revision == in_force {
             return Ok(self.done(Verdict::Unchanged { revision }));
@@ -228,12 +237,12 @@
                 self.done(Verdict::Accepted { revision })
             }
             Ok(Outcome::Conflict { .. }) => {
-                self.state = State::Losing;
+                self.state = State::ReadingConflict;
                 let after = Duration::ZERO;
                 Action::Read { after }
             }
             Err(Error::Unknown) => {
-                self.state = State::Settling(base, 1);
+                self.state = State::ReadingBack(base, 1);
                 let after = Duration::ZERO;
                 Action::Read { after }
             }
@@ -241,19 +250,19 @@
         }
     }
 
-    /// Concludes from what is read back after the answer to the write was lost.
-    fn settle(&mut self, base: Base, tried: u32, entry: Result<Entry, Error>) -> Action {
+    /// Determines the outcome from a read after the answer to the write was lost.
+    fn resolve(&mut self, base: Base, tried: u32, entry: Result<Entry, Error>) -> Action {
         let change = self.request.draft.change;
-        let finding = entry.map_or(Finding::Open, |e| settle::find(change, base, &e));
+        let finding = entry.map_or(Finding::Undecided, |e| read_back::find(change, base, &e));
         match finding {
             Finding::Accepted { revision } => self.done(Verdict::Accepted { revision }),
-            Finding::Lost { theirs } => {
+            Finding::Superseded { theirs } => {
                 let theirs = Some(theirs);
                 self.done(Verdict::Conflict { theirs })
             }
-            Finding::Open => match self.request.read_back.pause(tried, &mut self.random) {
+            Finding::Undecided => match self.request.read_back.pause(tried, &mut self.random) {
                 Some(after) => {
-                    self.state = State::Settling(base, tried + 1);
+                    self.state = State::ReadingBack(base, tried + 1);
                     Action::Read { after }
                 }
                 None => self.done(Verdict::Unknown { change }),
@@ -262,7 +271,7 @@
     }
 
     fn done(&mut self, verdict: Verdict) -> Action {
-        self.state = State::Over;
+        self.state = State::Done;
         Action::Done(verdict)
     }
 }
--- a/crates/platform/src/apply/run.rs
+++ b/crates/platform/src/apply/run.rs
@@ -1,4 +1,4 @@
-//! Applies a change with a client.
+//! Drives an attempt with a client.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::{Action, Apply, Event, Request, Verdict};
 use crate::{Client, store::Swap};
 
-/// Applies a change and says what came of it. `seed` spreads the pauses.
+/// Applies a change and returns the outcome. `seed` determines the random pauses.
 ///
 /// ```no_run
 /// # use acacia_config::{Config, document::{Draft, Id}};
