--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -25,29 +25,30 @@
 
 mod slot;
 
-use slot::Slot;
+use slot::ConnectionSlot;
 
-/// How the client deals with the platform.
+/// Settings of a [`Client`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// How long a call may take, a connection's opening included.
+    /// How long a call may take, including the time to connect.
     pub deadline: Duration,
-    /// How long a watch waits at the platform. It is also the watch's heartbeat: the platform
-    /// answers at its end also when nothing has changed, so silence beyond it and a
-    /// [`deadline`](Options::deadline) is a failure.
+    /// How long a watch waits at the platform. The platform answers at the end of this time even
+    /// if nothing has changed, so a watch without an answer after this and the
+    /// [`deadline`](Options::deadline) has failed.
     pub watch: Duration,
-    /// How reads are tried again.
+    /// Schedule of retried reads.
     pub retry: Schedule,
-    /// How many calls may be made.
+    /// Limit on the rate of calls.
     pub rate: Rate,
-    /// Seeds the spread of the retries.
+    /// Seed of the random pauses between retries.
     pub seed: u64,
 }
 
 impl Default for Options {
-    /// The platform answers in milliseconds, so a second without an answer is a failure. A silent
-    /// connection is noticed after one call (1 s) or one watch (3 s). An idle watcher makes half
-    /// a call a second; 5 a second leave room for a lease and for applying.
+    /// The platform answers within milliseconds, so a second without an answer is a failure. A
+    /// silent connection is detected by one call (1 s) or one watch (3 s). A watch of a key that
+    /// does not change takes half a call a second; 5 a second leave room for keeping a lease alive
+    /// and for applying a change.
     fn default() -> Self {
         Options {
             deadline: Duration::from_secs(1),
@@ -66,9 +67,9 @@
     }
 }
 
-/// A client of the platform. It connects when it is first used and again whenever the connection
-/// breaks or goes silent. Watches have a connection of their own, so that a waiting watch can't
-/// hide that calls go unanswered.
+/// A client of the platform. It connects on first use, and again after the connection has broken or
+/// gone silent. Watches use a separate connection: on a shared one, their answers would hide that
+/// calls are not answered.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -76,12 +77,12 @@
     options: Options,
     start: Instant,
     state: Mutex<State>,
-    calls: Slot,
-    watches: Slot,
+    calls: ConnectionSlot,
+    watches: ConnectionSlot,
     made: AtomicU64,
 }
 
-/// What the client's decisions remember.
+/// The state behind the client's decisions.
 #[derive(Debug)]
 struct State {
     bucket: Bucket,
@@ -89,13 +90,13 @@
     random: Pcg64,
 }
 
-/// What a lost answer means.
+/// Whether a call that was not answered may have had an effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Effect {
-    /// Nothing: the call only reads.
-    None,
+enum CallKind {
+    /// It reads only, so it has had none.
+    Read,
     /// It may have taken effect.
-    Possible,
+    Write,
 }
 
 impl Client {
@@ -112,7 +113,7 @@
         Client::with_transport(address, options, service::transport())
     }
 
-    /// A client of the platform at `address` that speaks to it by `transport`.
+    /// A client of the platform at `address` that uses `transport`.
     ///
     /// ```
     /// use acacia_platform::{Client, Options, service};
@@ -133,28 +134,28 @@
                 revisions: HighestRevisions::default(),
                 random: Pcg64::seed_from_u64(options.seed),
             }),
-            calls: Slot::default(),
-            watches: Slot::default(),
+            calls: ConnectionSlot::default(),
+            watches: ConnectionSlot::default(),
             made: AtomicU64::new(0),
         }
     }
 
-    /// Closes the connections and waits until nothing of the client runs any more.
+    /// Closes the connections and waits until all tasks of the client have ended.
     pub async fn close(self) {
         self.calls.close().await;
         self.watches.close().await;
     }
 
-    /// Calls made so far, for the metrics.
+    /// The number of calls made so far, for metrics.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.made.load(Ordering::Relaxed)
     }
 
-    /// Reads a key. Tried again by the schedule, also when the answer is older than one before.
+    /// Reads a key. A failed read and a stale answer are retried by the schedule.
     ///
     /// # Errors
-    /// When no try has given an answer that is as new as those before.
+    /// When every attempt has failed or given a stale answer.
     pub async fn get(&self, key: &Arc<str>) -> Result<Entry, Error> {
         self.retry(async || {
             let entry = self.read(key).await?;
@@ -171,7 +172,7 @@
         self.read_call(call, Answer::entry).await
     }
 
-    /// Tries a read by the schedule.
+    /// Retries a read by the schedule.
     async fn retry<T>(&self, read: impl AsyncFn() -> Result<T, Error>) -> Result<T, Error> {
         let mut tried = 1;
         loop {
@@ -186,8 +187,8 @@
         }
     }
 
-    /// Writes a key if it has the expected revision. Made once: after [`Error::Unknown`], read
-    /// the key to learn whether the write took effect.
+    /// Writes a key if it has the expected revision. The write is not retried: after
+    /// [`Error::Unknown`], read the key to find out whether it took effect.
     ///
     /// # Errors
     /// [`Error::Unknown`] if the write may have taken effect, any other if it has not.
@@ -200,14 +201,14 @@
         Ok(outcome)
     }
 
-    /// Waits until a key's revision is above `above`, at most for [`Options::watch`], and gives
-    /// what it holds then. A watch that fails or stays silent is replaced by a read over a new
-    /// connection, since what it would have told may have been lost.
+    /// Waits until a key's revision is above `above`, at most for [`Options::watch`], and returns
+    /// the entry. A watch that fails or is not answered is followed by a read over the connection
+    /// for calls, as the change that it would have reported may have been lost.
     ///
-    /// The answer is given as it is, also when it is older than others before: a platform that
-    /// was restored from a backup numbers its writes from there, and a watcher that refused them
-    /// would miss every later change. Whoever watches compares what the values themselves say.
-    /// The next watch names the revision of this answer.
+    /// Stale answers are returned as well. A platform that was restored from a backup continues
+    /// from older revisions, and a watcher that rejected them would miss every later change.
+    /// Callers compare versions in the values instead, and pass the revision of this answer to the
+    /// next watch.
     ///
     /// # Errors
     /// When the read fails as well.
@@ -219,50 +220,50 @@
             wait,
         };
         let wait = wait + self.options.deadline;
-        match self.call(&self.watches, wait, Effect::None, call).await {
+        match self.call(&self.watches, wait, CallKind::Read, call).await {
             Ok(answer) => answer.entry().ok_or(Error::Malformed),
             Err(_) => self.retry(async || self.read(key).await).await,
         }
     }
 
-    /// Takes out a lease.
+    /// Requests a lease.
     ///
     /// # Errors
-    /// After [`Error::Unknown`] a lease may exist; it lapses by itself.
+    /// After [`Error::Unknown`] a lease may exist; it expires by itself.
     pub async fn grant(&self, ttl: Duration) -> Result<Lease, Error> {
         self.write(Call::Grant { ttl }, Answer::granted).await
     }
 
-    /// Starts a lease's time anew.
+    /// Renews a lease.
     ///
     /// # Errors
-    /// [`Refusal::LeaseGone`] if it has lapsed: whatever it protected is someone else's now.
+    /// [`Refusal::LeaseGone`] if it has expired: another client may hold what it protected.
     pub async fn keep_alive(&self, lease: Lease) -> Result<(), Error> {
         self.write(Call::KeepAlive { lease }, Answer::done).await
     }
 
-    /// Ends a lease.
+    /// Revokes a lease.
     ///
     /// # Errors
-    /// After any of them the lease may still be there; it lapses by itself.
+    /// After any error the lease may still exist; it expires by itself.
     pub async fn revoke(&self, lease: Lease) -> Result<(), Error> {
         self.write(Call::Revoke { lease }, Answer::done).await
     }
 
-    /// The platform's list of VMs, which lags.
+    /// The platform's list of VMs, which is updated with a delay.
     ///
     /// # Errors
-    /// When the platform can't be reached or does not answer.
+    /// When the call fails; it is not retried.
     pub async fn machines(&self) -> Result<Vec<Machine>, Error> {
         self.read_call(Call::Machines, Answer::machines).await
     }
 
-    /// Reads all items whose keys begin with `prefix`, page by page, and gives them with a revision up to
-    /// which they are complete. The pages are no snapshot: [`Client::changes`] after that revision tells
-    /// what changed while they were read.
+    /// Reads all items whose keys begin with `prefix`, page by page, and returns them with a
+    /// revision up to which they are complete. The pages are not a consistent snapshot:
+    /// [`Client::changes`] after that revision returns what changed while they were read.
     ///
     /// # Errors
-    /// When no try has given a page, or the platform doesn't offer the call.
+    /// When every attempt to read a page has failed, or the platform does not offer the call.
     pub async fn range(
         &self,
         prefix: &Arc<str>,
@@ -291,12 +292,13 @@
         }
     }
 
-    /// Waits until something below `prefix` changes after the revision `after`, at most for `wait`,
-    /// and gives the changes. Made once: whoever follows the store decides what to do about a
-    /// failure.
+    /// Waits until a key that begins with `prefix` changes after the revision `after`, at most for
+    /// `wait`, and returns the changes. The call is not retried, as the caller decides how to go on
+    /// after a failure.
     ///
     /// # Errors
-    /// [`Error::HistoryGone`] when the store no longer knows that revision: read the whole again.
+    /// [`Error::HistoryGone`] when the store no longer holds that revision: call
+    /// [`Client::range`] again.
     pub async fn changes(
         &self,
         prefix: &Arc<str>,
@@ -310,7 +312,7 @@
             wait,
         };
         let wait = wait + self.options.deadline;
-        let answer = self.call(&self.watches, wait, Effect::None, call).await?;
+        let answer = self.call(&self.watches, wait, CallKind::Read, call).await?;
         answer.events().ok_or(Error::Malformed)
     }
 
@@ -328,11 +330,11 @@
     async fn write<T>(
         &self,
         call: Call,
-        take: impl FnOnce(Answer) -> Option<Result<T, Refusal>>,
+        extract: impl FnOnce(Answer) -> Option<Result<T, Refusal>>,
     ) -> Result<T, Error> {
         let wait = self.options.deadline;
-        let answer = self.call(&self.calls, wait, Effect::Possible, call).await?;
-        take(answer)
+        let answer = self.call(&self.calls, wait, CallKind::Write, call).await?;
+        extract(answer)
             .ok_or(Error::Malformed)?
             .map_err(Error::Refused)
     }
@@ -340,25 +342,25 @@
     async fn read_call<T>(
         &self,
         call: Call,
-        take: impl FnOnce(Answer) -> Option<T>,
+        extract: impl FnOnce(Answer) -> Option<T>,
     ) -> Result<T, Error> {
         let wait = self.options.deadline;
-        let answer = self.call(&self.calls, wait, Effect::None, call).await?;
-        take(answer).ok_or(Error::Malformed)
+        let answer = self.call(&self.calls, wait, CallKind::Read, call).await?;
+        extract(answer).ok_or(Error::Malformed)
     }
 
-    /// Makes one call over the slot's connection, which is replaced when it turns out broken or
-    /// silent.
+    /// Makes one call over the slot's connection. A connection that has broken or gone silent is
+    /// discarded; the next call opens a new one.
     async fn call(
         &self,
-        slot: &Slot,
+        slot: &ConnectionSlot,
         wait: Duration,
-        effect: Effect,
+        kind: CallKind,
         call: Call,
     ) -> Result<Answer, Error> {
-        self.admit().await?;
+        self.wait_for_token().await?;
         let deadline = Instant::now() + wait;
-        let opening = slot.open(&self.transport, self.address, self.start);
+        let opening = slot.get_or_open(&self.transport, self.address, self.start);
         let open = time::timeout_at(
             deadline.min(Instant::now() + self.options.deadline),
             opening,
@@ -382,21 +384,22 @@
             Ok(Err(Failure::Broken(error))) => self.discard(slot, &open, &error),
             Ok(Err(Failure::Deadline)) | Err(_) => self.discard(slot, &open, "silent"),
         }
-        Err(match effect {
-            Effect::None => Error::Timeout,
-            Effect::Possible => Error::Unknown,
+        Err(match kind {
+            CallKind::Read => Error::Timeout,
+            CallKind::Write => Error::Unknown,
         })
     }
 
-    /// Gives up a connection, and says so: a rising rate of this is the sign of a bad path.
-    fn discard(&self, slot: &Slot, open: &Arc<slot::Open>, reason: &str) {
+    /// Discards a connection and logs it: a rising rate of this event points to a faulty network
+    /// path.
+    fn discard(&self, slot: &ConnectionSlot, open: &Arc<slot::OpenConnection>, reason: &str) {
         let address = self.address;
         log::warn!("event=platform-connection-replaced address={address} reason={reason:?}");
         slot.discard(open);
     }
 
-    /// Waits for the limit on calls, but no longer than a call may take.
-    async fn admit(&self) -> Result<(), Error> {
+    /// Waits for the rate limit, at most for the deadline of a call.
+    async fn wait_for_token(&self) -> Result<(), Error> {
         let deadline = self.start.elapsed() + self.options.deadline;
         loop {
             let now = self.start.elapsed();
@@ -410,7 +413,8 @@
         }
     }
 
-    /// A poisoned lock is taken as it is: each change under it is a single step.
+    /// Ignores poisoning of the lock: each change under it is a single step, so the state is
+    /// consistent after a panic.
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/platform/src/client/slot.rs
+++ b/crates/platform/src/client/slot.rs
@@ -1,4 +1,4 @@
-//! The place of a connection: opened on demand, discarded when it is broken or silent.
+//! Holds a connection that is opened on demand and discarded when it has broken or gone silent.
 
 use std::{
     io,
@@ -18,32 +18,32 @@
     transport::{Answer, Call, CallFn, Failure, Transport},
 };
 
-/// Holds the connection in use, if any, and all tasks that serve connections.
+/// The connection in use, if any, and the tasks that drive connections.
 #[derive(Debug, Default)]
-pub(super) struct Slot {
-    current: Mutex<Option<Arc<Open>>>,
+pub(super) struct ConnectionSlot {
+    current: Mutex<Option<Arc<OpenConnection>>>,
     tasks: TaskTracker,
 }
 
-/// An open connection. The task that serves it ends with the last call that uses it.
-pub(super) struct Open {
-    caller: CallFn,
+/// An open connection. The task that drives it is stopped when the last user drops it.
+pub(super) struct OpenConnection {
+    call: CallFn,
     liveness: Mutex<Liveness>,
     _stop: DropGuard,
 }
 
-impl std::fmt::Debug for Open {
+impl std::fmt::Debug for OpenConnection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Open")
+        f.debug_struct("OpenConnection")
             .field("liveness", &self.liveness)
             .finish_non_exhaustive()
     }
 }
 
-impl Open {
-    /// Makes one call on this connection.
+impl OpenConnection {
+    /// Makes one call over this connection.
     pub(super) async fn call(&self, call: Call, deadline: Instant) -> Result<Answer, Failure> {
-        (self.caller)(call, deadline).await
+        (self.call)(call, deadline).await
     }
 
     pub(super) fn record_answer(&self, now: Duration) {
@@ -57,15 +57,15 @@
     }
 }
 
-impl Slot {
-    /// The connection in use, or a new one. Two callers at once may both connect; the later one
-    /// stays in use, the other lives until its call is over.
-    pub(super) async fn open(
+impl ConnectionSlot {
+    /// Returns the connection in use or opens a new one. If two callers connect at the same time,
+    /// the later connection remains in use and the other is closed after its call.
+    pub(super) async fn get_or_open(
         &self,
         transport: &Transport,
         address: SocketAddr,
         start: Instant,
-    ) -> io::Result<Arc<Open>> {
+    ) -> io::Result<Arc<OpenConnection>> {
         if let Some(open) = self.current() {
             return Ok(open);
         }
@@ -74,13 +74,13 @@
         let stopped = stop.clone();
         self.tasks.spawn(async move {
             tokio::select! {
-                // Its error reaches each caller as the failure of its own call.
+                // An error of the connection fails each of its calls, so it is not reported here.
                 () = connection.driver => {}
                 () = stopped.cancelled() => {}
             }
         });
-        let open = Arc::new(Open {
-            caller: connection.call,
+        let open = Arc::new(OpenConnection {
+            call: connection.call,
             liveness: Mutex::new(Liveness::new(start.elapsed())),
             _stop: stop.drop_guard(),
         });
@@ -88,26 +88,26 @@
         Ok(open)
     }
 
-    /// Gives up a connection, unless it has been replaced already.
-    pub(super) fn discard(&self, open: &Arc<Open>) {
+    /// Stops using a connection, unless another one has already replaced it.
+    pub(super) fn discard(&self, open: &Arc<OpenConnection>) {
         let mut current = self.lock();
         if current.as_ref().is_some_and(|now| Arc::ptr_eq(now, open)) {
             *current = None;
         }
     }
 
-    /// Gives up the connection and waits for the tasks of all that there were.
+    /// Stops using the connection and waits until the tasks of all connections have ended.
     pub(super) async fn close(&self) {
         *self.lock() = None;
         self.tasks.close();
         self.tasks.wait().await;
     }
 
-    fn current(&self) -> Option<Arc<Open>> {
+    fn current(&self) -> Option<Arc<OpenConnection>> {
         self.lock().clone()
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Option<Arc<Open>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Option<Arc<OpenConnection>>> {
         self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
