--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -1,7 +1,8 @@
-//! Runs a tarpc service on one connection, with all its handlers owned by the caller's future.
+//! Serves a tarpc service on one connection. All request handlers are owned by the caller's future.
 //!
-//! tarpc's own helper spawns each request and forgets it. Here a connection that ends takes its
-//! handlers with it (a waiting watch included), so that a stopping server leaves no task behind.
+//! tarpc's own helper spawns a detached task for each request. Here the handlers, including those
+//! of waiting watches, are aborted when the connection ends, so that a server that stops leaves no
+//! task behind.
 
 mod frame;
 
@@ -20,9 +21,9 @@
 };
 use tokio::{net::TcpStream, task::JoinSet, time};
 
-/// Serves one accepted connection until the peer closes it or breaks the protocol. `handle` is
-/// mostly a closure around a service's `serve`. Dropping the future ends all its handlers. Requests of
-/// more than `longest` bytes end the connection.
+/// Serves one accepted connection until the peer closes it or violates the protocol. `handle` is
+/// usually a closure around a service's `serve`. Dropping the future aborts all handlers. A request
+/// of more than `max_request_len` bytes ends the connection.
 ///
 /// ```no_run
 /// # use acacia_platform::server;
@@ -34,18 +35,18 @@
 /// # Ok(())
 /// # }
 /// ```
-pub async fn serve_connection<Req, Resp, H, F>(stream: TcpStream, longest: usize, handle: H)
+pub async fn serve_connection<Req, Resp, H, F>(stream: TcpStream, max_request_len: usize, handle: H)
 where
     Req: for<'a> Deserialize<'a>,
     Resp: Serialize + Send + 'static,
     H: Fn(context::Context, Req) -> F,
     F: Future<Output = Result<Resp, ServerError>> + Send + 'static,
 {
-    serve_connection_with(stream, Json::default(), longest, handle, || {}).await;
+    serve_connection_with(stream, Json::default(), max_request_len, handle, || {}).await;
 }
 
-/// The same with messages encoded by `codec`. `idle` is called whenever all requests so far have been
-/// answered and the answers handed to the network.
+/// Like [`serve_connection`], with messages encoded by `codec`. `idle` is called whenever all
+/// requests have been answered and the answers have been written to the socket.
 ///
 /// ```no_run
 /// # use acacia_platform::server;
@@ -58,7 +59,7 @@
 pub async fn serve_connection_with<Req, Resp, C, E, H, F>(
     stream: TcpStream,
     codec: C,
-    longest: usize,
+    max_request_len: usize,
     handle: H,
     idle: impl Fn(),
 ) where
@@ -69,22 +70,22 @@
     H: Fn(context::Context, Req) -> F,
     F: Future<Output = Result<Resp, ServerError>> + Send + 'static,
 {
-    // Answers are small and awaited one by one; Nagle's algorithm would hold them back.
+    // Nagle's algorithm would delay the answers, which are small and awaited one by one.
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let frames = Framed::new(stream, frame::Codec::new(longest));
+    let frames = Framed::new(stream, frame::Codec::new(max_request_len));
     let transport: Messages<_, ClientMessage<Req>, Response<Resp>, C> =
         Messages::new(frames, codec);
-    pump(BaseChannel::with_defaults(transport), handle, idle).await;
+    serve_requests(BaseChannel::with_defaults(transport), handle, idle).await;
 }
 
-/// The requests of one connection that are not answered yet.
+/// The handlers of one connection whose answers are not sent yet.
 struct Handlers<Resp> {
     running: JoinSet<Option<Response<Resp>>>,
-    /// An answer has not been handed to the network whole.
+    /// Whether an answer has not been written to the socket completely.
     unsent: bool,
-    /// All answers have been handed to the network since this was last asked.
+    /// Whether the last pending answer was written to the socket since `take_idle` was last called.
     is_idle: bool,
 }
 
@@ -99,7 +100,7 @@
 }
 
 impl<Resp> Handlers<Resp> {
-    fn sent(&mut self) {
+    fn record_flush(&mut self) {
         self.is_idle |= self.unsent && self.running.is_empty();
         self.unsent = false;
     }
@@ -109,8 +110,8 @@
     }
 }
 
-/// Starts a handler for each request and sends what it answers.
-async fn pump<C, H, F>(channel: C, handle: H, idle: impl Fn())
+/// Spawns a handler for each request and sends its answer.
+async fn serve_requests<C, H, F>(channel: C, handle: H, idle: impl Fn())
 where
     C: Channel,
     C::Resp: Send + 'static,
@@ -122,23 +123,23 @@
     std::future::poll_fn(|cx| {
         loop {
             match channel.as_mut().poll_next(cx) {
-                Poll::Ready(Some(Ok(request))) => start(&mut handlers.running, request, &handle),
+                Poll::Ready(Some(Ok(request))) => spawn(&mut handlers.running, request, &handle),
                 Poll::Ready(Some(Err(_)) | None) => return Poll::Ready(()),
                 Poll::Pending => break,
             }
         }
-        let broken = answer(channel.as_mut(), &mut handlers, cx);
+        let closed = send_answers(channel.as_mut(), &mut handlers, cx);
         if handlers.take_idle() {
             idle();
         }
-        broken
+        closed
     })
     .await;
 }
 
-/// Starts the handler of one request. It is given up at the caller's deadline: nobody waits for
-/// its answer any longer.
-fn start<Req, Resp, H, F>(
+/// Spawns the handler of one request. It is dropped at the caller's deadline, as nobody waits for
+/// the answer any longer.
+fn spawn<Req, Resp, H, F>(
     handlers: &mut JoinSet<Option<Response<Resp>>>,
     tracked: TrackedRequest<Req>,
     handle: &H,
@@ -159,8 +160,8 @@
     });
 }
 
-/// Sends the answers of all finished handlers; ready when the connection is broken.
-fn answer<C>(
+/// Sends the answers of all finished handlers; ready once the connection has failed.
+fn send_answers<C>(
     mut channel: Pin<&mut C>,
     handlers: &mut Handlers<C::Resp>,
     cx: &mut Context<'_>,
@@ -182,7 +183,7 @@
                     return Poll::Ready(());
                 }
             }
-            // Given up at its deadline, as nobody waits for it any longer.
+            // The handler was dropped at its deadline: there is no answer to send.
             Poll::Ready(Some(Ok(None))) => {}
             Poll::Ready(Some(Err(error))) => {
                 log::error!("event=handler-panicked error=\"{error}\"");
@@ -193,7 +194,7 @@
     match channel.poll_flush(cx) {
         Poll::Ready(Err(_)) => Poll::Ready(()),
         Poll::Ready(Ok(())) => {
-            handlers.sent();
+            handlers.record_flush();
             Poll::Pending
         }
         Poll::Pending => Poll::Pending,
--- a/crates/platform/src/server/frame.rs
+++ b/crates/platform/src/server/frame.rs
@@ -5,17 +5,17 @@
     codec::{Decoder, Encoder, LengthDelimitedCodec},
 };
 
-/// Frames with their length before them; those that come are bounded, as whoever sends them is not
-/// known, and memory for a frame is taken when its length is read.
+/// Length-delimited frames. The length of requests is limited, as the peer is not trusted and
+/// memory for a frame is allocated once its length has been read.
 pub(super) struct Codec {
     requests: LengthDelimitedCodec,
     answers: LengthDelimitedCodec,
 }
 
 impl Codec {
-    pub(super) fn new(longest_request: usize) -> Self {
+    pub(super) fn new(max_request_len: usize) -> Self {
         let requests = LengthDelimitedCodec::builder()
-            .max_frame_length(longest_request)
+            .max_frame_length(max_request_len)
             .new_codec();
         Codec {
             requests,
