--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -1,5 +1,5 @@
-//! The platform's calls as a tarpc service. Each call counts against the platform's rates, a
-//! waiting watch as one.
+//! The platform's calls as a tarpc service. Each call counts against the platform's rate limits; a
+//! watch counts as one call, however long it waits.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,19 +26,19 @@
     /// Writes a key if it has the expected revision.
     async fn swap(swap: Swap) -> Result<Outcome, Refusal>;
     /// Waits until the key's revision is above the given one, at most `wait_ms` milliseconds, and
-    /// answers what the key holds then.
+    /// returns the entry.
     async fn watch(key: Arc<str>, above: u64, wait_ms: u64) -> Entry;
-    /// Grants a lease that lapses unless it is kept alive every `ttl_ms` milliseconds.
+    /// Grants a lease that expires unless it is renewed within every `ttl_ms` milliseconds.
     async fn grant(ttl_ms: u64) -> Lease;
-    /// Starts a lease's time anew.
+    /// Renews a lease.
     async fn keep_alive(lease: Lease) -> Result<(), Refusal>;
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease and removes its keys.
     async fn revoke(lease: Lease) -> Result<(), Refusal>;
-    /// The lagging list of live and leaving VMs.
+    /// The list of live and leaving VMs, which is updated with a delay.
     async fn machines() -> Vec<Machine>;
 }
 
-/// Calls by this service over TCP.
+/// A transport that makes the calls of [`Platform`] as JSON over TCP.
 ///
 /// ```
 /// let transport = acacia_platform::service::transport();
@@ -56,15 +56,15 @@
     let new = PlatformClient::new(client::Config::default(), framed);
     let (rpc, dispatch) = (new.client, new.dispatch);
     Ok(Connection {
-        call: Box::new(move |call, deadline| Box::pin(make(rpc.clone(), call, deadline))),
+        call: Box::new(move |call, deadline| Box::pin(make_call(rpc.clone(), call, deadline))),
         driver: Box::pin(async move {
-            // Its error reaches each caller as the failure of its own call.
+            // An error of the connection fails each of its calls, so it is not reported here.
             let _ = dispatch.await;
         }),
     })
 }
 
-async fn make(rpc: PlatformClient, call: Call, deadline: Instant) -> Result<Answer, Failure> {
+async fn make_call(rpc: PlatformClient, call: Call, deadline: Instant) -> Result<Answer, Failure> {
     let mut ctx = context::current();
     ctx.deadline = deadline.into_std();
     let answer = match call {
