--- a/crates/platform/src/store.rs
+++ b/crates/platform/src/store.rs
@@ -1,4 +1,4 @@
-//! What travels to and from the key-value service.
+//! The requests and answers of the key-value service.
 
 use std::sync::Arc;
 
@@ -6,20 +6,20 @@
 
 use crate::transport::Consistency;
 
-/// Largest value that the service holds, in bytes.
+/// Maximum size of a value, in bytes.
 pub const MAX_VALUE: usize = 1 << 20;
 
-/// What the service holds under a key.
+/// The state of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The service-wide revision of the write that made it; 0 for a key that was never written.
+    /// The service-wide revision of the last write of the key; 0 for a key that was never written.
     pub revision: u64,
-    /// The value; none for a key that was never written or that was removed.
+    /// The value; `None` for a key that was never written or has been removed.
     pub value: Option<Arc<str>>,
 }
 
 impl Entry {
-    /// A key that was never written.
+    /// The state of a key that was never written.
     pub const ABSENT: Entry = Entry {
         revision: 0,
         value: None,
@@ -34,13 +34,13 @@
     /// The revision that the key must have for the write to take effect; 0 for a key that must
     /// not exist yet.
     pub expected: u64,
-    /// The value to write; none removes the key.
+    /// The value to write; `None` removes the key.
     pub value: Option<Arc<str>>,
-    /// The lease with which the key goes away.
+    /// The lease whose end removes the key, if any.
     pub lease: Option<Lease>,
 }
 
-/// The service's definite answer to a [`Swap`].
+/// The result of a [`Swap`] that the service has processed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The write took effect.
@@ -48,51 +48,52 @@
         /// The key's new revision.
         revision: u64,
     },
-    /// Nothing was written: the key has another revision than expected.
+    /// Nothing was written, as the key does not have the expected revision.
     Conflict {
         /// The revision that the key has.
         revision: u64,
     },
 }
 
-/// The number of a lease.
+/// The id of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Lease(pub u64);
 
-/// Why the service refuses a call. A refused call has had no effect.
+/// Why the service refused a call. A refused call has had no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The value is longer than [`MAX_VALUE`].
+    /// The value is larger than [`MAX_VALUE`].
     TooLarge,
-    /// The lease has lapsed or was revoked.
+    /// The lease has expired or was revoked.
     LeaseGone,
 }
 
 /// An item of a range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// Its key.
+    /// The key.
     pub key: Arc<str>,
-    /// Its value.
+    /// The value.
     pub value: Arc<[u8]>,
-    /// The store's revision of its last change.
+    /// The store's revision of the last write of the key.
     pub revision: u64,
 }
 
-/// A part of a range, in the order of keys.
+/// A part of a range, ordered by key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
     /// The items.
     pub items: Vec<Item>,
-    /// Whether there are more behind the last.
+    /// Whether there are items after the last one.
     pub more: bool,
-    /// The store's revision.
+    /// The store's revision as of the answer.
     pub revision: u64,
 }
 
 impl Page {
-    /// The revision up to which a reading that begins with this page is complete. Of one that may be old
-    /// only the items themselves tell how old.
+    /// The revision up to which a read of a range that begins with this page is complete. The items
+    /// of a serializable read may be older than the store's revision, so only their own revisions
+    /// count.
     ///
     /// ```
     /// use acacia_platform::{store::Page, transport::Consistency};
@@ -110,22 +111,22 @@
     }
 }
 
-/// What happened to a key.
+/// A change of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     /// The key.
     pub key: Arc<str>,
-    /// The store's revision that made the change.
+    /// The store's revision of the change.
     pub revision: u64,
-    /// The value since; none if the key was removed.
+    /// The new value; `None` if the key was removed.
     pub value: Option<Arc<[u8]>>,
 }
 
-/// What happened after a revision.
+/// The changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Events {
     /// The changes.
     pub events: Vec<Event>,
-    /// The revision to go on from.
+    /// The revision after which the next call continues.
     pub revision: u64,
 }
