--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -1,4 +1,4 @@
-//! How calls travel to a platform: closures that a [`Client`](crate::Client) is built with.
+//! The interface between a [`Client`](crate::Client) and the protocol of a platform.
 
 use std::{future::Future, net::SocketAddr, pin::Pin, sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
     store::{Entry, Events, Lease, Outcome, Page, Refusal, Swap},
 };
 
-/// A call of the platform.
+/// A call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
     /// Reads a key.
@@ -20,58 +20,58 @@
     },
     /// Writes a key if it has the expected revision.
     Swap(Swap),
-    /// Waits until a key's revision is above the given one.
+    /// Waits until a key's revision is above `above`.
     Watch {
         /// The key.
         key: Arc<str>,
-        /// That revision.
+        /// The revision.
         above: u64,
-        /// The longest wait.
+        /// The maximum wait.
         wait: Duration,
     },
-    /// Takes out a lease.
+    /// Requests a lease.
     Grant {
-        /// How long it lasts unless it is kept alive.
+        /// The time until it expires unless it is renewed.
         ttl: Duration,
     },
-    /// Starts a lease's time anew.
+    /// Renews a lease.
     KeepAlive {
         /// The lease.
         lease: Lease,
     },
-    /// Ends a lease.
+    /// Revokes a lease.
     Revoke {
         /// The lease.
         lease: Lease,
     },
-    /// The list of VMs.
+    /// Requests the list of VMs.
     Machines,
-    /// Reads a page of the items below a prefix.
+    /// Reads a page of the items whose keys begin with a prefix.
     Range {
         /// The prefix.
         prefix: Arc<str>,
-        /// The last key of the page before.
+        /// The last key of the previous page; `None` for the first page.
         after: Option<Arc<str>>,
-        /// How new the answer must be.
+        /// The required consistency.
         consistency: Consistency,
     },
-    /// Waits for changes below a prefix.
+    /// Waits for changes of keys that begin with a prefix.
     Changes {
         /// The prefix.
         prefix: Arc<str>,
-        /// The revision after which they count.
+        /// The revision after which changes are returned.
         after: u64,
-        /// The longest wait.
+        /// The maximum wait.
         wait: Duration,
     },
 }
 
-/// How new the answer to a reading must be.
+/// The consistency of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
-    /// As new as every write that was acknowledged before the call.
+    /// The answer reflects every write that was acknowledged before the call.
     Linearizable,
-    /// It may be seconds old. Such a reading costs the store a fraction of the other.
+    /// The answer may be seconds old. Such a read costs the store a fraction of a linearizable one.
     Serializable,
 }
 
@@ -145,33 +145,34 @@
     }
 }
 
-/// Why a call on a connection has no answer.
+/// Why a call over a connection failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// Its time is over.
+    /// The deadline of the call has passed.
     Deadline,
-    /// The connection is broken, for the reason given.
+    /// The connection has failed, for the given reason.
     Broken(String),
-    /// The platform answered that it did not make the call.
+    /// The call failed for the given reason, but the connection is usable: the platform refused or
+    /// does not offer the call, or its answer is malformed.
     Refused(Error),
 }
 
-/// A call under way.
+/// The future of a call.
 pub type CallFuture = Pin<Box<dyn Future<Output = Result<Answer, Failure>> + Send>>;
-/// Makes a call on a connection, until a deadline.
+/// Makes a call over a connection, with a deadline.
 pub type CallFn = Box<dyn Fn(Call, Instant) -> CallFuture + Send + Sync>;
-/// A connection that is being opened.
+/// The future of a connection that is being opened.
 pub type ConnectFuture = Pin<Box<dyn Future<Output = std::io::Result<Connection>> + Send>>;
 
 /// An open connection.
 pub struct Connection {
-    /// Makes calls on it.
+    /// Makes calls over it.
     pub call: CallFn,
-    /// Carries them; ends with the connection.
+    /// Drives the connection and ends with it. Calls make progress only while it is polled.
     pub driver: Pin<Box<dyn Future<Output = ()> + Send>>,
 }
 
-/// Opens connections.
+/// Opens connections to a platform.
 pub struct Transport {
     open: Box<dyn Fn(SocketAddr) -> ConnectFuture + Send + Sync>,
 }
