--- a/crates/platform/tests/it/limit.rs
+++ b/crates/platform/tests/it/limit.rs
@@ -7,10 +7,10 @@
 proptest! {
     #![proptest_config(cases(256))]
 
-    /// A client that loops on an error must not take the platform away from all others: in no
-    /// stretch of time does it make more calls than the limit states.
+    /// A client that loops on an error must not starve all others: it makes no more calls than the
+    /// limit allows in any interval.
     #[test]
-    fn no_stretch_of_time_has_more_calls_than_stated(
+    fn no_interval_has_more_calls_than_the_limit(
         gaps in prop::collection::vec(0_u64..2_000, 1..300),
         per_second in 1.0_f64..50.0,
         burst in 1.0_f64..20.0,
@@ -32,9 +32,9 @@
         }
     }
 
-    /// Whoever waits as long as told gets its call.
+    /// A token is available after the wait that the bucket returned.
     #[test]
-    fn the_stated_wait_is_enough(per_second in 0.5_f64..50.0, burst in 1.0_f64..20.0) {
+    fn the_returned_wait_is_long_enough(per_second in 0.5_f64..50.0, burst in 1.0_f64..20.0) {
         let mut bucket = Bucket::new(Rate { per_second, burst });
         let mut now = Duration::from_secs(1);
         let wait = loop {
--- a/crates/platform/tests/it/retry.rs
+++ b/crates/platform/tests/it/retry.rs
@@ -9,10 +9,10 @@
 proptest! {
     #![proptest_config(cases(256))]
 
-    /// All clients lose the platform in the same instant. If they came back together, or for
-    /// ever, they would bring it down again.
+    /// All clients lose the platform at the same time. Retries that are synchronized or unbounded
+    /// would overload it again.
     #[test]
-    fn tries_are_bounded_and_pauses_spread(
+    fn attempts_are_bounded_and_pauses_differ_by_seed(
         seed: u64, tries in 1_u32..40, base in 1_u64..500, cap in 1_u64..5_000,
     ) {
         let cap = Duration::from_millis(cap);
--- a/crates/platform/tests/it/revisions.rs
+++ b/crates/platform/tests/it/revisions.rs
@@ -7,10 +7,10 @@
 proptest! {
     #![proptest_config(cases(256))]
 
-    /// Answers come late, twice and out of order, from a platform that may have been restored.
-    /// What is taken never goes back.
+    /// Answers arrive delayed, duplicated and out of order, from a platform that may have been
+    /// restored from a backup. The revisions accepted as current never decrease.
     #[test]
-    fn answers_that_are_taken_never_go_back(answers in prop::collection::vec(0_u64..20, 1..100)) {
+    fn accepted_revisions_never_decrease(answers in prop::collection::vec(0_u64..20, 1..100)) {
         let key: Arc<str> = "key".into();
         let mut revisions = HighestRevisions::default();
         let mut highest = 0;
