--- a/crates/platform/tests/it/apply/tcp.rs
+++ b/crates/platform/tests/it/apply/tcp.rs
@@ -8,7 +8,7 @@
 };
 
 use super::request;
-use crate::fixture::{client, patient, stand};
+use crate::fixture::{client, client_with_long_deadline, stand};
 
 #[test]
 fn a_document_may_be_as_large_as_a_value() {
@@ -65,7 +65,10 @@
 #[tokio::test]
 async fn two_operators_at_once_lose_no_change() {
     let stand = stand().await;
-    let (one, two) = (patient(&stand), patient(&stand));
+    let (one, two) = (
+        client_with_long_deadline(&stand),
+        client_with_long_deadline(&stand),
+    );
     stand.steer(|faults| faults.slow_ms = 30);
     let (first, second) = tokio::join!(run(&one, request(1), 1), run(&two, request(2), 2));
     stand.steer(|faults| faults.slow_ms = 0);
@@ -83,7 +86,7 @@
 #[tokio::test]
 async fn an_older_value_is_not_built_upon() {
     let stand = stand().await;
-    let client = patient(&stand);
+    let client = client_with_long_deadline(&stand);
     run(&client, request(1), 1).await;
     run(&client, request(2), 1).await;
     stand.steer(|faults| faults.stale = true);
--- a/crates/platform/tests/it/client.rs
+++ b/crates/platform/tests/it/client.rs
@@ -7,12 +7,12 @@
     store::{MAX_VALUE, Outcome, Refusal},
 };
 
-use crate::fixture::{client, key, options, patient, stand, swap};
+use crate::fixture::{client, client_with_long_deadline, key, options, stand, swap};
 
 #[tokio::test]
-async fn a_value_is_written_read_and_compared() {
+async fn a_value_is_written_only_over_the_expected_revision() {
     let stand = stand().await;
-    let client = patient(&stand);
+    let client = client_with_long_deadline(&stand);
     let written = client.swap(swap(0, "one")).await;
     let refused = client.swap(swap(0, "two")).await;
     let entry = client.get(&key()).await.expect("an answer");
@@ -25,9 +25,9 @@
 }
 
 #[tokio::test]
-async fn a_value_over_a_megabyte_is_refused_whole() {
+async fn a_value_over_the_maximum_size_is_refused() {
     let stand = stand().await;
-    let client = patient(&stand);
+    let client = client_with_long_deadline(&stand);
     let fits = client.swap(swap(0, &"x".repeat(MAX_VALUE))).await;
     let over = client.swap(swap(1, &"x".repeat(MAX_VALUE + 1))).await;
     assert_eq!(fits, Ok(Outcome::Written { revision: 1 }));
@@ -36,10 +36,13 @@
 }
 
 #[tokio::test]
-async fn a_watch_tells_of_a_change_and_otherwise_answers_as_a_heartbeat() {
+async fn a_watch_returns_a_change_and_otherwise_answers_at_the_end_of_its_wait() {
     let stand = stand().await;
-    let (watcher, writer) = (patient(&stand), patient(&stand));
-    let quiet = watcher.watch(&key(), 0).await.expect("a heartbeat");
+    let (watcher, writer) = (
+        client_with_long_deadline(&stand),
+        client_with_long_deadline(&stand),
+    );
+    let unchanged = watcher.watch(&key(), 0).await.expect("an answer");
     let ((), entry) = tokio::join!(
         async {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -47,32 +50,32 @@
         },
         async { watcher.watch(&key(), 0).await.expect("the change") }
     );
-    assert_eq!((quiet.revision, entry.revision), (0, 1));
+    assert_eq!((unchanged.revision, entry.revision), (0, 1));
     assert_eq!(stand.counts().watch, 2);
     assert_eq!(stand.counts().get, 0);
     stand.stop().await;
 }
 
-/// Something between a balancer and the platform forgets a connection: packets vanish, nobody is
-/// told, while new connections work. An operator's change would then never arrive at this
-/// balancer.
+/// A middlebox between a balancer and the platform drops its state of a connection: packets are
+/// lost without an error, while new connections work. Without a read after the watch, an
+/// operator's change would never reach this balancer.
 #[tokio::test]
-async fn a_silent_watch_is_read_again_over_a_new_connection() {
+async fn an_unanswered_watch_is_followed_by_a_read_over_another_connection() {
     let stand = stand().await;
     let (watcher, writer) = (client(&stand), client(&stand));
-    watcher.watch(&key(), 0).await.expect("a heartbeat");
+    watcher.watch(&key(), 0).await.expect("an answer");
     stand.silence_open();
     let written = writer.swap(swap(0, "lost on the way")).await;
     let retried = writer.swap(swap(0, "one")).await;
-    let entry = watcher.watch(&key(), 0).await.expect("read again");
+    let entry = watcher.watch(&key(), 0).await.expect("a read");
     assert_eq!(written, Ok(Outcome::Written { revision: 1 }));
     assert_eq!(retried, Ok(Outcome::Conflict { revision: 1 }));
     assert_eq!(entry.revision, 1);
     stand.stop().await;
 }
 
-/// The same failure on the connection for calls: the first write has no answer, later ones go
-/// over a new connection.
+/// The same failure on the connection for calls: the first write is not answered, and the next one
+/// uses a new connection.
 #[tokio::test]
 async fn a_connection_that_went_silent_is_replaced() {
     let stand = stand().await;
@@ -86,10 +89,10 @@
     stand.stop().await;
 }
 
-/// The platform applies a write and its answer is lost. A writer that took this for a failure
-/// and wrote again would overwrite whoever came in between.
+/// The platform applies a write and the answer is lost. A writer that treated this as a failure and
+/// wrote again would overwrite the writes made in between.
 #[tokio::test]
-async fn a_lost_answer_to_a_write_is_unknown_and_not_tried_again() {
+async fn a_write_with_a_lost_answer_is_unknown_and_not_retried() {
     let stand = stand().await;
     let client = client(&stand);
     stand.steer(|faults| faults.lose_writes = 1);
@@ -101,9 +104,10 @@
     stand.stop().await;
 }
 
-/// The platform is down, then it is up again: reads fail in bounded time and then work.
+/// The platform goes down and comes up again: reads fail after a bounded number of attempts, and
+/// then succeed.
 #[tokio::test]
-async fn an_outage_fails_in_bounded_tries_and_ends() {
+async fn reads_fail_after_bounded_attempts_and_succeed_after_the_outage() {
     let stand = stand().await;
     let client = client(&stand);
     stand.steer(|faults| faults.down = true);
@@ -111,14 +115,17 @@
     stand.steer(|faults| faults.down = false);
     let after = client.get(&key()).await;
     assert!(matches!(during, Err(Error::Unreachable | Error::Timeout)));
-    assert!(client.calls() <= 4, "three tries and one");
+    assert!(
+        client.calls() <= 4,
+        "at most three attempts in the outage and one after it"
+    );
     assert_eq!(after.map(|entry| entry.revision), Ok(0));
     stand.stop().await;
 }
 
-/// The platform accepts connections and never answers, as behind a dead disk.
+/// The platform accepts connections and never answers, as with a failed disk.
 #[tokio::test]
-async fn silence_fails_in_bounded_tries() {
+async fn reads_of_a_silent_platform_fail_after_bounded_attempts() {
     let stand = stand().await;
     let client = client(&stand);
     stand.steer(|faults| faults.silent = true);
@@ -128,12 +135,12 @@
     stand.stop().await;
 }
 
-/// The platform comes back from a backup or answers from a replica that lags. Taking its older
-/// answer would revert what an operator was told is accepted.
+/// The platform was restored from a backup, or a lagging replica answers. Using the older answer
+/// would revert a change that was reported to an operator as accepted.
 #[tokio::test]
-async fn an_older_answer_is_an_error_and_lowers_nothing() {
+async fn a_stale_answer_is_an_error_and_does_not_lower_the_highest_revision() {
     let stand = stand().await;
-    let client = patient(&stand);
+    let client = client_with_long_deadline(&stand);
     client.swap(swap(0, "one")).await.expect("written");
     client.swap(swap(1, "two")).await.expect("written");
     stand.steer(|faults| faults.stale = true);
@@ -149,12 +156,12 @@
     stand.stop().await;
 }
 
-/// The platform was restored from a backup. A watcher that refused its older revisions would not
-/// hear of any change until the platform has counted up again.
+/// The platform was restored from a backup. A watcher that rejected older revisions would miss
+/// every change until the platform's revisions reach the previous ones again.
 #[tokio::test]
-async fn a_watch_gives_an_older_answer_as_it_is() {
+async fn a_watch_returns_a_stale_answer() {
     let stand = stand().await;
-    let client = patient(&stand);
+    let client = client_with_long_deadline(&stand);
     client.swap(swap(0, "one")).await.expect("written");
     client.swap(swap(1, "two")).await.expect("written");
     stand.steer(|faults| faults.stale = true);
@@ -163,12 +170,12 @@
     stand.stop().await;
 }
 
-/// A holder is paused beyond its lease. When it wakes it must learn that the lease is gone, and
-/// the key that it protected with it.
+/// The holder of a lease is suspended until after the lease has expired. When it resumes, it must
+/// find that the lease and the key bound to it no longer exist.
 #[tokio::test]
-async fn a_lapsed_lease_takes_its_key_along() {
+async fn an_expired_lease_is_refused_and_its_key_removed() {
     let stand = stand().await;
-    let client = patient(&stand);
+    let client = client_with_long_deadline(&stand);
     let lease = client
         .grant(Duration::from_secs(60))
         .await
@@ -191,7 +198,7 @@
 #[tokio::test]
 async fn the_list_of_machines_can_lag() {
     let stand = stand().await;
-    let client = patient(&stand);
+    let client = client_with_long_deadline(&stand);
     let machine = Machine {
         name: "entry-1".into(),
         address: [10, 0, 0, 1].into(),
@@ -207,10 +214,10 @@
     stand.stop().await;
 }
 
-/// A caller loops on an error. The platform must not feel it: the client makes no more calls than
-/// its limit allows and says when the next may be made.
+/// A caller loops on an error. To protect the platform, the client makes no more calls than its
+/// limit allows and returns an error for the others.
 #[tokio::test]
-async fn a_caller_in_a_loop_is_held_back() {
+async fn calls_in_a_loop_are_rate_limited() {
     let stand = stand().await;
     let rate = Rate {
         per_second: 0.001,
--- a/crates/platform/tests/it/fixture.rs
+++ b/crates/platform/tests/it/fixture.rs
@@ -4,7 +4,7 @@
 use acacia_platform::{Client, Options, limit::Rate, retry::Schedule, store::Swap};
 use acacia_stand::platform::Stand;
 
-/// So many cases from a fixed seed: the verdict is the same on every run.
+/// The given number of cases from a fixed seed, so that the result is the same on every run.
 pub fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -14,18 +14,20 @@
     }
 }
 
-/// Any free port of this machine.
-pub fn any() -> SocketAddr {
+/// The loopback address with any free port.
+pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A platform on free ports.
+/// Starts a stand-in for the platform on free ports.
 pub async fn stand() -> Stand {
-    Stand::start(any(), any()).await.expect("free ports")
+    Stand::start(any_port(), any_port())
+        .await
+        .expect("free ports")
 }
 
-/// Options that limit nothing. The deadline is long enough for a busy machine and short enough to
-/// wait for where an answer is to be lost.
+/// Options without an effective rate limit. The deadline is long enough for a busy machine, and
+/// short enough for tests that wait until it has passed.
 pub fn options() -> Options {
     Options {
         deadline: Duration::from_secs(1),
@@ -43,13 +45,13 @@
     }
 }
 
-/// A client of that platform.
+/// A client of the stand-in.
 pub fn client(stand: &Stand) -> Client {
     Client::new(stand.address(), options())
 }
 
-/// A client for tests in which every answer comes, however busy the machine is.
-pub fn patient(stand: &Stand) -> Client {
+/// A client for tests in which no call times out, however busy the machine is.
+pub fn client_with_long_deadline(stand: &Stand) -> Client {
     let deadline = Duration::from_secs(30);
     let options = Options {
         deadline,
@@ -62,7 +64,7 @@
     "key".into()
 }
 
-/// Writes `value` over revision `expected`.
+/// A write of `value` that expects the revision `expected`.
 pub fn swap(expected: u64, value: &str) -> Swap {
     Swap {
         key: key(),
--- a/crates/platform/tests/it/main.rs
+++ b/crates/platform/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the platform's client: its decisions without sockets, and the client against the
-//! stand-in over real TCP.
+//! Tests of the platform's client: its decisions without I/O, and the client against a stand-in for
+//! the platform over TCP.
 
 mod apply;
 mod client;
