--- a/crates/platform/tests/it/apply.rs
+++ b/crates/platform/tests/it/apply.rs
@@ -1,4 +1,4 @@
-//! Applying a change: the decisions against a fake store, and each failure over real TCP.
+//! Applying a change: the state machine against a simulated store, and single failures over TCP.
 
 mod decide;
 mod fake;
@@ -11,7 +11,7 @@
 use acacia_platform::{apply::Request, retry::Schedule};
 use std::time::Duration;
 
-/// A change that differs from every other of another number.
+/// A change whose id and configuration are determined by `change`.
 pub fn request(change: u8) -> Request {
     let mut config = Config::default();
     config.add_service(Service::new("live", [10, 77, 0, change], 443, 70));
--- a/crates/platform/tests/it/apply/fake.rs
+++ b/crates/platform/tests/it/apply/fake.rs
@@ -1,4 +1,4 @@
-//! A store at the interface of the decisions, with faults chosen per call.
+//! A simulated store for the state machine, with a fault chosen for each call.
 
 use acacia_config::document::{Document, Id, KEY};
 use acacia_platform::{
@@ -9,29 +9,29 @@
 use acacia_stand::platform::store::Store;
 use proptest::prelude::*;
 
-/// What happens to a call.
+/// A fault of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// The call succeeds.
     None,
-    /// It never arrives.
-    Vanishes,
-    /// It takes effect and the answer is lost. A read just fails.
+    /// The call does not reach the store.
+    RequestLost,
+    /// A write takes effect and its answer is lost. A read fails.
     AnswerLost,
-    /// The answer is lost and the call takes effect later.
+    /// A write takes effect later and its answer is lost. A read fails.
     Delayed,
 }
 
 pub fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
         4 => Just(Fault::None),
-        1 => Just(Fault::Vanishes),
+        1 => Just(Fault::RequestLost),
         2 => Just(Fault::AnswerLost),
         2 => Just(Fault::Delayed),
     ]
 }
 
-/// An operator in the middle of an attempt.
+/// An operator and the state of its attempt.
 pub struct Operator {
     pub change: Id,
     pub writes: u32,
@@ -54,16 +54,16 @@
     }
 }
 
-/// The store, the writes still on their way, and every change that took effect, in order.
+/// The store, the delayed writes, and all changes that took effect, in order.
 #[derive(Default)]
-pub struct World {
+pub struct Simulation {
     store: Store,
     delayed: Vec<Swap>,
     pub applied: Vec<Document>,
 }
 
-impl World {
-    /// Lets an operator make its next call.
+impl Simulation {
+    /// Executes the next action of an operator.
     pub fn step(&mut self, operator: &mut Operator, fault: Fault) {
         let event = match operator.next.clone() {
             Action::Done(verdict) => {
@@ -92,17 +92,17 @@
 
     fn write(&mut self, swap: Swap, fault: Fault) -> Result<Outcome, Error> {
         match fault {
-            Fault::None => return Ok(self.take(swap)),
-            Fault::Vanishes => {}
+            Fault::None => return Ok(self.execute(swap)),
+            Fault::RequestLost => {}
             Fault::AnswerLost => {
-                self.take(swap);
+                self.execute(swap);
             }
             Fault::Delayed => self.delayed.push(swap),
         }
         Err(Error::Unknown)
     }
 
-    fn take(&mut self, swap: Swap) -> Outcome {
+    fn execute(&mut self, swap: Swap) -> Outcome {
         let value = swap.value.clone().expect("a document");
         let outcome = self.store.swap(swap).expect("no lease, not too large");
         if let Outcome::Written { .. } = outcome {
@@ -112,9 +112,9 @@
         outcome
     }
 
-    /// A delayed write arrives, if there is one.
-    pub fn arrive(&mut self) -> bool {
+    /// Executes the most recently delayed write; returns whether there was one.
+    pub fn deliver_delayed(&mut self) -> bool {
         let swap = self.delayed.pop();
-        swap.map(|swap| self.take(swap)).is_some()
+        swap.map(|swap| self.execute(swap)).is_some()
     }
 }
--- a/crates/platform/tests/it/apply/tcp.rs
+++ b/crates/platform/tests/it/apply/tcp.rs
@@ -11,14 +11,14 @@
 use crate::fixture::{client, client_with_long_deadline, stand};
 
 #[test]
-fn a_document_may_be_as_large_as_a_value() {
+fn the_maximum_sizes_of_documents_and_values_are_equal() {
     assert_eq!(MAX_SIZE, MAX_VALUE);
 }
 
-/// The store applies the write and its answer is lost: the change must be reported as accepted,
+/// The store executes the write and its answer is lost: the change must be reported as accepted,
 /// and written once.
 #[tokio::test]
-async fn a_lost_answer_is_settled_as_accepted() {
+async fn a_write_with_a_lost_answer_is_reported_as_accepted() {
     let stand = stand().await;
     let client = client(&stand);
     stand.steer(|faults| faults.lose_writes = 1);
@@ -28,7 +28,7 @@
     stand.stop().await;
 }
 
-/// The answer is lost and the store goes down before it can be read back.
+/// The answer is lost and the store goes down before the key can be read back.
 #[tokio::test]
 async fn an_outage_after_the_write_is_reported_as_unknown() {
     let stand = stand().await;
@@ -47,9 +47,10 @@
     stand.stop().await;
 }
 
-/// The store is down before anything is written: a clear refusal, nothing in doubt.
+/// The store stops answering before anything is written, so it is certain that the change was not
+/// made.
 #[tokio::test]
-async fn an_outage_before_the_write_is_a_refusal() {
+async fn an_outage_before_the_write_is_reported_as_refused() {
     let stand = stand().await;
     let client = client(&stand);
     stand.steer(|faults| faults.silent = true);
@@ -60,10 +61,10 @@
     stand.stop().await;
 }
 
-/// Two operators apply at the same moment against a slow store. One is accepted, the other is
-/// told, or it read late enough to write over the first knowingly.
+/// Two operators apply changes concurrently to a slow store. Either one gets a conflict, or it has
+/// read the change of the other before it writes.
 #[tokio::test]
-async fn two_operators_at_once_lose_no_change() {
+async fn two_concurrent_operators_lose_no_change() {
     let stand = stand().await;
     let (one, two) = (
         client_with_long_deadline(&stand),
@@ -82,9 +83,9 @@
     stand.stop().await;
 }
 
-/// A lagging replica answers the read with an older value. The change must not be built on it.
+/// A lagging replica answers the read with an older value. The change must not be based on it.
 #[tokio::test]
-async fn an_older_value_is_not_built_upon() {
+async fn a_change_is_not_based_on_a_stale_value() {
     let stand = stand().await;
     let client = client_with_long_deadline(&stand);
     run(&client, request(1), 1).await;
