--- a/crates/platform/src/apply/run.rs
+++ b/crates/platform/src/apply/run.rs
@@ -1,4 +1,4 @@
-//! Applies a change with a client.
+//! Drives an attempt with a client.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::{Action, Apply, Event, Request, Verdict};
 use crate::{Client, store::Swap};
 
-/// Applies a change and says what came of it. `seed` spreads the pauses.
+/// Applies a change and returns the outcome. `seed` determines the random pauses.
 ///
 /// ```no_run
 /// # use acacia_config::{Config, document::{Draft, Id}};
@@ -22,7 +22,7 @@
 ///     config: Config::default(),
 ///     in_force: None,
 /// };
-/// let request = apply::Request { draft, over: None, settle: apply::SETTLE };
+/// let request = apply::Request { draft, reviewed_revision: None, read_back: apply::READ_BACK };
 /// let verdict = apply::run(&client, request, rand::random()).await;
 /// # Ok(())
 /// # }
--- a/crates/platform/tests/it/main.rs
+++ b/crates/platform/tests/it/main.rs
@@ -1,10 +1,10 @@
-//! Tests of the platform's client: its decisions without sockets, and the client against the
-//! stand-in over real TCP.
+//! Tests of the platform's client: its decisions without I/O, and the client against a stand-in for
+//! the platform over TCP.
 
 mod apply;
 mod client;
 mod fixture;
 mod limit;
-mod link;
+mod liveness;
 mod retry;
-mod seen;
+mod revisions;
