--- a/crates/accept/src/limiter.rs
+++ b/crates/accept/src/limiter.rs
@@ -37,7 +37,7 @@
     /// use acacia_accept::{Limiter, Limits, Stats};
     /// let second = Duration::from_secs(1);
     /// let limits = Limits {
-    ///     pending: 8, active: 8, pending_for: second, active_for: second, stalled: second,
+    ///     pending: 8, active: 8, pending_timeout: second, idle_timeout: second, stalled_after: second,
     /// };
     /// assert_eq!(Limiter::new("peers", limits).stats(), Stats::default());
     /// ```
--- a/crates/accept/src/listen.rs
+++ b/crates/accept/src/listen.rs
@@ -28,7 +28,7 @@
 /// use tokio_util::sync::CancellationToken;
 /// let second = Duration::from_secs(1);
 /// let limits = Limits {
-///     pending: 8, active: 8, pending_for: second, active_for: second, stalled: second,
+///     pending: 8, active: 8, pending_timeout: second, idle_timeout: second, stalled_after: second,
 /// };
 /// let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
 /// let stop = CancellationToken::new();
--- a/crates/accept/src/table.rs
+++ b/crates/accept/src/table.rs
@@ -10,12 +10,12 @@
     /// Active connections at a time.
     pub active: usize,
     /// How long a connection may stay pending.
-    pub pending_for: Duration,
+    pub pending_timeout: Duration,
     /// How long an active connection may go without a valid message.
-    pub active_for: Duration,
+    pub idle_timeout: Duration,
     /// An active connection without a valid message for this long gives way to one that becomes
     /// active when there are [`Limits::active`] of them.
-    pub stalled: Duration,
+    pub stalled_after: Duration,
 }
 
 /// A connection that was let in.
@@ -77,7 +77,7 @@
     /// use acacia_accept::{Admission, Limits, Table};
     /// let second = Duration::from_secs(1);
     /// let limits = Limits {
-    ///     pending: 1, active: 1, pending_for: second, active_for: second, stalled: second,
+    ///     pending: 1, active: 1, pending_timeout: second, idle_timeout: second, stalled_after: second,
     /// };
     /// let mut table = Table::new(limits);
     /// let first = table.admit(Ipv4Addr::LOCALHOST.into(), Duration::ZERO);
@@ -151,9 +151,9 @@
     pub fn deadline(&self, id: u64) -> Option<Duration> {
         let connection = self.connections.get(&id)?;
         let longest = if connection.is_active {
-            self.limits.active_for
+            self.limits.idle_timeout
         } else {
-            self.limits.pending_for
+            self.limits.pending_timeout
         };
         Some(connection.since + longest)
     }
@@ -187,7 +187,7 @@
     fn stalled(&self, now: Duration) -> Option<u64> {
         let active = self.connections.iter().filter(|(_, one)| one.is_active);
         let (id, oldest) = active.min_by_key(|(id, one)| (one.since, **id))?;
-        let is_stalled = now.saturating_sub(oldest.since) >= self.limits.stalled;
+        let is_stalled = now.saturating_sub(oldest.since) >= self.limits.stalled_after;
         is_stalled.then_some(*id)
     }
 }
--- a/crates/accept/tests/it/listen.rs
+++ b/crates/accept/tests/it/listen.rs
@@ -16,9 +16,9 @@
 const LIMITS: Limits = Limits {
     pending: 4,
     active: 2,
-    pending_for: Duration::from_millis(200),
-    active_for: Duration::from_millis(600),
-    stalled: Duration::from_millis(100),
+    pending_timeout: Duration::from_millis(200),
+    idle_timeout: Duration::from_millis(600),
+    stalled_after: Duration::from_millis(100),
 };
 /// Far longer than anything may take on a busy machine.
 const LONG: Duration = Duration::from_secs(10);
@@ -113,7 +113,7 @@
         sleep(Duration::from_millis(20)).await;
     }
 
-    assert!(start.elapsed() >= LIMITS.pending_for);
+    assert!(start.elapsed() >= LIMITS.pending_timeout);
     assert_eq!(server.limiter.stats().expired, 1);
     assert_eq!(server.limiter.open(), (0, 0));
 }
@@ -123,7 +123,7 @@
     let server = Server::start().await;
     let (mut one, mut two) = (server.connect().await, server.connect().await);
     assert!(is_answered(&mut one, 1).await && is_answered(&mut two, 2).await);
-    sleep(LIMITS.stalled).await;
+    sleep(LIMITS.stalled_after).await;
 
     let mut three = server.connect().await;
 
--- a/crates/accept/tests/it/table.rs
+++ b/crates/accept/tests/it/table.rs
@@ -9,9 +9,9 @@
     Limits {
         pending: 3,
         active: 2,
-        pending_for: SECOND,
-        active_for: SECOND * 10,
-        stalled: SECOND * 2,
+        pending_timeout: SECOND,
+        idle_timeout: SECOND * 10,
+        stalled_after: SECOND * 2,
     }
 }
 
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -54,9 +54,9 @@
     let limits = Limits {
         pending: PENDING,
         active: ACTIVE,
-        pending_for: FIRST_QUESTION,
-        active_for: IDLE,
-        stalled: STALLED,
+        pending_timeout: FIRST_QUESTION,
+        idle_timeout: IDLE,
+        stalled_after: STALLED,
     };
     Limiter::new("operators", limits)
 }
--- a/crates/node/src/cookie/answer.rs
+++ b/crates/node/src/cookie/answer.rs
@@ -40,16 +40,16 @@
         let clients = Limits {
             pending: PENDING,
             active: CLIENTS,
-            pending_for: FIRST_REQUEST,
-            active_for: CLIENT_IDLE,
-            stalled: CLIENT_STALLED,
+            pending_timeout: FIRST_REQUEST,
+            idle_timeout: CLIENT_IDLE,
+            stalled_after: CLIENT_STALLED,
         };
         let peers = Limits {
             pending: PENDING,
             active: DIFFERENCES,
-            pending_for: FIRST_REQUEST,
-            active_for: exchange::FETCH,
-            stalled: DIFFERENCE_STALLED,
+            pending_timeout: FIRST_REQUEST,
+            idle_timeout: exchange::FETCH,
+            stalled_after: DIFFERENCE_STALLED,
         };
         Limiters {
             routers: Arc::new(Limiter::new("routers", clients)),
--- a/crates/peer/src/shared.rs
+++ b/crates/peer/src/shared.rs
@@ -44,8 +44,8 @@
     Limits {
         pending: PENDING,
         active: ACTIVE,
-        pending_for: FIRST_FRAME,
-        active_for: settings.longest_silence,
-        stalled: settings.silent(),
+        pending_timeout: FIRST_FRAME,
+        idle_timeout: settings.longest_silence,
+        stalled_after: settings.silent(),
     }
 }
--- a/crates/stand/src/platform/serve.rs
+++ b/crates/stand/src/platform/serve.rs
@@ -152,9 +152,9 @@
     let limits = Limits {
         pending: CONNECTIONS,
         active: CONNECTIONS,
-        pending_for: LIFETIME,
-        active_for: LIFETIME,
-        stalled: LIFETIME,
+        pending_timeout: LIFETIME,
+        idle_timeout: LIFETIME,
+        stalled_after: LIFETIME,
     };
     Arc::new(Limiter::new(name, limits))
 }
