--- a/crates/peer/examples/group.rs
+++ b/crates/peer/examples/group.rs
@@ -29,7 +29,7 @@
     let settings = Settings::default();
     let peers = usize::from(size) - 1;
     let mut options = acacia_peer::Settings::new(id, contact(net, id).address, 1);
-    options.pace = settings.interval_for(peers);
+    options.send_interval = settings.interval_for(peers);
     let secret = Secret::new(&[7; 32], None);
     let (mesh, inbox) = Mesh::<Heartbeat>::open(options, secret).expect("the port is free");
     let mut group = Group::new(settings, contact(net, id), 1, start.elapsed());
--- a/crates/peer/src/mesh.rs
+++ b/crates/peer/src/mesh.rs
@@ -101,9 +101,9 @@
         self.shared.lock().secret = secret;
     }
 
-    /// Sets how often the application sends to each peer; see [`Settings::pace`].
-    pub fn set_pace(&self, pace: Duration) {
-        self.shared.lock().settings.pace = pace;
+    /// Sets how often the application sends to each peer; see [`Settings::send_interval`].
+    pub fn set_send_interval(&self, send_interval: Duration) {
+        self.shared.lock().settings.send_interval = send_interval;
     }
 
     /// The counters.
--- a/crates/peer/src/settings.rs
+++ b/crates/peer/src/settings.rs
@@ -11,11 +11,11 @@
     /// This balancer's incarnation.
     pub incarnation: u64,
     /// How often the application sends to each peer. 500 ms: the heartbeats of a small group. The
-    /// other times follow from it, see [`Settings::keepalive`] and [`Settings::silent`].
-    pub pace: Duration,
+    /// other times follow from it, see [`Settings::keepalive`] and [`Settings::silence_timeout`].
+    pub send_interval: Duration,
     /// Longest wait between two attempts to replace a silent connection. 30 s: a peer that is
     /// dead costs next to nothing, and one that comes back dials us itself.
-    pub longest_silence: Duration,
+    pub max_silence_timeout: Duration,
     /// Messages that wait for one peer. 256: a burst of table changes; more means that the peer
     /// doesn't take them, and what waits longer is out of date.
     pub queue_messages: usize,
@@ -38,7 +38,7 @@
     /// ```
     /// use std::time::Duration;
     /// let settings = acacia_peer::Settings::new(1, "127.0.0.1:7000".parse().unwrap(), 1);
-    /// assert_eq!(settings.silent(), Duration::from_secs(2));
+    /// assert_eq!(settings.silence_timeout(), Duration::from_secs(2));
     /// ```
     #[must_use]
     pub fn new(id: u16, listen: SocketAddr, incarnation: u64) -> Self {
@@ -46,8 +46,8 @@
             id,
             listen,
             incarnation,
-            pace: Duration::from_millis(500),
-            longest_silence: Duration::from_secs(30),
+            send_interval: Duration::from_millis(500),
+            max_silence_timeout: Duration::from_secs(30),
             queue_messages: 256,
             queue_bytes: 2 << 20,
             inbox: 1024,
@@ -57,16 +57,16 @@
     }
 
     /// After this long without anything to send, an empty frame carries the echo. Twice the
-    /// pace: it costs nothing while the application sends as it says.
+    /// send interval: it costs nothing while the application sends as it says.
     #[must_use]
     pub fn keepalive(&self) -> Duration {
-        self.pace * 2
+        self.send_interval * 2
     }
 
     /// A connection is silent when what was sent over it has not been echoed for this long. Four
-    /// times the pace: the peer's next frame comes within one or, at worst, two.
+    /// times the send interval: the peer's next frame comes within one or, at worst, two.
     #[must_use]
-    pub fn silent(&self) -> Duration {
-        self.pace * 4
+    pub fn silence_timeout(&self) -> Duration {
+        self.send_interval * 4
     }
 }
--- a/crates/peer/src/shared.rs
+++ b/crates/peer/src/shared.rs
@@ -45,7 +45,7 @@
         pending: PENDING,
         active: ACTIVE,
         pending_timeout: FIRST_FRAME,
-        idle_timeout: settings.longest_silence,
-        stalled_after: settings.silent(),
+        idle_timeout: settings.max_silence_timeout,
+        stalled_after: settings.silence_timeout(),
     }
 }
--- a/crates/peer/src/state.rs
+++ b/crates/peer/src/state.rs
@@ -81,8 +81,8 @@
 
     /// Whether the connection to a peer has gone silent.
     pub(crate) fn is_silent(&self, id: u16, jitter: f64) -> bool {
-        let (now, silent) = (self.now(), self.settings.silent());
-        let longest = self.settings.longest_silence;
+        let (now, silent) = (self.now(), self.settings.silence_timeout());
+        let longest = self.settings.max_silence_timeout;
         let peer = self.peers.get(&id);
         peer.is_some_and(|peer| peer.watch.is_silent(now, silent, longest, jitter))
     }
--- a/crates/peer/tests/it/mesh.rs
+++ b/crates/peer/tests/it/mesh.rs
@@ -23,7 +23,7 @@
 /// A mesh with this id in a network of its own, ten times as fast as usual.
 fn open(net: u8, id: u8) -> Opened {
     let mut settings = Settings::new(id.into(), address(net, id), 1);
-    settings.pace = Duration::from_millis(50);
+    settings.send_interval = Duration::from_millis(50);
     Mesh::open(settings, secret()).expect("opens")
 }
 
--- a/crates/peer/tests/it/restart.rs
+++ b/crates/peer/tests/it/restart.rs
@@ -16,7 +16,7 @@
     crossbeam_channel::Receiver<acacia_peer::Received<u64>>,
 ) {
     let mut settings = Settings::new(id.into(), address(id), incarnation);
-    settings.pace = Duration::from_millis(50);
+    settings.send_interval = Duration::from_millis(50);
     Mesh::open(settings, Secret::new(&[7; 32], None)).unwrap()
 }
 
