--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -7,7 +7,7 @@
     snapshot::State,
 };
 use acacia_node::{control::core::Outgoing, message::Message, view::View};
-use acacia_peer::{Bucket, Class, Echo, Parcel};
+use acacia_peer::{Bucket, Class, Echo, FramePayload};
 use acacia_wire::{
     control::{Envelope, open, seal},
     flow::{Key, Protocol, mix},
@@ -317,7 +317,7 @@
             incarnation: own.incarnation,
             sequence: own.sequence,
         };
-        let parcel = Parcel {
+        let payload = FramePayload {
             to: outgoing.to,
             echo: Some(Echo {
                 incarnation: own.incarnation,
@@ -325,7 +325,7 @@
             }),
             body: postcard::to_allocvec(&outgoing.message).ok(),
         };
-        let frame = seal(&envelope, &parcel, &scene::secret());
+        let frame = seal(&envelope, &payload, &scene::secret());
         let bytes = wire(frame.len());
         if let Some(bucket) = &mut own.bucket {
             bucket.charge(frame.len() + LENGTH);
@@ -339,10 +339,10 @@
     }
 
     fn receive(&mut self, to: usize, frame: &[u8]) {
-        let Ok((envelope, parcel)) = open::<Parcel>(frame, &scene::secret()) else {
+        let Ok((envelope, payload)) = open::<FramePayload>(frame, &scene::secret()) else {
             return;
         };
-        let body = parcel.body.unwrap_or_default();
+        let body = payload.body.unwrap_or_default();
         let Ok(message) = postcard::from_bytes::<Message>(&body) else {
             return;
         };
--- a/crates/peer/src/parcel.rs
+++ b/crates/peer/src/payload.rs
@@ -11,7 +11,7 @@
 
 /// What an authenticated frame contains.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Parcel {
+pub struct FramePayload {
     /// The receiver. Without it a recorded frame could be played to a balancer it was not sent to.
     pub to: u16,
     /// What the sender last received from `to`.
--- a/crates/peer/src/receive.rs
+++ b/crates/peer/src/receive.rs
@@ -14,7 +14,7 @@
 
 use crate::frame;
 use crate::shared::Shared;
-use crate::{Error, Parcel, Received};
+use crate::{Error, FramePayload, Received};
 
 /// Accepts connections and takes what comes over them, until told to stop.
 pub(crate) async fn run<T: DeserializeOwned + Send + 'static>(
@@ -129,8 +129,8 @@
     frame: &[u8],
 ) -> Result<(Envelope, Option<T>), Error> {
     let secret = shared.lock().secret.clone();
-    let (envelope, parcel) = open::<Parcel>(frame, &secret)?;
-    let body = shared.lock().take(&envelope, parcel, frame.len())?;
+    let (envelope, payload) = open::<FramePayload>(frame, &secret)?;
+    let body = shared.lock().take(&envelope, payload, frame.len())?;
     let message = body.map(|body| postcard::from_bytes(&body)).transpose();
     let message = message.map_err(|_| Error::Frame(control::Error::Undecodable))?;
     Ok((envelope, message))
--- a/crates/peer/src/state.rs
+++ b/crates/peer/src/state.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 
 use crate::frame::LENGTH;
-use crate::{Bucket, Error, Filter, Parcel, Queue, Settings, Stats, Watch};
+use crate::{Bucket, Error, Filter, FramePayload, Queue, Settings, Stats, Watch};
 
 /// A peer, apart from its socket.
 #[derive(Debug)]
@@ -169,7 +169,7 @@
         let sequence = self.sequence;
         peer.watch.sent(now, sequence);
         let (sender, incarnation) = (self.settings.id, self.settings.incarnation);
-        let parcel = Parcel {
+        let payload = FramePayload {
             to: id,
             echo: self.filter.last(id),
             body,
@@ -180,13 +180,13 @@
                 incarnation,
                 sequence,
             },
-            &parcel,
+            &payload,
             &self.secret,
         );
         self.bucket.charge(bytes.len() + LENGTH);
         Some(Frame {
             bytes: bytes.into(),
-            body: parcel.body,
+            body: payload.body,
             incarnation,
         })
     }
@@ -205,23 +205,23 @@
     pub(crate) fn take(
         &mut self,
         envelope: &Envelope,
-        parcel: Parcel,
+        payload: FramePayload,
         bytes: usize,
     ) -> Result<Option<Vec<u8>>, Error> {
-        if parcel.to != self.settings.id || envelope.sender == self.settings.id {
+        if payload.to != self.settings.id || envelope.sender == self.settings.id {
             return Err(Error::Misaddressed);
         }
         self.filter.accept(envelope)?;
         let now = self.now();
         let own = self.settings.incarnation;
         if let Some(peer) = self.peers.get_mut(&envelope.sender) {
-            if let Some(echo) = parcel.echo.filter(|echo| echo.incarnation == own) {
+            if let Some(echo) = payload.echo.filter(|echo| echo.incarnation == own) {
                 peer.watch.echoed(now, echo.sequence);
             }
             let traffic = self.stats.peers.entry(envelope.sender).or_default();
             traffic.received_frames += 1;
             traffic.received_bytes += (bytes + LENGTH) as u64;
         }
-        Ok(parcel.body)
+        Ok(payload.body)
     }
 }
--- a/crates/peer/tests/it/frame.rs
+++ b/crates/peer/tests/it/frame.rs
@@ -1,5 +1,5 @@
 use acacia_member::{FRAME_BYTES, Heartbeat, Phase};
-use acacia_peer::{Echo, Parcel};
+use acacia_peer::{Echo, FramePayload};
 use acacia_wire::control::{Envelope, Secret, seal};
 use serde::Serialize;
 
@@ -42,7 +42,7 @@
 
     let frame = seal(
         &envelope,
-        &Parcel {
+        &FramePayload {
             to: 3899,
             echo,
             body: Some(body),
--- a/crates/peer/tests/it/mesh.rs
+++ b/crates/peer/tests/it/mesh.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use acacia_code::Code;
-use acacia_peer::{Class, Error, Mesh, Parcel, Received, Settings};
+use acacia_peer::{Class, Error, FramePayload, Mesh, Received, Settings};
 use acacia_wire::control::{Envelope, MAX_FRAME, Secret, seal};
 use crossbeam_channel::Receiver;
 
@@ -73,22 +73,22 @@
         incarnation: 1,
         sequence,
     };
-    let parcel = |to, body: &[u8]| Parcel {
+    let payload = |to, body: &[u8]| FramePayload {
         to,
         echo: None,
         body: Some(body.to_vec()),
     };
     let text = postcard::to_allocvec("text").expect("encodes");
-    let good = seal(&envelope(5), &parcel(1, &text), &secret());
+    let good = seal(&envelope(5), &payload(1, &text), &secret());
     let other = Secret::new(&[8; 32], None);
     let frames = [
         good.clone(),
         good.clone(),
-        seal(&envelope(4), &parcel(1, &text), &secret()),
-        seal(&envelope(6), &parcel(9, &text), &secret()),
-        seal(&envelope(7), &parcel(1, &[200]), &secret()),
+        seal(&envelope(4), &payload(1, &text), &secret()),
+        seal(&envelope(6), &payload(9, &text), &secret()),
+        seal(&envelope(7), &payload(1, &[200]), &secret()),
         seal(&envelope(8), &7u8, &secret()),
-        seal(&envelope(9), &parcel(1, &text), &other),
+        seal(&envelope(9), &payload(1, &text), &other),
         good[..20].to_vec(),
         vec![0; MAX_FRAME + 1],
     ];
