--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -7,9 +7,9 @@
 //!
 //! Every frame echoes the last one that was received from its receiver. When the echo of what we
 //! send does not advance, the connection has gone silent, whatever TCP thinks of it, and is
-//! replaced by a fresh one; [`Watch`] decides when.
+//! replaced by a fresh one; [`SilenceDetector`] decides when.
 //!
-//! [`Watch`], [`Bucket`], [`Queue`] and [`Filter`] decide without sockets or clocks.
+//! [`SilenceDetector`], [`Bucket`], [`Queue`] and [`Filter`] decide without sockets or clocks.
 
 mod bucket;
 mod error;
@@ -22,9 +22,9 @@
 mod send;
 mod settings;
 mod shared;
+mod silence;
 mod state;
 mod stats;
-mod watch;
 
 pub use bucket::Bucket;
 pub use error::Error;
@@ -33,5 +33,5 @@
 pub use payload::{Echo, FramePayload};
 pub use queue::{Class, Queue};
 pub use settings::Settings;
+pub use silence::SilenceDetector;
 pub use stats::{Stats, Traffic};
-pub use watch::Watch;
--- a/crates/peer/src/watch.rs
+++ b/crates/peer/src/silence.rs
@@ -10,7 +10,7 @@
 /// replace ours in vain, and the peer, whom our frames reach without an echo of its own, replaces
 /// the right one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Watch {
+pub struct SilenceDetector {
     /// Sequence number and time of the first frame sent on this connection that the peer has not
     /// echoed, nor any later one.
     unechoed: Option<(u64, Duration)>,
@@ -26,11 +26,11 @@
 /// all dial at one moment, again and again.
 const JITTER: f64 = 0.25;
 
-impl Watch {
-    /// The watch of a connection that is about to be dialled.
+impl SilenceDetector {
+    /// The detector of a connection that is about to be dialled.
     #[must_use]
     pub fn new() -> Self {
-        Watch {
+        SilenceDetector {
             unechoed: None,
             latest: 0,
             failures: 0,
@@ -67,12 +67,12 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_peer::Watch;
+    /// use acacia_peer::SilenceDetector;
     /// let (silent, longest) = (Duration::from_secs(2), Duration::from_secs(30));
-    /// let mut watch = Watch::new();
-    /// watch.sent(Duration::ZERO, 1);
-    /// assert!(!watch.is_silent(Duration::from_secs(1), silent, longest, 0.5));
-    /// assert!(watch.is_silent(Duration::from_secs(3), silent, longest, 0.5));
+    /// let mut detector = SilenceDetector::new();
+    /// detector.sent(Duration::ZERO, 1);
+    /// assert!(!detector.is_silent(Duration::from_secs(1), silent, longest, 0.5));
+    /// assert!(detector.is_silent(Duration::from_secs(3), silent, longest, 0.5));
     /// ```
     #[must_use]
     pub fn is_silent(
@@ -95,8 +95,8 @@
     }
 }
 
-impl Default for Watch {
+impl Default for SilenceDetector {
     fn default() -> Self {
-        Watch::new()
+        SilenceDetector::new()
     }
 }
--- a/crates/peer/src/state.rs
+++ b/crates/peer/src/state.rs
@@ -8,14 +8,14 @@
 use tokio::sync::Notify;
 
 use crate::frame::LENGTH;
-use crate::{Bucket, Error, Filter, FramePayload, Queue, Settings, Stats, Watch};
+use crate::{Bucket, Error, Filter, FramePayload, Queue, Settings, SilenceDetector, Stats};
 
 /// A peer, apart from its socket.
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) address: SocketAddr,
     pub(crate) queue: Queue,
-    pub(crate) watch: Watch,
+    pub(crate) detector: SilenceDetector,
     /// Wakes the task that sends to it.
     pub(crate) queued: Arc<Notify>,
     /// When a frame was last made for it.
@@ -75,7 +75,7 @@
     /// A new connection to a peer is open.
     pub(crate) fn connected(&mut self, id: u16) {
         if let Some(peer) = self.peers.get_mut(&id) {
-            peer.watch.connected();
+            peer.detector.connected();
         }
     }
 
@@ -84,13 +84,13 @@
         let (now, silent) = (self.now(), self.settings.silence_timeout());
         let longest = self.settings.max_silence_timeout;
         let peer = self.peers.get(&id);
-        peer.is_some_and(|peer| peer.watch.is_silent(now, silent, longest, jitter))
+        peer.is_some_and(|peer| peer.detector.is_silent(now, silent, longest, jitter))
     }
 
     /// The silent connection to a peer is being replaced.
     pub(crate) fn redialled(&mut self, id: u16) {
         if let Some(peer) = self.peers.get_mut(&id) {
-            peer.watch.replaced();
+            peer.detector.replaced();
             self.stats.peers.entry(id).or_default().redials += 1;
         }
     }
@@ -105,7 +105,7 @@
             self.peers.entry(*id).or_insert_with(|| Peer {
                 address: *address,
                 queue,
-                watch: Watch::new(),
+                detector: SilenceDetector::new(),
                 queued: Arc::new(Notify::new()),
                 last_frame: None,
             });
@@ -125,7 +125,7 @@
         self.sequence = 0;
         for peer in self.peers.values_mut() {
             peer.queue = Queue::new(self.settings.queue_messages, self.settings.queue_bytes);
-            peer.watch = Watch::new();
+            peer.detector = SilenceDetector::new();
         }
     }
 
@@ -167,7 +167,7 @@
         peer.last_frame = Some(now);
         self.sequence += 1;
         let sequence = self.sequence;
-        peer.watch.sent(now, sequence);
+        peer.detector.sent(now, sequence);
         let (sender, incarnation) = (self.settings.id, self.settings.incarnation);
         let payload = FramePayload {
             to: id,
@@ -216,7 +216,7 @@
         let own = self.settings.incarnation;
         if let Some(peer) = self.peers.get_mut(&envelope.sender) {
             if let Some(echo) = payload.echo.filter(|echo| echo.incarnation == own) {
-                peer.watch.echoed(now, echo.sequence);
+                peer.detector.echoed(now, echo.sequence);
             }
             let traffic = self.stats.peers.entry(envelope.sender).or_default();
             traffic.received_frames += 1;
--- a/crates/peer/tests/it/main.rs
+++ b/crates/peer/tests/it/main.rs
@@ -5,5 +5,5 @@
 mod mesh;
 mod relay;
 mod restart;
+mod silence;
 mod strangers;
-mod watch;
--- a/crates/peer/tests/it/watch.rs
+++ b/crates/peer/tests/it/silence.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use acacia_peer::Watch;
+use acacia_peer::SilenceDetector;
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -14,15 +14,15 @@
 /// Sends every half second for a minute over connections that carry nothing; the times of
 /// replacement, in milliseconds.
 fn replacements(random: f64) -> Vec<u64> {
-    let mut watch = Watch::new();
+    let mut detector = SilenceDetector::new();
     let mut times = Vec::new();
     for tick in 0..1200 {
         let now = tick * 50;
         if tick % 10 == 0 {
-            watch.sent(ms(now), tick + 1);
+            detector.sent(ms(now), tick + 1);
         }
-        if watch.is_silent(ms(now), SILENT, LONGEST, random) {
-            watch.replaced();
+        if detector.is_silent(ms(now), SILENT, LONGEST, random) {
+            detector.replaced();
             times.push(now);
         }
     }
@@ -50,12 +50,12 @@
 
 #[test]
 fn an_echo_from_before_the_connection_does_not_count() {
-    let mut watch = Watch::new();
-    watch.sent(ms(0), 10);
+    let mut detector = SilenceDetector::new();
+    detector.sent(ms(0), 10);
 
-    watch.echoed(ms(1500), 9);
+    detector.echoed(ms(1500), 9);
 
-    assert!(watch.is_silent(ms(2100), SILENT, LONGEST, 0.0));
+    assert!(detector.is_silent(ms(2100), SILENT, LONGEST, 0.0));
 }
 
 proptest! {
@@ -69,12 +69,12 @@
     /// Echoes that come late or are partly lost, but come.
     #[test]
     fn a_live_connection_is_never_replaced(lags in prop::collection::vec(0u64..3, 200)) {
-        let mut watch = Watch::new();
+        let mut detector = SilenceDetector::new();
         for (round, lag) in lags.into_iter().enumerate() {
             let (now, sequence) = (ms(round as u64 * 500), round as u64 + 1);
-            watch.sent(now, sequence);
-            prop_assert!(!watch.is_silent(now, SILENT, LONGEST, 0.0));
-            watch.echoed(now, sequence.saturating_sub(lag));
+            detector.sent(now, sequence);
+            prop_assert!(!detector.is_silent(now, SILENT, LONGEST, 0.0));
+            detector.echoed(now, sequence.saturating_sub(lag));
         }
     }
 }
