--- a/crates/peer/src/filter.rs
+++ b/crates/peer/src/filter.rs
@@ -9,19 +9,19 @@
 
 /// Drops frames that were seen before, or are older than one that was.
 #[derive(Debug, Default)]
-pub struct Filter {
+pub struct ReplayFilter {
     last: Map<u16, (Echo, u64)>,
     count: u64,
 }
 
-impl Filter {
+impl ReplayFilter {
     /// Accepts a frame that is newer than all before it from its sender.
     ///
     /// ```
-    /// use acacia_peer::{Error, Filter};
+    /// use acacia_peer::{Error, ReplayFilter};
     /// use acacia_wire::control::Envelope;
     /// let envelope = Envelope { sender: 1, incarnation: 5, sequence: 9 };
-    /// let mut filter = Filter::default();
+    /// let mut filter = ReplayFilter::default();
     /// assert_eq!(filter.accept(&envelope), Ok(()));
     /// assert_eq!(filter.accept(&envelope), Err(Error::Replayed));
     /// ```
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -9,7 +9,7 @@
 //! send does not advance, the connection has gone silent, whatever TCP thinks of it, and is
 //! replaced by a fresh one; [`SilenceDetector`] decides when.
 //!
-//! [`SilenceDetector`], [`Bucket`], [`Queue`] and [`Filter`] decide without sockets or clocks.
+//! [`SilenceDetector`], [`Bucket`], [`Queue`] and [`ReplayFilter`] decide without sockets or clocks.
 
 mod bucket;
 mod error;
@@ -28,7 +28,7 @@
 
 pub use bucket::Bucket;
 pub use error::Error;
-pub use filter::Filter;
+pub use filter::ReplayFilter;
 pub use mesh::{Mesh, Received};
 pub use payload::{Echo, FramePayload};
 pub use queue::{Class, Queue};
--- a/crates/peer/src/state.rs
+++ b/crates/peer/src/state.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 
 use crate::frame::LENGTH;
-use crate::{Bucket, Error, Filter, FramePayload, Queue, Settings, SilenceDetector, Stats};
+use crate::{Bucket, Error, FramePayload, Queue, ReplayFilter, Settings, SilenceDetector, Stats};
 
 /// A peer, apart from its socket.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     pub(crate) settings: Settings,
     pub(crate) secret: Secret,
     pub(crate) peers: BTreeMap<u16, Peer>,
-    pub(crate) filter: Filter,
+    pub(crate) filter: ReplayFilter,
     pub(crate) stats: Stats,
     bucket: Bucket,
     sequence: u64,
@@ -50,7 +50,7 @@
             settings,
             secret,
             peers: BTreeMap::new(),
-            filter: Filter::default(),
+            filter: ReplayFilter::default(),
             stats: Stats::default(),
             sequence: 0,
             start: Instant::now(),
--- a/crates/peer/tests/it/limits.rs
+++ b/crates/peer/tests/it/limits.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use acacia_peer::{Bucket, Class, Filter, Queue};
+use acacia_peer::{Bucket, Class, Queue, ReplayFilter};
 use acacia_wire::control::Envelope;
 
 /// A third of the backend servers drains and copies of pins are wanted at fifty times the budget.
@@ -66,7 +66,7 @@
 
 #[test]
 fn the_filter_remembers_a_bounded_number_of_senders() {
-    let mut filter = Filter::default();
+    let mut filter = ReplayFilter::default();
     let envelope = |sender| Envelope {
         sender,
         incarnation: 1,
