--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -41,10 +41,10 @@
     /// All bytes since the first reading.
     ///
     /// ```
-    /// use acacia_peer::{Stats, Traffic};
+    /// use acacia_peer::{PeerStats, Stats};
     /// let stats = |sent_bytes| {
-    ///     let traffic = Traffic { sent_bytes, ..Traffic::default() };
-    ///     Stats { peers: [(1, traffic)].into(), ..Stats::default() }
+    ///     let peer = PeerStats { sent_bytes, ..PeerStats::default() };
+    ///     Stats { peers: [(1, peer)].into(), ..Stats::default() }
     /// };
     /// let mut meter = acacia_node::metrics::Meter::default();
     /// meter.read(&stats(50));
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -34,4 +34,4 @@
 pub use queue::{Class, Queue};
 pub use settings::Settings;
 pub use silence::SilenceDetector;
-pub use stats::{Stats, Traffic};
+pub use stats::{PeerStats, Stats};
--- a/crates/peer/src/stats.rs
+++ b/crates/peer/src/stats.rs
@@ -4,7 +4,7 @@
 
 /// Counters of the traffic with one peer, since it was set.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Traffic {
+pub struct PeerStats {
     /// Frames sent.
     pub sent_frames: u64,
     /// Their bytes, with the length field, without TCP's and IP's headers.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Stats {
     /// By peer.
-    pub peers: BTreeMap<u16, Traffic>,
+    pub peers: BTreeMap<u16, PeerStats>,
     /// Frames dropped on arrival, by code.
     pub refused: BTreeMap<Code, u64>,
     /// Received messages dropped because the control thread did not take them.
@@ -42,7 +42,7 @@
     /// ```
     #[must_use]
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
-        let sum = |of: fn(&Traffic) -> u64| self.peers.values().map(of).sum();
+        let sum = |of: fn(&PeerStats) -> u64| self.peers.values().map(of).sum();
         let mut counts = BTreeMap::from(self.connections.closed());
         counts.insert("control_inbox_full", self.inbox_full);
         counts.insert("control_dropped", sum(|peer| peer.dropped));
