--- a/crates/accept/src/lib.rs
+++ b/crates/accept/src/lib.rs
@@ -6,7 +6,7 @@
 //! way to newer ones, never active ones to pending ones, and both have deadlines. What is closed
 //! early is counted in [`Stats`] and logged, one line a second at most.
 //!
-//! [`Table`] decides without sockets or clocks.
+//! [`ConnectionTable`] decides without sockets or clocks.
 
 mod limiter;
 mod listen;
@@ -16,4 +16,4 @@
 pub use limiter::{Limiter, Slot};
 pub use listen::listen;
 pub use stats::Stats;
-pub use table::{Activation, Admission, Limits, Table};
+pub use table::{Activation, Admission, ConnectionTable, Limits};
--- a/crates/accept/src/limiter.rs
+++ b/crates/accept/src/limiter.rs
@@ -9,7 +9,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    Activation, Limits, Stats, Table,
+    Activation, ConnectionTable, Limits, Stats,
     stats::{Counters, count},
 };
 
@@ -24,7 +24,7 @@
 
 #[derive(Debug)]
 struct State {
-    table: Table,
+    table: ConnectionTable,
     /// What ends each connection.
     ends: Map<u64, CancellationToken>,
 }
@@ -46,7 +46,7 @@
         Limiter {
             name,
             state: Mutex::new(State {
-                table: Table::new(limits),
+                table: ConnectionTable::new(limits),
                 ends: Map::default(),
             }),
             counters: Counters::default(),
--- a/crates/accept/src/table.rs
+++ b/crates/accept/src/table.rs
@@ -44,7 +44,7 @@
 /// cut off or lost power, whose end never arrives. Harm without it: they hold all places, and no
 /// peer is heard any more.
 #[derive(Debug)]
-pub struct Table {
+pub struct ConnectionTable {
     limits: Limits,
     connections: Map<u64, Connection>,
     last: u64,
@@ -58,11 +58,11 @@
     is_active: bool,
 }
 
-impl Table {
+impl ConnectionTable {
     /// A table without connections.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
-        Table {
+        ConnectionTable {
             limits,
             connections: Map::default(),
             last: 0,
@@ -74,12 +74,12 @@
     ///
     /// ```
     /// use std::{net::Ipv4Addr, time::Duration};
-    /// use acacia_accept::{Admission, Limits, Table};
+    /// use acacia_accept::{Admission, Limits, ConnectionTable};
     /// let second = Duration::from_secs(1);
     /// let limits = Limits {
     ///     pending: 1, active: 1, pending_timeout: second, idle_timeout: second, stalled_after: second,
     /// };
-    /// let mut table = Table::new(limits);
+    /// let mut table = ConnectionTable::new(limits);
     /// let first = table.admit(Ipv4Addr::LOCALHOST.into(), Duration::ZERO);
     /// let second = table.admit(Ipv4Addr::LOCALHOST.into(), Duration::ZERO);
     /// assert_eq!(second.displaced, Some(first.id));
