--- a/crates/accept/src/limiter.rs
+++ b/crates/accept/src/limiter.rs
@@ -68,7 +68,7 @@
 
     /// Connections that are pending, and those that are active.
     #[must_use]
-    pub fn open(&self) -> (usize, usize) {
+    pub fn open_connections(&self) -> (usize, usize) {
         let table = &self.lock().table;
         (table.count(false), table.count(true))
     }
--- a/crates/accept/src/listen.rs
+++ b/crates/accept/src/listen.rs
@@ -113,7 +113,7 @@
 
     fn log(&mut self, limiter: &Limiter) {
         let stats = limiter.stats();
-        let (pending, active) = limiter.open();
+        let (pending, active) = limiter.open_connections();
         let since = stats.closed().into_iter().zip(self.logged.closed());
         let counts: String = since
             .map(|((name, now), (_, before))| format!(" {name}={}", now - before))
--- a/crates/accept/tests/it/listen.rs
+++ b/crates/accept/tests/it/listen.rs
@@ -115,7 +115,7 @@
 
     assert!(start.elapsed() >= LIMITS.pending_timeout);
     assert_eq!(server.limiter.stats().expired, 1);
-    assert_eq!(server.limiter.open(), (0, 0));
+    assert_eq!(server.limiter.open_connections(), (0, 0));
 }
 
 #[tokio::test]
