--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -18,10 +18,10 @@
     Spawn(String),
     /// No such peer is set.
     #[error("no peer {0}")]
-    Unknown(u16),
+    UnknownPeer(u16),
     /// The peer's queue is full, or the message is larger than any frame.
     #[error("queue for peer {0} is full")]
-    Full(u16),
+    QueueFull(u16),
     /// A frame that can't be opened.
     #[error(transparent)]
     Frame(#[from] control::Error),
@@ -44,8 +44,8 @@
         match self {
             Error::Listen { .. } => Code::SocketFailed,
             Error::Spawn(_) => Code::ServiceStartFailed,
-            Error::Unknown(_) | Error::Misaddressed => Code::ControlMisaddressed,
-            Error::Full(_) => Code::ControlQueueFull,
+            Error::UnknownPeer(_) | Error::Misaddressed => Code::ControlMisaddressed,
+            Error::QueueFull(_) => Code::ControlQueueFull,
             Error::Frame(control::Error::Truncated) => Code::ControlTruncated,
             Error::Frame(control::Error::Oversized) => Code::ControlOversized,
             Error::Frame(control::Error::Forged) => Code::ControlForged,
--- a/crates/peer/src/mesh.rs
+++ b/crates/peer/src/mesh.rs
@@ -69,12 +69,12 @@
     /// Queues a message for a peer. Never blocks; a full queue drops the message, counts it and
     /// says so.
     pub fn send(&self, to: u16, class: Class, message: &T) -> Result<(), Error> {
-        let body = postcard::to_allocvec(message).map_err(|_| Error::Full(to))?;
+        let body = postcard::to_allocvec(message).map_err(|_| Error::QueueFull(to))?;
         let mut state = self.shared.lock();
-        let peer = state.peers.get_mut(&to).ok_or(Error::Unknown(to))?;
+        let peer = state.peers.get_mut(&to).ok_or(Error::UnknownPeer(to))?;
         if body.len() > MAX_MESSAGE || !peer.queue.push(class, body) {
             state.stats.peers.entry(to).or_default().dropped += 1;
-            return Err(Error::Full(to));
+            return Err(Error::QueueFull(to));
         }
         peer.queued.notify_one();
         Ok(())
--- a/crates/peer/tests/it/mesh.rs
+++ b/crates/peer/tests/it/mesh.rs
@@ -149,10 +149,10 @@
 
     assert!((200..=244).contains(&refused), "{refused}");
     assert_eq!(mesh.stats().peers[&2].dropped, refused as u64);
-    assert_eq!(mesh.send(3, Class::Bulk, &text), Err(Error::Unknown(3)));
+    assert_eq!(mesh.send(3, Class::Bulk, &text), Err(Error::UnknownPeer(3)));
     assert_eq!(
         mesh.send(2, Class::Urgent, &"x".repeat(3 << 20)),
-        Err(Error::Full(2))
+        Err(Error::QueueFull(2))
     );
 }
 
