--- a/crates/accept/src/table.rs
+++ b/crates/accept/src/table.rs
@@ -2,82 +2,85 @@
 
 use acacia_wire::collections::Map;
 
-/// How many connections a listener keeps, and for how long.
+/// How many connections a listener keeps open, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Pending connections at a time.
+    /// Maximum number of pending connections.
     pub pending: usize,
-    /// Active connections at a time.
+    /// Maximum number of active connections.
     pub active: usize,
-    /// How long a connection may stay pending.
+    /// How long a connection may stay pending before it is closed.
     pub pending_timeout: Duration,
-    /// How long an active connection may go without a valid message.
+    /// How long an active connection may go without a valid message before it is closed.
     pub idle_timeout: Duration,
-    /// An active connection without a valid message for this long gives way to one that becomes
-    /// active when there are [`Limits::active`] of them.
+    /// How long an active connection has to go without a valid message to count as stalled. When
+    /// there are [`Limits::active`] active connections, a stalled one is closed for one that
+    /// becomes active.
     pub stalled_after: Duration,
 }
 
-/// A connection that was let in.
+/// The result of adding a connection to the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Admission {
-    /// The number of the connection.
+    /// The id of the connection.
     pub id: u64,
-    /// A pending connection to close for it.
+    /// The id of a pending connection to close in exchange.
     pub displaced: Option<u64>,
 }
 
-/// What a valid message on a connection leads to.
+/// The result of a valid message on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Activation {
     /// The connection is active.
     Active,
-    /// It is active, and the stalled connection of this number is to be closed for it.
+    /// The connection is active, and the stalled connection with this id has to be closed.
     Displaced(u64),
-    /// All others are active and none is stalled: close this one.
+    /// The connection has to be closed: it was displaced before, or there are as many active ones
+    /// as allowed and none is stalled.
     Refused,
 }
 
 /// Decides which connections stay open.
 ///
-/// Load: strangers that open connections by the hundred and say nothing, and peers that were paused,
-/// cut off or lost power, whose end never arrives. Harm without it: they hold all places, and no
-/// peer is heard any more.
+/// Unauthenticated hosts may open hundreds of connections and send nothing, and peers that are
+/// paused, cut off or without power never close theirs. Without limits such connections would
+/// exhaust the listener, and no working peer could connect any more.
 #[derive(Debug)]
 pub struct ConnectionTable {
     limits: Limits,
     connections: Map<u64, Connection>,
-    last: u64,
+    last_id: u64,
 }
 
 #[derive(Debug)]
 struct Connection {
     from: IpAddr,
-    /// When it was accepted, or last carried a valid message.
+    /// When the connection was accepted, last carried a valid message or became pending again.
     since: Duration,
     is_active: bool,
 }
 
 impl ConnectionTable {
-    /// A table without connections.
+    /// Creates a table without connections.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         ConnectionTable {
             limits,
             connections: Map::default(),
-            last: 0,
+            last_id: 0,
         }
     }
 
-    /// Lets in a connection that was accepted from an address. When there are too many pending ones,
-    /// the oldest of the address that has most of them gives way.
+    /// Adds a connection that was accepted from an address, as pending. If there are too many
+    /// pending connections, this displaces the oldest one of the address that has the most of them.
     ///
     /// ```
     /// use std::{net::Ipv4Addr, time::Duration};
     /// use acacia_accept::{Admission, Limits, ConnectionTable};
     /// let second = Duration::from_secs(1);
     /// let limits = Limits {
-    ///     pending: 1, active: 1, pending_timeout: second, idle_timeout: second, stalled_after: second,
+    ///     pending: 1, active: 1,
+    ///     pending_timeout: second, idle_timeout: second, stalled_after: second,
     /// };
     /// let mut table = ConnectionTable::new(limits);
     /// let first = table.admit(Ipv4Addr::LOCALHOST.into(), Duration::ZERO);
@@ -86,28 +89,28 @@
     /// ```
     pub fn admit(&mut self, from: IpAddr, now: Duration) -> Admission {
         let displaced = if self.count(false) >= self.limits.pending {
-            self.oldest_of_most_frequent()
+            self.oldest_of_busiest_address()
         } else {
             None
         };
         if let Some(displaced) = displaced {
             self.connections.remove(&displaced);
         }
-        self.last += 1;
+        self.last_id += 1;
         let connection = Connection {
             from,
             since: now,
             is_active: false,
         };
-        self.connections.insert(self.last, connection);
+        self.connections.insert(self.last_id, connection);
         Admission {
-            id: self.last,
+            id: self.last_id,
             displaced,
         }
     }
 
-    /// Takes in that a valid message came over a connection. Refused connections are forgotten, as
-    /// are those that were displaced before.
+    /// Records that a valid message arrived on a connection. A connection that is refused or
+    /// displaced is removed from the table.
     pub fn activate(&mut self, id: u64, now: Duration) -> Activation {
         let Some(connection) = self.connections.get_mut(&id) else {
             return Activation::Refused;
@@ -120,7 +123,7 @@
             self.set_active(id);
             return Activation::Active;
         }
-        match self.stalled(now) {
+        match self.longest_stalled(now) {
             Some(stalled) => {
                 self.connections.remove(&stalled);
                 self.set_active(id);
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Takes in that nothing is under way on a connection any more: it is pending again.
+    /// Records that no request is in progress on a connection any more: it becomes pending again.
     pub fn finish(&mut self, id: u64, now: Duration) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.since = now;
@@ -141,24 +144,25 @@
         }
     }
 
-    /// Forgets a connection that has ended.
+    /// Removes a connection that has ended.
     pub fn remove(&mut self, id: u64) {
         self.connections.remove(&id);
     }
 
-    /// When a connection is to be closed if it carries no valid message before; none if it is gone.
+    /// When a connection is to be closed unless a valid message arrives before; none if the
+    /// connection is not in the table.
     #[must_use]
     pub fn deadline(&self, id: u64) -> Option<Duration> {
         let connection = self.connections.get(&id)?;
-        let longest = if connection.is_active {
+        let timeout = if connection.is_active {
             self.limits.idle_timeout
         } else {
             self.limits.pending_timeout
         };
-        Some(connection.since + longest)
+        Some(connection.since + timeout)
     }
 
-    /// Connections that are active, or that are not.
+    /// The number of active connections, or of pending ones if `is_active` is false.
     #[must_use]
     pub fn count(&self, is_active: bool) -> usize {
         let connections = self.connections.values();
@@ -171,8 +175,9 @@
         }
     }
 
-    /// One address that opens many connections can't displace those of others.
-    fn oldest_of_most_frequent(&self) -> Option<u64> {
+    /// The oldest pending connection of the address that has the most of them. An address that
+    /// opens many connections therefore can't displace those of others.
+    fn oldest_of_busiest_address(&self) -> Option<u64> {
         let pending = || self.connections.iter().filter(|(_, one)| !one.is_active);
         let mut counts: Map<IpAddr, usize> = Map::default();
         for (_, connection) in pending() {
@@ -183,8 +188,9 @@
         candidates.map(|(id, _)| *id).min()
     }
 
-    /// The active connection that has been without a valid message for longest, if that is too long.
-    fn stalled(&self, now: Duration) -> Option<u64> {
+    /// The active connection that has been without a valid message for the longest time, if it
+    /// counts as stalled.
+    fn longest_stalled(&self, now: Duration) -> Option<u64> {
         let active = self.connections.iter().filter(|(_, one)| one.is_active);
         let (id, oldest) = active.min_by_key(|(id, one)| (one.since, **id))?;
         let is_stalled = now.saturating_sub(oldest.since) >= self.limits.stalled_after;
