--- a/crates/accept/src/limiter.rs
+++ b/crates/accept/src/limiter.rs
@@ -10,10 +10,10 @@
 
 use crate::{
     Activation, ConnectionTable, Limits, Stats,
-    stats::{Counters, count},
+    stats::{Counters, increment},
 };
 
-/// The limits of one listener, and its connections.
+/// The limits of one listener and the connections it has open.
 #[derive(Debug)]
 pub struct Limiter {
     name: &'static str,
@@ -25,19 +25,20 @@
 #[derive(Debug)]
 struct State {
     table: ConnectionTable,
-    /// What ends each connection.
-    ends: Map<u64, CancellationToken>,
+    /// The token that closes each connection, by the connection's id.
+    cancellations: Map<u64, CancellationToken>,
 }
 
 impl Limiter {
-    /// The limiter of a listener that is logged by `name`.
+    /// Creates the limiter of a listener; `name` identifies it in logs and metrics.
     ///
     /// ```
     /// use std::time::Duration;
     /// use acacia_accept::{Limiter, Limits, Stats};
     /// let second = Duration::from_secs(1);
     /// let limits = Limits {
-    ///     pending: 8, active: 8, pending_timeout: second, idle_timeout: second, stalled_after: second,
+    ///     pending: 8, active: 8,
+    ///     pending_timeout: second, idle_timeout: second, stalled_after: second,
     /// };
     /// assert_eq!(Limiter::new("peers", limits).stats(), Stats::default());
     /// ```
@@ -47,47 +48,49 @@
             name,
             state: Mutex::new(State {
                 table: ConnectionTable::new(limits),
-                ends: Map::default(),
+                cancellations: Map::default(),
             }),
             counters: Counters::default(),
             start: Instant::now(),
         }
     }
 
-    /// What the listener is called in logs and metrics.
+    /// The listener's name in logs and metrics.
     #[must_use]
     pub fn name(&self) -> &'static str {
         self.name
     }
 
-    /// What it did since it started.
+    /// The listener's counters since it started.
     #[must_use]
     pub fn stats(&self) -> Stats {
-        self.counters.read()
+        self.counters.snapshot()
     }
 
-    /// Connections that are pending, and those that are active.
+    /// The numbers of pending and of active connections.
     #[must_use]
     pub fn open_connections(&self) -> (usize, usize) {
         let table = &self.lock().table;
         (table.count(false), table.count(true))
     }
 
-    /// Lets a connection in, and closes another for it if there are too many.
+    /// Registers an accepted connection and closes a pending one if there are too many.
     pub(crate) fn admit(self: &Arc<Self>, from: IpAddr) -> Slot {
         let mut state = self.lock();
         let admission = state.table.admit(from, self.now());
         if let Some(displaced) = admission.displaced {
-            state.end(displaced);
-            count(&self.counters.displaced);
+            state.close(displaced);
+            increment(&self.counters.displaced);
         }
-        let ended = CancellationToken::new();
-        state.ends.insert(admission.id, ended.clone());
-        count(&self.counters.accepted);
+        let cancellation = CancellationToken::new();
+        state
+            .cancellations
+            .insert(admission.id, cancellation.clone());
+        increment(&self.counters.accepted);
         Slot {
             limiter: Arc::clone(self),
             id: admission.id,
-            ended,
+            cancellation,
         }
     }
 
@@ -95,63 +98,67 @@
         self.start.elapsed()
     }
 
-    /// A poisoned lock is taken as it is: each change under it is a single step.
+    /// Ignores that the lock is poisoned: each change under it is a single step, so a panic can't
+    /// leave the state half changed.
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl State {
-    fn end(&mut self, id: u64) {
-        if let Some(end) = self.ends.remove(&id) {
-            end.cancel();
+    fn close(&mut self, id: u64) {
+        if let Some(cancellation) = self.cancellations.remove(&id) {
+            cancellation.cancel();
         }
     }
 }
 
-/// The place of a connection at its listener; dropping it gives the place back.
+/// The entry of a connection in its listener's table. Dropping it removes the connection from the
+/// table.
 #[derive(Debug)]
 pub struct Slot {
     limiter: Arc<Limiter>,
     id: u64,
-    ended: CancellationToken,
+    cancellation: CancellationToken,
 }
 
 impl Slot {
-    /// Takes in that a valid message came: the connection is active now, and its deadline starts
-    /// anew. False if it has to close, as there is no place for it.
+    /// Records that a valid message arrived: the connection becomes active and its deadline is
+    /// extended. Returns false if the connection has to close, because it was displaced before or
+    /// there are too many active ones.
     pub fn activate(&self) -> bool {
         let counters = &self.limiter.counters;
         let mut state = self.limiter.lock();
         match state.table.activate(self.id, self.limiter.now()) {
             Activation::Active => true,
             Activation::Displaced(stalled) => {
-                state.end(stalled);
-                count(&counters.stalled);
+                state.close(stalled);
+                increment(&counters.stalled);
                 true
             }
             Activation::Refused => {
-                if !self.ended.is_cancelled() {
-                    count(&counters.refused);
+                if !self.cancellation.is_cancelled() {
+                    increment(&counters.refused);
                 }
-                state.end(self.id);
+                state.close(self.id);
                 false
             }
         }
     }
 
-    /// Takes in that nothing is under way on the connection any more: it is pending again, and may
-    /// make room for others.
+    /// Records that no request is in progress on the connection any more: it becomes pending again
+    /// and can be displaced by others.
     pub fn finish(&self) {
         let now = self.limiter.now();
         self.limiter.lock().table.finish(self.id, now);
     }
 
-    /// Waits until the connection has to close: another needs its place, or its deadline has passed.
+    /// Waits until the connection has to close, because the limiter closes it or its deadline
+    /// passes.
     pub(crate) async fn closed(&self) {
         tokio::select! {
-            () = self.ended.cancelled() => {}
-            () = self.expired() => count(&self.limiter.counters.expired),
+            () = self.cancellation.cancelled() => {}
+            () = self.expired() => increment(&self.limiter.counters.expired),
         }
     }
 
@@ -159,7 +166,7 @@
         loop {
             let deadline = self.limiter.lock().table.deadline(self.id);
             let Some(deadline) = deadline else {
-                // Displaced: the other branch ends it.
+                // The connection was displaced; its cancellation ends the wait in `closed`.
                 return std::future::pending().await;
             };
             if deadline <= self.limiter.now() {
@@ -174,6 +181,6 @@
     fn drop(&mut self) {
         let mut state = self.limiter.lock();
         state.table.remove(self.id);
-        state.ends.remove(&self.id);
+        state.cancellations.remove(&self.id);
     }
 }
--- a/crates/accept/src/listen.rs
+++ b/crates/accept/src/listen.rs
@@ -7,18 +7,19 @@
 };
 use tokio_util::sync::CancellationToken;
 
-use crate::{Limiter, Slot, Stats, stats::count};
+use crate::{Limiter, Slot, Stats, stats::increment};
 
-/// Pause after a connection that could not be accepted, mostly as descriptors have run out.
+/// Pause after a failed `accept`. The usual cause is that the process has run out of file
+/// descriptors, which retrying in a tight loop would only make worse.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Shortest time between two log lines of one listener.
-const REPORT: Duration = Duration::from_secs(1);
+/// Shortest time between two log lines of one listener about closed connections.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Accepts connections and serves each with `serve`, until told to stop. Returns once all of them
-/// have ended: a server leaves no task behind.
+/// Accepts connections and runs `serve` on each of them in a task of its own, until `stop` is
+/// cancelled. Then aborts the tasks and returns once all of them have ended.
 ///
-/// `serve` gets the connection's [`Slot`] and calls [`Slot::activate`] on each valid message. Its
-/// future is dropped when the connection has to close.
+/// `serve` receives the connection's [`Slot`] and has to call [`Slot::activate`] on each valid
+/// message. Its future is dropped when the connection has to close.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -53,14 +54,14 @@
     loop {
         tokio::select! {
             () = stop.cancelled() => break,
-            Some(ended) = connections.join_next() => note_end(&limiter, ended),
+            Some(ended) = connections.join_next() => log_panic(&limiter, ended),
             accepted = listener.accept() => match accepted {
                 Ok((stream, from)) => {
                     let slot = Arc::new(limiter.admit(from.ip()));
                     let served = serve(stream, Arc::clone(&slot));
                     connections.spawn(until_closed(slot, served));
                 }
-                Err(error) => pause(&limiter, &error).await,
+                Err(error) => pause_after_failure(&limiter, &error).await,
             },
             () = time::sleep_until(report.next), if report.is_due(&limiter) => report.log(&limiter),
         }
@@ -76,24 +77,25 @@
     }
 }
 
-fn note_end(limiter: &Limiter, ended: Result<(), JoinError>) {
+fn log_panic(limiter: &Limiter, ended: Result<(), JoinError>) {
     let Err(error) = ended else { return };
-    count(&limiter.counters.panicked);
+    increment(&limiter.counters.panicked);
     let port = limiter.name();
     log::error!("event=connection-panicked port={port} error=\"{error}\"");
 }
 
-/// A tight loop would make a lack of descriptors only worse.
-async fn pause(limiter: &Limiter, error: &io::Error) {
-    count(&limiter.counters.failed);
+async fn pause_after_failure(limiter: &Limiter, error: &io::Error) {
+    increment(&limiter.counters.failed);
     let port = limiter.name();
     log::debug!("event=accept-failed port={port} error=\"{error}\"");
     time::sleep(ACCEPT_PAUSE).await;
 }
 
-/// What was logged last, and when the next line may be written.
+/// Logs the counters of closed connections when they change, at most once per [`REPORT_INTERVAL`].
 struct Report {
+    /// The counters when the last line was logged.
     logged: Stats,
+    /// The earliest time of the next line.
     next: Instant,
 }
 
@@ -123,6 +125,6 @@
             "event=connections-closed port={port} pending={pending} active={active}{counts}"
         );
         self.logged = stats;
-        self.next = Instant::now() + REPORT;
+        self.next = Instant::now() + REPORT_INTERVAL;
     }
 }
--- a/crates/accept/src/stats.rs
+++ b/crates/accept/src/stats.rs
@@ -1,26 +1,28 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts of what a listener did since it started.
+/// Counters of one listener since it started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Connections accepted.
     pub accepted: u64,
     /// Pending connections closed to make room for newer ones.
     pub displaced: u64,
-    /// Active connections closed, as they stood still while another became active.
+    /// Active connections closed because they were stalled when another one became active.
     pub stalled: u64,
     /// Connections closed at their deadline.
     pub expired: u64,
-    /// Connections closed when they became active, as all places were taken.
+    /// Connections closed at their first valid message because the listener had as many active ones
+    /// as it may have and none of them was stalled.
     pub refused: u64,
-    /// Connections that could not be accepted.
+    /// Failed calls of `accept`.
     pub failed: u64,
-    /// Tasks of connections that panicked.
+    /// Connections whose task panicked.
     pub panicked: u64,
 }
 
 impl Stats {
-    /// The counts of connections that did not end by themselves, by the name of their metric.
+    /// The counters of connections that the listener closed early, failed to accept or lost to a
+    /// panic, with the names of their metrics.
     ///
     /// ```
     /// let stats = acacia_accept::Stats { expired: 3, ..Default::default() };
@@ -51,12 +53,12 @@
     pub(crate) panicked: AtomicU64,
 }
 
-pub(crate) fn count(counter: &AtomicU64) {
+pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
 impl Counters {
-    pub(crate) fn read(&self) -> Stats {
+    pub(crate) fn snapshot(&self) -> Stats {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Stats {
             accepted: read(&self.accepted),
