--- a/crates/accept/src/lib.rs
+++ b/crates/accept/src/lib.rs
@@ -1,12 +1,13 @@
-//! Accepts connections within limits.
+//! Accepts TCP connections and limits how many are open and for how long.
 //!
-//! Anyone who reaches a port can open connections and say nothing, and the end of a peer that lost
-//! power never arrives. [`listen`] therefore accepts every connection and closes others to make room:
-//! a connection is pending until its first valid message, and then active. Pending connections give
-//! way to newer ones, never active ones to pending ones, and both have deadlines. What is closed
-//! early is counted in [`Stats`] and logged, one line a second at most.
+//! Any host that reaches a port can open connections and send nothing, and a peer that loses power
+//! never closes its connections. [`listen`] therefore accepts every connection and closes others to
+//! stay within the limits. A connection is pending until its first valid message, and active from
+//! then on. A new connection can displace a pending one but never an active one, and both kinds
+//! have deadlines. Connections that are closed early are counted in [`Stats`] and logged, at most
+//! one line a second.
 //!
-//! [`ConnectionTable`] decides without sockets or clocks.
+//! [`ConnectionTable`] makes these decisions and uses neither sockets nor clocks.
 
 mod limiter;
 mod listen;
