--- a/crates/peer/src/bucket.rs
+++ b/crates/peer/src/bucket.rs
@@ -1,25 +1,26 @@
 use std::time::Duration;
 
-/// A token bucket over control bytes.
+/// A token bucket for control bytes.
 ///
-/// Load: a few KB/s for all control traffic of a balancer. Harm without it: the copies of pins
-/// after a membership change would take the link from heartbeats, so that live balancers look
-/// dead and more copies follow. Heartbeats and urgent messages always pass and are charged; bulk
-/// waits until the balance is positive.
+/// A balancer has a few KB/s for all its control traffic. Without a limit, the copies of pins after
+/// a membership change would crowd out heartbeats, so that live balancers would be taken for dead
+/// and even more pins would be copied. Heartbeats and urgent messages are always sent and charged
+/// to the bucket; bulk messages wait until the balance is positive.
 #[derive(Debug)]
 pub struct Bucket {
     rate: f64,
     burst: f64,
     balance: f64,
-    at: Duration,
+    /// When the balance was last brought up to date.
+    updated: Duration,
 }
 
-/// Debts that one urgent message can leave, in seconds of the rate. 10: a megabyte of
-/// configuration would otherwise keep all bulk waiting for minutes.
-const LONGEST_DEBT: f64 = 10.0;
+/// Largest debt, in seconds of the rate. 10: without this bound, an urgent configuration of a
+/// megabyte would delay all bulk messages for minutes.
+const MAX_DEBT_SECONDS: f64 = 10.0;
 
 impl Bucket {
-    /// A full bucket with `rate` bytes a second and room for `burst` bytes.
+    /// Creates a full bucket that gains `rate` bytes per second and holds at most `burst` bytes.
     ///
     /// ```
     /// use std::time::Duration;
@@ -36,21 +37,21 @@
             rate: f64::from(rate),
             burst,
             balance: burst,
-            at: now,
+            updated: now,
         }
     }
 
-    /// Whether a bulk message may pass now. A message larger than the balance passes and leaves a
-    /// debt: nothing is too large to pass at all.
+    /// Whether a bulk message may be sent now. One that is larger than the balance may be sent too
+    /// and makes the balance negative, so that messages of any size are sent eventually.
     pub fn has_room(&mut self, now: Duration) -> bool {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.balance = (self.balance + passed * self.rate).min(self.burst);
+        let elapsed = now.saturating_sub(self.updated).as_secs_f64();
+        self.updated = self.updated.max(now);
+        self.balance = (self.balance + elapsed * self.rate).min(self.burst);
         self.balance > 0.0
     }
 
-    /// Takes the bytes of a message that was sent.
+    /// Charges the bytes of a message that is sent.
     pub fn charge(&mut self, bytes: usize) {
-        self.balance = (self.balance - bytes as f64).max(-LONGEST_DEBT * self.rate);
+        self.balance = (self.balance - bytes as f64).max(-MAX_DEBT_SECONDS * self.rate);
     }
 }
