--- a/crates/peer/src/filter.rs
+++ b/crates/peer/src/filter.rs
@@ -3,19 +3,22 @@
 
 use crate::{Echo, Error};
 
-/// Senders that are remembered. Four times the largest group: replaced balancers stay known for a
-/// while, so that their recorded frames stay refused.
-const MOST_SENDERS: usize = 256;
+/// Maximum number of remembered senders. Four times the largest group: replaced balancers are
+/// remembered for a while, so that recorded frames of theirs are still refused.
+const MAX_SENDERS: usize = 256;
 
-/// Drops frames that were seen before, or are older than one that was.
+/// Rejects frames that are not newer than the last one accepted from the same sender.
 #[derive(Debug, Default)]
 pub struct ReplayFilter {
+    /// For each sender its last accepted frame, and the value of `accepted` at that frame.
     last: Map<u16, (Echo, u64)>,
-    count: u64,
+    /// Number of accepted frames. It orders the senders by when they were last heard from.
+    accepted: u64,
 }
 
 impl ReplayFilter {
-    /// Accepts a frame that is newer than all before it from its sender.
+    /// Accepts a frame that is newer than all earlier ones of its sender. If too many senders are
+    /// remembered, the one not heard from for the longest time is forgotten.
     ///
     /// ```
     /// use acacia_peer::{Error, ReplayFilter};
@@ -36,12 +39,12 @@
         {
             return Err(Error::Replayed);
         }
-        if self.last.len() >= MOST_SENDERS && !self.last.contains_key(&sender) {
-            let oldest = self.last.iter().min_by_key(|(_, (_, count))| *count);
+        if self.last.len() >= MAX_SENDERS && !self.last.contains_key(&sender) {
+            let oldest = self.last.iter().min_by_key(|(_, (_, accepted))| *accepted);
             let oldest = oldest.map(|(id, _)| *id);
             oldest.and_then(|id| self.last.remove(&id));
         }
-        self.count += 1;
+        self.accepted += 1;
         self.last.insert(
             sender,
             (
@@ -49,13 +52,13 @@
                     incarnation,
                     sequence,
                 },
-                self.count,
+                self.accepted,
             ),
         );
         Ok(())
     }
 
-    /// The last accepted frame of a sender, to be echoed to it.
+    /// The last accepted frame of a sender, as the echo to send to it.
     #[must_use]
     pub fn last(&self, sender: u16) -> Option<Echo> {
         self.last.get(&sender).map(|(echo, _)| *echo)
