--- a/crates/peer/src/settings.rs
+++ b/crates/peer/src/settings.rs
@@ -1,39 +1,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where a mesh listens, and every number of it.
+/// Settings of a mesh: its id, address, times and limits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// This balancer's number.
+    /// This balancer's id.
     pub id: u16,
-    /// Where it listens for control traffic.
+    /// The address on which it listens for control traffic.
     pub listen: SocketAddr,
     /// This balancer's incarnation.
     pub incarnation: u64,
-    /// How often the application sends to each peer. 500 ms: the heartbeats of a small group. The
-    /// other times follow from it, see [`Settings::keepalive`] and [`Settings::silence_timeout`].
+    /// How often the application sends to each peer. 500 ms: the heartbeat interval of a small
+    /// group. [`Settings::keepalive`] and [`Settings::silence_timeout`] are multiples of it.
     pub send_interval: Duration,
-    /// Longest wait between two attempts to replace a silent connection. 30 s: a peer that is
-    /// dead costs next to nothing, and one that comes back dials us itself.
+    /// Upper bound of the silence timeout, which doubles with each replacement that brings no echo.
+    /// Also how long an accepted connection may go without a valid frame. 30 s: at that interval,
+    /// dialling a dead peer costs next to nothing, and a peer that comes back dials us itself.
     pub max_silence_timeout: Duration,
-    /// Messages that wait for one peer. 256: a burst of table changes; more means that the peer
-    /// doesn't take them, and what waits longer is out of date.
+    /// Maximum number of messages in the queue of one peer. 256: a burst of table changes. A longer
+    /// queue means that the peer doesn't read, and messages that wait longer are out of date.
     pub queue_messages: usize,
-    /// Bytes that wait for one peer. 2 MiB: one whole configuration (1 MB) and as much again. At
-    /// 63 peers that would be 126 MiB, hence configurations should go to few peers at a time.
+    /// Maximum number of bytes in the queue of one peer. 2 MiB: a whole configuration (1 MB) and as
+    /// much again. With 63 peers the queues could hold 126 MiB, so send configurations to few peers
+    /// at a time.
     pub queue_bytes: usize,
-    /// Received messages that wait for the control thread. 1,024: two seconds' worth from 63
-    /// peers at four times the usual rate.
+    /// Maximum number of received messages that wait for the control thread. 1,024: those of two
+    /// seconds from 63 peers at four times the usual rate.
     pub inbox: usize,
-    /// Control bytes a second that bulk messages wait for. 4,000: half of the 8 KB/s that a
-    /// balancer may spend; heartbeats and TCP have the other half.
+    /// Rate of the token bucket that delays bulk messages, in bytes per second. 4,000: half of the
+    /// 8 KB/s budget of a balancer; the other half is left for heartbeats and TCP.
     pub rate: u32,
-    /// Bytes that may be sent at once after a quiet time. 16,000: two seconds of the whole budget.
+    /// Size of that token bucket in bytes. 16,000: two seconds of the whole budget.
     pub burst: u32,
 }
 
 impl Settings {
-    /// Settings with the usual numbers.
+    /// Settings with the default times and limits.
     ///
     /// ```
     /// use std::time::Duration;
@@ -56,15 +58,16 @@
         }
     }
 
-    /// After this long without anything to send, an empty frame carries the echo. Twice the
-    /// send interval: it costs nothing while the application sends as it says.
+    /// How long after the last frame to a peer an empty one is sent, so that the echo reaches it.
+    /// Twice the send interval: no keepalive is sent while the application keeps to that interval.
     #[must_use]
     pub fn keepalive(&self) -> Duration {
         self.send_interval * 2
     }
 
-    /// A connection is silent when what was sent over it has not been echoed for this long. Four
-    /// times the send interval: the peer's next frame comes within one or, at worst, two.
+    /// How long frames may stay without an echo before their connection counts as silent. Four
+    /// times the send interval: the peer's next frame arrives within one interval or, at worst,
+    /// two.
     #[must_use]
     pub fn silence_timeout(&self) -> Duration {
         self.send_interval * 4
