--- a/crates/peer/src/stats.rs
+++ b/crates/peer/src/stats.rs
@@ -2,39 +2,39 @@
 
 use acacia_code::Code;
 
-/// Counters of the traffic with one peer, since it was set.
+/// Counters of one peer since it was set.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerStats {
     /// Frames sent.
     pub sent_frames: u64,
-    /// Their bytes, with the length field, without TCP's and IP's headers.
+    /// Bytes of these frames with their length fields, without TCP and IP headers.
     pub sent_bytes: u64,
     /// Frames received and accepted.
     pub received_frames: u64,
-    /// Their bytes, counted likewise.
+    /// Bytes of these frames, counted like `sent_bytes`.
     pub received_bytes: u64,
-    /// Messages dropped because the queue was full.
+    /// Messages dropped because the peer's queue was full or they were too large for a frame.
     pub dropped: u64,
-    /// Connections that had gone silent and were replaced.
+    /// Connections replaced because they had gone silent.
     pub redials: u64,
 }
 
 /// Counters of a mesh.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// By peer.
+    /// Counters of each peer, by its id.
     pub peers: BTreeMap<u16, PeerStats>,
-    /// Frames dropped on arrival, by code.
+    /// Received frames that were dropped, by result code.
     pub refused: BTreeMap<Code, u64>,
-    /// Received messages dropped because the control thread did not take them.
+    /// Received messages dropped because the control thread had not taken earlier ones yet.
     pub inbox_full: u64,
-    /// Connections that peers and strangers have opened.
+    /// Counters of the accepted connections.
     pub connections: acacia_accept::Stats,
 }
 
 impl Stats {
-    /// What was dropped, refused, closed or replaced, by the name of its metric. Counts of a peer are
-    /// gone with it.
+    /// The counters of dropped messages, refused frames, and closed or replaced connections, by the
+    /// name of their metric. The counters of a peer are removed with the peer.
     ///
     /// ```
     /// let stats = acacia_peer::Stats { inbox_full: 2, ..Default::default() };
