--- a/crates/peer/src/payload.rs
+++ b/crates/peer/src/payload.rs
@@ -1,21 +1,21 @@
 use serde::{Deserialize, Serialize};
 
-/// The last frame that the sender has from the receiver.
+/// Identifies the last frame that the sender of an echo received from its receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The receiver's incarnation at that time.
+    /// The incarnation under which the receiver sent that frame.
     pub incarnation: u64,
     /// That frame's sequence number.
     pub sequence: u64,
 }
 
-/// What an authenticated frame contains.
+/// The authenticated content of a frame.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FramePayload {
-    /// The receiver. Without it a recorded frame could be played to a balancer it was not sent to.
+    /// The id of the receiver. Without it, a recorded frame could be replayed to another balancer.
     pub to: u16,
-    /// What the sender last received from `to`.
+    /// The last frame that the sender received from `to`; none if it has received none.
     pub echo: Option<Echo>,
-    /// The encoded message; none in a frame that only keeps the connection alive.
+    /// The encoded message; none in a frame that only opens a connection or carries an echo.
     pub body: Option<Vec<u8>>,
 }
