--- a/crates/peer/src/silence.rs
+++ b/crates/peer/src/silence.rs
@@ -1,33 +1,34 @@
 use std::time::Duration;
 
-/// Decides when a connection has gone silent and is to be replaced.
+/// Decides when a connection has gone silent and has to be replaced.
 ///
-/// Something between two balancers may lose track of an open connection: it then carries nothing,
-/// for good, while a new one would work. TCP notices after many minutes. The peer's echo shows it
-/// within seconds: it stays where it is although we send.
+/// A device between two balancers, such as a NAT or a firewall, may lose the state of an open
+/// connection. The connection then carries no data any more, while a new one would work. TCP
+/// notices this after many minutes. The peer's echo shows it within seconds, since it doesn't
+/// advance although we send.
 ///
-/// The echo travels on the peer's own connection to us. When that one is the silent one, we
-/// replace ours in vain, and the peer, whom our frames reach without an echo of its own, replaces
-/// the right one.
+/// The echo arrives on the connection that the peer has opened to us. If that is the silent one, we
+/// replace ours in vain. The peer still receives our frames, but they don't echo what it sends, so
+/// it replaces the connection that is at fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SilenceDetector {
-    /// Sequence number and time of the first frame sent on this connection that the peer has not
-    /// echoed, nor any later one.
+    /// The first frame on this connection that the peer has not confirmed by an echo of it or of a
+    /// later one: its sequence number, and the time since which its echo is awaited.
     unechoed: Option<(u64, Duration)>,
-    /// The latest frame sent on this connection.
+    /// Sequence number of the latest frame sent.
     latest: u64,
-    /// Connections replaced in a row without an echo.
+    /// Number of replacements since the last echo.
     failures: u32,
 }
 
-/// Doublings of the wait, at most. 4: sixteen times.
-const MOST_DOUBLINGS: u32 = 4;
-/// Share of the wait that is random. Balancers that lost each other at one moment would otherwise
-/// all dial at one moment, again and again.
-const JITTER: f64 = 0.25;
+/// Maximum number of doublings of the timeout. 4: up to sixteen times the first one.
+const MAX_DOUBLINGS: u32 = 4;
+/// Largest random extension of the timeout, as a fraction of it. Without it, balancers that lose
+/// each other at the same moment would redial at the same moment every time.
+const JITTER_FRACTION: f64 = 0.25;
 
 impl SilenceDetector {
-    /// The detector of a connection that is about to be dialled.
+    /// Creates the detector of a connection that is about to be dialled.
     #[must_use]
     pub fn new() -> Self {
         SilenceDetector {
@@ -37,58 +38,62 @@
         }
     }
 
-    /// Takes in that a new connection is open. What the one before lost says nothing of it.
+    /// Records that a new connection is open. Frames that were lost on the previous one don't count
+    /// against it.
     pub fn connected(&mut self) {
         self.unechoed = None;
     }
 
-    /// Takes in that a frame is being sent.
+    /// Records that a frame is about to be sent.
     pub fn sent(&mut self, now: Duration, sequence: u64) {
         self.latest = self.latest.max(sequence);
         self.unechoed.get_or_insert((sequence, now));
     }
 
-    /// Takes in the peer's echo of our present incarnation.
+    /// Records an echo from the peer that names our current incarnation.
     pub fn echoed(&mut self, now: Duration, sequence: u64) {
         let Some((first, _)) = self.unechoed else {
             return;
         };
         if sequence >= first {
             self.failures = 0;
-            // What was sent after the echoed frame is still awaited, from now on: the echo shows
-            // that the connection was alive a moment ago.
-            let rest = sequence < self.latest;
-            self.unechoed = rest.then_some((sequence + 1, now));
+            // Later frames are still to be echoed. Their time starts anew, because the echo shows
+            // that the connection worked a moment ago.
+            let is_outstanding = sequence < self.latest;
+            self.unechoed = is_outstanding.then_some((sequence + 1, now));
         }
     }
 
-    /// Whether to replace the connection now. `silent` is the wait before the first replacement,
-    /// `longest` that before any later one; `random` in 0..1 is drawn once for each connection.
+    /// Whether the connection has to be replaced now. `timeout` applies before the first
+    /// replacement and doubles with each one that brings no echo, up to `max_timeout`. `random`,
+    /// drawn once for each connection, is in 0..1 and extends the timeout by a quarter at most.
     ///
     /// ```
     /// use std::time::Duration;
     /// use acacia_peer::SilenceDetector;
-    /// let (silent, longest) = (Duration::from_secs(2), Duration::from_secs(30));
+    /// let (timeout, max_timeout) = (Duration::from_secs(2), Duration::from_secs(30));
     /// let mut detector = SilenceDetector::new();
     /// detector.sent(Duration::ZERO, 1);
-    /// assert!(!detector.is_silent(Duration::from_secs(1), silent, longest, 0.5));
-    /// assert!(detector.is_silent(Duration::from_secs(3), silent, longest, 0.5));
+    /// assert!(!detector.is_silent(Duration::from_secs(1), timeout, max_timeout, 0.5));
+    /// assert!(detector.is_silent(Duration::from_secs(3), timeout, max_timeout, 0.5));
     /// ```
     #[must_use]
     pub fn is_silent(
         &self,
         now: Duration,
-        silent: Duration,
-        longest: Duration,
+        timeout: Duration,
+        max_timeout: Duration,
         random: f64,
     ) -> bool {
-        let wait = silent * 2u32.pow(self.failures.min(MOST_DOUBLINGS));
-        let wait = wait.min(longest.max(silent)).mul_f64(1.0 + JITTER * random);
+        let wait = timeout * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
+        let wait = wait
+            .min(max_timeout.max(timeout))
+            .mul_f64(1.0 + JITTER_FRACTION * random);
         let since = self.unechoed.map(|(_, since)| since);
         since.is_some_and(|since| now.saturating_sub(since) > wait)
     }
 
-    /// Takes in that the connection was replaced.
+    /// Records that the connection is being replaced.
     pub fn replaced(&mut self) {
         self.unechoed = None;
         self.failures += 1;
