--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -2,39 +2,39 @@
 use acacia_wire::control;
 use thiserror::Error;
 
-/// Why the mesh could not do what it was asked, or dropped a frame.
+/// Why a call of the mesh failed, or why it dropped a received frame.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Error {
     /// The listening socket can't be opened.
     #[error("can't listen on {address}: {reason}")]
     Listen {
-        /// Where.
+        /// The address to listen on.
         address: std::net::SocketAddr,
-        /// Why not.
+        /// The system's error.
         reason: String,
     },
     /// A thread can't be spawned.
     #[error("can't spawn a thread: {0}")]
     Spawn(String),
-    /// No such peer is set.
-    #[error("no peer {0}")]
+    /// No peer with this id is set.
+    #[error("balancer {0} is not a peer")]
     UnknownPeer(u16),
-    /// The peer's queue is full, or the message is larger than any frame.
-    #[error("queue for peer {0} is full")]
+    /// The queue of the peer with this id is full, or the message is too large for a frame.
+    #[error("queue for peer {0} is full or the message is too large")]
     QueueFull(u16),
-    /// A frame that can't be opened.
+    /// A frame that can't be authenticated or decoded.
     #[error(transparent)]
     Frame(#[from] control::Error),
-    /// A frame that was received before, or is older than one that was.
-    #[error("control frame was seen before")]
+    /// A frame that is not newer than the last one accepted from its sender.
+    #[error("control frame was replayed or is out of order")]
     Replayed,
-    /// A frame for another balancer.
-    #[error("control frame is for another balancer")]
+    /// A frame that is addressed to another balancer, or names this one as its sender.
+    #[error("control frame is addressed to another balancer or names this one as its sender")]
     Misaddressed,
 }
 
 impl Error {
-    /// The numbered code.
+    /// The error's result code.
     ///
     /// ```
     /// assert_eq!(acacia_peer::Error::Replayed.code().number(), 294);
