--- a/crates/peer/src/shared.rs
+++ b/crates/peer/src/shared.rs
@@ -7,19 +7,20 @@
 use crate::Settings;
 use crate::state::State;
 
-/// Connections that have not carried a valid frame yet, at a time.
-const PENDING: usize = 256;
-/// Connections of peers at a time, several times the largest group.
-const ACTIVE: usize = 512;
-/// How long a connection has to carry its first valid frame, which a peer sends as it connects.
-const FIRST_FRAME: Duration = Duration::from_secs(2);
+/// Maximum number of accepted connections that have not carried a valid frame yet.
+const MAX_PENDING: usize = 256;
+/// Maximum number of accepted connections of peers: several times the largest group.
+const MAX_ACTIVE: usize = 512;
+/// How long an accepted connection may take to carry its first valid frame, which a peer sends as
+/// soon as it is connected.
+const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The state, its lock, and what wakes the task that keeps the connections.
+/// The state behind its lock, and what the tasks use without the lock.
 pub(crate) struct Shared {
     state: Mutex<State>,
-    /// The list of peers has changed.
+    /// Wakes the task that keeps the outgoing connections, after the list of peers has changed.
     pub(crate) peers_changed: Notify,
-    /// Bounds the connections that are accepted.
+    /// Limits the accepted connections.
     pub(crate) limiter: Arc<Limiter>,
 }
 
@@ -33,8 +34,8 @@
         }
     }
 
-    /// The state. A thread that panicked while it held the lock can't have left it half changed
-    /// in a way that matters: counters and queues are valid after every step.
+    /// Locks the state. Ignores that the lock is poisoned: counters and queues are valid after
+    /// every step, so the state stays usable after a panic under the lock.
     pub(crate) fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -42,9 +43,9 @@
 
 fn limits(settings: &Settings) -> Limits {
     Limits {
-        pending: PENDING,
-        active: ACTIVE,
-        pending_timeout: FIRST_FRAME,
+        pending: MAX_PENDING,
+        active: MAX_ACTIVE,
+        pending_timeout: FIRST_FRAME_TIMEOUT,
         idle_timeout: settings.max_silence_timeout,
         stalled_after: settings.silence_timeout(),
     }
