--- a/crates/peer/src/mesh.rs
+++ b/crates/peer/src/mesh.rs
@@ -13,19 +13,21 @@
 use crate::state::State;
 use crate::{Class, Error, Settings, Stats, receive, send};
 
-/// Largest encoded message: a frame with its envelope, authenticator and addressing.
+/// Largest encoded message. The rest of the largest frame is room for the envelope, the
+/// authenticator and the other fields of the payload.
 const MAX_MESSAGE: usize = MAX_FRAME - 128;
 
 /// A message from a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Received<T> {
-    /// Who sent it.
+    /// The authenticated sender, its incarnation, and the frame's sequence number.
     pub envelope: Envelope,
-    /// The message.
+    /// The decoded message.
     pub message: T,
 }
 
-/// The control connections of one balancer. Closing or dropping it ends them and joins their thread.
+/// The control connections of one balancer. Closing or dropping the mesh closes them and joins
+/// their thread.
 pub struct Mesh<T> {
     shared: Arc<Shared>,
     stop: CancellationToken,
@@ -34,7 +36,8 @@
 }
 
 impl<T: Serialize + DeserializeOwned + Send + 'static> Mesh<T> {
-    /// Listens, and begins to send and receive.
+    /// Opens the listening socket and starts the thread that sends and receives. Received messages
+    /// arrive on the returned channel.
     ///
     /// ```
     /// use acacia_peer::{Class, Mesh, Settings};
@@ -66,8 +69,8 @@
         Ok((mesh, received))
     }
 
-    /// Queues a message for a peer. Never blocks; a full queue drops the message, counts it and
-    /// says so.
+    /// Queues a message for a peer, without blocking. If the queue is full or the message too
+    /// large, drops the message, counts it and returns an error.
     pub fn send(&self, to: u16, class: Class, message: &T) -> Result<(), Error> {
         let body = postcard::to_allocvec(message).map_err(|_| Error::QueueFull(to))?;
         let mut state = self.shared.lock();
@@ -82,21 +85,23 @@
 }
 
 impl<T> Mesh<T> {
-    /// Sets to whom connections are kept. Queues of those that are no longer among them are
-    /// dropped; a changed address is dialled anew.
+    /// Sets the peers to which connections are kept, by id and address. A peer that is no longer
+    /// among them is disconnected and its queue dropped; so is one whose address has changed, and
+    /// it is then dialled at its new address.
     pub fn set_peers(&self, peers: &[(u16, SocketAddr)]) {
         if self.shared.lock().set_peers(peers) {
             self.shared.peers_changed.notify_one();
         }
     }
 
-    /// Sets the incarnation, when this balancer joins again, and drops what still waits to be
-    /// sent. Does nothing if it is the present one, so it may be called in every round.
+    /// Sets the incarnation when this balancer joins the group again, and drops all queued
+    /// messages. Does nothing if the incarnation is unchanged, so it may be called in every control
+    /// round.
     pub fn set_incarnation(&self, incarnation: u64) {
         self.shared.lock().set_incarnation(incarnation);
     }
 
-    /// Sets the keys, during a change of key.
+    /// Sets the keys that authenticate frames, to change the key without closing connections.
     pub fn set_secret(&self, secret: Secret) {
         self.shared.lock().secret = secret;
     }
@@ -106,7 +111,7 @@
         self.shared.lock().settings.send_interval = send_interval;
     }
 
-    /// The counters.
+    /// The counters of the mesh.
     #[must_use]
     pub fn stats(&self) -> Stats {
         let connections = self.shared.limiter.stats();
@@ -116,15 +121,16 @@
         }
     }
 
-    /// Closes all connections and joins the thread that keeps them. What is still queued is dropped.
+    /// Closes all connections and joins their thread. Queued messages are dropped.
     pub fn close(mut self) {
-        self.shut();
+        self.shut_down();
     }
 
-    fn shut(&mut self) {
+    fn shut_down(&mut self) {
         self.stop.cancel();
         if let Some(thread) = self.thread.take() {
-            // A panic in it has been printed; there is nothing left to end.
+            // If the thread panicked, the panic hook has reported it and all connections are
+            // closed.
             let _ = thread.join();
         }
     }
@@ -132,7 +138,7 @@
 
 impl<T> Drop for Mesh<T> {
     fn drop(&mut self) {
-        self.shut();
+        self.shut_down();
     }
 }
 
@@ -148,7 +154,7 @@
     })
 }
 
-/// Starts the thread that keeps all connections, until `stop`.
+/// Starts the thread that runs all connections until `stop` is cancelled.
 fn spawn<T: DeserializeOwned + Send + 'static>(
     shared: Arc<Shared>,
     listener: TcpListener,
@@ -172,7 +178,7 @@
             () = receive::run(shared, listener, inbox, stop.clone()) => {}
         }
     };
-    // The runtime is dropped with the thread, and with it all tasks that are still there.
+    // The runtime is dropped when the thread ends, which aborts all remaining tasks.
     let thread = Builder::new().name("peer".into());
     thread.spawn(move || runtime.block_on(run)).map_err(failed)
 }
