--- a/crates/peer/src/receive.rs
+++ b/crates/peer/src/receive.rs
@@ -16,19 +16,19 @@
 use crate::shared::Shared;
 use crate::{Error, FramePayload, Received};
 
-/// Accepts connections and takes what comes over them, until told to stop.
+/// Accepts connections and receives frames from them, until `stop` is cancelled.
 pub(crate) async fn run<T: DeserializeOwned + Send + 'static>(
     shared: Arc<Shared>,
     listener: TcpListener,
     inbox: Sender<Received<T>>,
     stop: CancellationToken,
 ) {
-    let current = Current::default();
-    let numbers = AtomicU64::new(0);
+    let current = CurrentConnections::default();
+    let next_number = AtomicU64::new(0);
     let limiter = Arc::clone(&shared.limiter);
     listen(listener, stop, limiter, |stream, slot| {
         let connection = Connection {
-            number: numbers.fetch_add(1, Ordering::Relaxed),
+            number: next_number.fetch_add(1, Ordering::Relaxed),
             shared: Arc::clone(&shared),
             current: Arc::clone(&current),
             inbox: inbox.clone(),
@@ -39,20 +39,21 @@
     .await;
 }
 
-/// The connection that frames of each peer last came over, by its number, and what ends it.
-type Current = Arc<Mutex<Map<u16, (u64, CancellationToken)>>>;
+/// For each peer the connection over which its last frame arrived: the connection's number, and the
+/// token that closes it.
+type CurrentConnections = Arc<Mutex<Map<u16, (u64, CancellationToken)>>>;
 
-/// A connection that a peer, or a stranger, has opened.
+/// An accepted connection. The other end is unknown until the first valid frame.
 struct Connection<T> {
     number: u64,
     shared: Arc<Shared>,
-    current: Current,
+    current: CurrentConnections,
     inbox: Sender<Received<T>>,
     slot: Arc<Slot>,
 }
 
 impl<T: DeserializeOwned> Connection<T> {
-    /// Takes frames until the connection ends or is replaced.
+    /// Receives frames until the connection ends or the peer has replaced it by another.
     async fn serve(self, stream: TcpStream) {
         let replaced = CancellationToken::new();
         let mut frames = FramedRead::new(stream, frame::pending_codec());
@@ -63,12 +64,12 @@
             };
             match frame {
                 Some(Ok(frame)) => {
-                    if self.take(&frame, &replaced) {
+                    if self.process(&frame, &replaced) {
                         frame::allow_long(frames.decoder_mut());
                     }
                 }
                 Some(Err(error)) => {
-                    self.note_end(&error);
+                    self.handle_read_error(&error);
                     return;
                 }
                 None => return,
@@ -76,12 +77,12 @@
         }
     }
 
-    /// Takes a frame; false if it is not valid.
-    fn take(&self, frame: &[u8], replaced: &CancellationToken) -> bool {
-        match check(&self.shared, frame) {
+    /// Processes a frame; returns false if it is not valid.
+    fn process(&self, frame: &[u8], replaced: &CancellationToken) -> bool {
+        match open_frame(&self.shared, frame) {
             Ok((envelope, body)) => {
                 self.slot.activate();
-                self.replace(envelope.sender, replaced);
+                self.close_previous(envelope.sender, replaced);
                 if let Some(message) = body {
                     self.deliver(Received { envelope, message });
                 }
@@ -94,8 +95,8 @@
         }
     }
 
-    /// The connection ended by itself, or announced a frame that is too long.
-    fn note_end(&self, error: &io::Error) {
+    /// Logs why reading failed, and counts a declared frame length above the limit as oversized.
+    fn handle_read_error(&self, error: &io::Error) {
         if error.kind() == io::ErrorKind::InvalidData {
             let oversized = Error::Frame(control::Error::Oversized);
             self.shared.lock().count_refused(&oversized);
@@ -103,19 +104,20 @@
         log::debug!("event=connection_ended error={error:?}");
     }
 
-    /// Closes the connection that a peer has replaced by this one. It may have gone silent in a way
-    /// that its end never reaches us, and would stay open for long.
-    fn replace(&self, sender: u16, replaced: &CancellationToken) {
+    /// Makes this the current connection of the sender and closes the one before. That one may have
+    /// gone silent, so that the peer's close never reaches us and it would stay open for long.
+    fn close_previous(&self, sender: u16, replaced: &CancellationToken) {
         let mut current = lock(&self.current);
-        if let Some((number, before)) = current.get(&sender) {
+        if let Some((number, previous)) = current.get(&sender) {
             if *number == self.number {
                 return;
             }
-            before.cancel();
+            previous.cancel();
         }
         current.insert(sender, (self.number, replaced.clone()));
     }
 
+    /// Passes a message to the application; drops and counts it if the channel is full.
     fn deliver(&self, received: Received<T>) {
         if let Err(TrySendError::Full(_)) = self.inbox.try_send(received) {
             self.shared.lock().stats.inbox_full += 1;
@@ -124,13 +126,16 @@
     }
 }
 
-fn check<T: DeserializeOwned>(
+/// Authenticates, checks and decodes a frame.
+fn open_frame<T: DeserializeOwned>(
     shared: &Shared,
     frame: &[u8],
 ) -> Result<(Envelope, Option<T>), Error> {
     let secret = shared.lock().secret.clone();
     let (envelope, payload) = open::<FramePayload>(frame, &secret)?;
-    let body = shared.lock().take(&envelope, payload, frame.len())?;
+    let body = shared
+        .lock()
+        .accept_frame(&envelope, payload, frame.len())?;
     let message = body.map(|body| postcard::from_bytes(&body)).transpose();
     let message = message.map_err(|_| Error::Frame(control::Error::Undecodable))?;
     Ok((envelope, message))
--- a/crates/peer/src/send.rs
+++ b/crates/peer/src/send.rs
@@ -19,21 +19,21 @@
 use crate::shared::Shared;
 use crate::state::Frame;
 
-/// How often silence, idleness and the budget are looked at when nothing else happens.
-const TICK: Duration = Duration::from_millis(50);
-/// First wait between two attempts to connect; it doubles up to [`RECONNECT_MOST`].
-const RECONNECT: Duration = Duration::from_millis(100);
-/// Longest wait between two attempts to connect, and longest time that one attempt may take: a peer
-/// without power answers nothing at all.
-const RECONNECT_MOST: Duration = Duration::from_secs(2);
-
-/// A connection that lasted for so long was wanted by the peer. One that accepts and closes at once has
-/// no place for it, and is dialled ever more rarely.
-const STABLE: Duration = RECONNECT_MOST;
+/// How often a connection checks for silence, a due keepalive and room in the budget when no
+/// message is queued.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// First delay between two attempts to connect; it doubles up to [`MAX_RECONNECT_DELAY`].
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Longest delay between two attempts to connect, and timeout of a single attempt: a host without
+/// power doesn't even refuse the connection.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(2);
+/// How long a connection has to last before the delay is reset. A peer at its limit of connections
+/// accepts and closes them at once, and is therefore dialled less and less often.
+const STABLE_AFTER: Duration = MAX_RECONNECT_DELAY;
 
 type Writer = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
 
-/// Keeps one connection to each peer, until dropped.
+/// Keeps one outgoing connection to each peer, until dropped.
 pub(crate) async fn run(shared: Arc<Shared>, seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut links: JoinMap<(u16, SocketAddr), ()> = JoinMap::new();
@@ -55,96 +55,97 @@
         }
         tokio::select! {
             () = shared.peers_changed.notified() => {}
-            Some(((id, address), ended)) = links.join_next() => note_end(id, address, ended).await,
+            Some(((id, address), ended)) = links.join_next() => on_panic(id, address, ended).await,
         }
     }
 }
 
-/// A link ends by itself only by a fault. Its peer is dialled again, and not at once: the fault may
-/// come back.
-async fn note_end(id: u16, address: SocketAddr, ended: Result<(), JoinError>) {
+/// Logs the panic of a link's task and waits. Tasks of links end by themselves only if they panic,
+/// and since that may happen again, the peer isn't dialled again at once.
+async fn on_panic(id: u16, address: SocketAddr, ended: Result<(), JoinError>) {
     let Err(error) = ended else { return };
     if !error.is_cancelled() {
         log::error!("event=link-panicked peer={id} address={address} error=\"{error}\"");
-        sleep(RECONNECT_MOST).await;
+        sleep(MAX_RECONNECT_DELAY).await;
     }
 }
 
-/// Why a connection ended.
-enum End {
-    /// What was sent over it was not echoed.
+/// Why a connection to a peer ended.
+enum Disconnect {
+    /// The peer no longer echoes the frames sent over it.
     Silent,
-    /// The peer closed it, or it failed.
+    /// The peer closed the connection, or it failed.
     Closed(io::Error),
 }
 
-/// The connection to one peer.
+/// The outgoing connection to one peer, and its replacements.
 struct Link {
     shared: Arc<Shared>,
     id: u16,
     address: SocketAddr,
     random: Pcg64Mcg,
-    /// A frame that the last connection did not take whole.
+    /// A frame that was not sent completely over the last connection.
     unsent: Option<Frame>,
 }
 
 impl Link {
-    /// Connects, and connects again whenever the connection ends.
+    /// Connects, and reconnects whenever the connection ends.
     async fn run(mut self) {
-        let mut pause = RECONNECT;
+        let mut delay = MIN_RECONNECT_DELAY;
         loop {
             let (id, address) = (self.id, self.address);
             match self.connect().await {
                 Ok(stream) => {
-                    let opened = Instant::now();
+                    let connected_at = Instant::now();
                     match self.serve(stream).await {
-                        End::Silent => {
-                            self.shared.lock().redialled(id);
+                        Disconnect::Silent => {
+                            self.shared.lock().record_redial(id);
                             let code = Code::ControlSilent;
                             log::warn!("event=redial code={code} peer={id} address={address}");
                             continue;
                         }
-                        End::Closed(error) => {
+                        Disconnect::Closed(error) => {
                             log::debug!("event=connection_ended peer={id} error={error:?}");
                         }
                     }
-                    if opened.elapsed() >= STABLE {
-                        pause = RECONNECT;
+                    if connected_at.elapsed() >= STABLE_AFTER {
+                        delay = MIN_RECONNECT_DELAY;
                     }
                 }
                 Err(error) => {
                     log::debug!("event=dial_failed peer={id} address={address} error={error:?}");
                 }
             }
-            // Drawn at random: balancers that lost each other at one moment would else all dial together.
-            sleep(pause.mul_f64(self.random.random_range(0.5..1.0))).await;
-            pause = (pause * 2).min(RECONNECT_MOST);
+            // The jitter keeps balancers that lose each other at the same moment from dialling at
+            // the same moment too.
+            sleep(delay.mul_f64(self.random.random_range(0.5..1.0))).await;
+            delay = (delay * 2).min(MAX_RECONNECT_DELAY);
         }
     }
 
     async fn connect(&self) -> io::Result<TcpStream> {
-        let stream = timeout(RECONNECT_MOST, TcpStream::connect(self.address)).await??;
+        let stream = timeout(MAX_RECONNECT_DELAY, TcpStream::connect(self.address)).await??;
         stream.set_nodelay(true)?;
-        self.shared.lock().connected(self.id);
+        self.shared.lock().record_connected(self.id);
         Ok(stream)
     }
 
     /// Sends over a connection until it ends.
-    async fn serve(&mut self, stream: TcpStream) -> End {
+    async fn serve(&mut self, stream: TcpStream) -> Disconnect {
         let jitter = self.random.random();
         let (reader, writer) = stream.into_split();
         let writer = FramedWrite::new(writer, codec());
         let (shared, id) = (Arc::clone(&self.shared), self.id);
         tokio::select! {
-            error = self.send(writer) => End::Closed(error),
-            error = closed(reader) => End::Closed(error),
-            () = silence(&shared, id, jitter) => End::Silent,
+            error = self.send(writer) => Disconnect::Closed(error),
+            error = wait_until_closed(reader) => Disconnect::Closed(error),
+            () = wait_until_silent(&shared, id, jitter) => Disconnect::Silent,
         }
     }
 
-    /// Opens the connection and sends what may pass; gives why it can't any more.
+    /// Sends the first frame and then queued messages and keepalives, until sending fails.
     async fn send(&mut self, mut writer: Writer) -> io::Error {
-        if let Err(error) = self.open(&mut writer).await {
+        if let Err(error) = self.send_opening(&mut writer).await {
             return error;
         }
         loop {
@@ -152,7 +153,7 @@
                 self.unsent = self.shared.lock().next_frame(self.id);
             }
             let Some(frame) = &self.unsent else {
-                self.wait().await;
+                self.wait_for_message().await;
                 continue;
             };
             if let Err(error) = writer.send(frame.bytes.clone()).await {
@@ -163,12 +164,15 @@
         }
     }
 
-    /// Sends the frame that a connection begins with, and prepares the one that the last did not take.
-    async fn open(&mut self, writer: &mut Writer) -> io::Result<()> {
-        let opening = self.shared.lock().opening(self.id);
-        if let Some(opening) = opening {
-            writer.send(opening.bytes.clone()).await?;
-            self.shared.lock().count_sent(self.id, opening.bytes.len());
+    /// Sends the first frame of the connection, and seals the frame again that was not sent
+    /// completely over the last one.
+    async fn send_opening(&mut self, writer: &mut Writer) -> io::Result<()> {
+        let opening_frame = self.shared.lock().opening_frame(self.id);
+        if let Some(opening_frame) = opening_frame {
+            writer.send(opening_frame.bytes.clone()).await?;
+            self.shared
+                .lock()
+                .count_sent(self.id, opening_frame.bytes.len());
         }
         if let Some(frame) = self.unsent.take() {
             self.unsent = self.shared.lock().reseal(self.id, frame);
@@ -176,19 +180,20 @@
         Ok(())
     }
 
-    /// Waits for something to send.
-    async fn wait(&self) {
+    /// Waits until a message is queued, for one [`POLL_INTERVAL`] at most.
+    async fn wait_for_message(&self) {
         let queued = self.shared.lock().queued(self.id);
         match queued {
-            // Elapsed: the budget or the keepalive may let something pass now.
-            Some(queued) => drop(timeout(TICK, queued.notified()).await),
-            None => sleep(TICK).await,
+            // After a timeout there may be room in the budget, or a keepalive may be due.
+            Some(queued) => drop(timeout(POLL_INTERVAL, queued.notified()).await),
+            None => sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-/// Waits until the peer closes the connection. It sends nothing on it.
-async fn closed(mut reader: OwnedReadHalf) -> io::Error {
+/// Waits until the peer closes the connection. The peer sends nothing on it, so any data is an
+/// error.
+async fn wait_until_closed(mut reader: OwnedReadHalf) -> io::Error {
     let mut byte = [0];
     match reader.read(&mut byte).await {
         Ok(0) => io::ErrorKind::UnexpectedEof.into(),
@@ -198,9 +203,9 @@
 }
 
 /// Waits until the connection to a peer has gone silent.
-async fn silence(shared: &Shared, id: u16, jitter: f64) {
+async fn wait_until_silent(shared: &Shared, id: u16, jitter: f64) {
     loop {
-        sleep(TICK).await;
+        sleep(POLL_INTERVAL).await;
         if shared.lock().is_silent(id, jitter) {
             return;
         }
--- a/crates/peer/src/state.rs
+++ b/crates/peer/src/state.rs
@@ -7,22 +7,22 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-use crate::frame::LENGTH;
+use crate::frame::LENGTH_FIELD_BYTES;
 use crate::{Bucket, Error, FramePayload, Queue, ReplayFilter, Settings, SilenceDetector, Stats};
 
-/// A peer, apart from its socket.
+/// What is kept for a peer across its connections.
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) address: SocketAddr,
     pub(crate) queue: Queue,
     pub(crate) detector: SilenceDetector,
-    /// Wakes the task that sends to it.
+    /// Wakes the task that sends to this peer, after a message was queued.
     pub(crate) queued: Arc<Notify>,
-    /// When a frame was last made for it.
+    /// When the last frame was sealed for this peer.
     last_frame: Option<Duration>,
 }
 
-/// What the connections' tasks and the callers share.
+/// The state that the tasks of the connections and the callers of the mesh share.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) settings: Settings,
@@ -35,10 +35,10 @@
     start: Instant,
 }
 
-/// A frame to send.
+/// A sealed frame that is ready to be sent.
 pub(crate) struct Frame {
     pub(crate) bytes: Bytes,
-    /// What it carries, to be sealed again for another connection.
+    /// The message in the frame, kept so that it can be sealed again for another connection.
     body: Option<Vec<u8>>,
     incarnation: u64,
 }
@@ -61,19 +61,20 @@
         self.start.elapsed()
     }
 
-    /// The peers and where they are.
+    /// The addresses of the peers, by id.
     pub(crate) fn addresses(&self) -> BTreeMap<u16, SocketAddr> {
         let peers = self.peers.iter();
         peers.map(|(id, peer)| (*id, peer.address)).collect()
     }
 
-    /// What wakes the task that sends to a peer; none if it is no peer any more.
+    /// The notification that a message was queued for a peer; none if there is no such peer any
+    /// more.
     pub(crate) fn queued(&self, id: u16) -> Option<Arc<Notify>> {
         self.peers.get(&id).map(|peer| Arc::clone(&peer.queued))
     }
 
-    /// A new connection to a peer is open.
-    pub(crate) fn connected(&mut self, id: u16) {
+    /// Records that a new connection to a peer is open.
+    pub(crate) fn record_connected(&mut self, id: u16) {
         if let Some(peer) = self.peers.get_mut(&id) {
             peer.detector.connected();
         }
@@ -81,21 +82,22 @@
 
     /// Whether the connection to a peer has gone silent.
     pub(crate) fn is_silent(&self, id: u16, jitter: f64) -> bool {
-        let (now, silent) = (self.now(), self.settings.silence_timeout());
-        let longest = self.settings.max_silence_timeout;
+        let (now, timeout) = (self.now(), self.settings.silence_timeout());
+        let max_timeout = self.settings.max_silence_timeout;
         let peer = self.peers.get(&id);
-        peer.is_some_and(|peer| peer.detector.is_silent(now, silent, longest, jitter))
+        peer.is_some_and(|peer| peer.detector.is_silent(now, timeout, max_timeout, jitter))
     }
 
-    /// The silent connection to a peer is being replaced.
-    pub(crate) fn redialled(&mut self, id: u16) {
+    /// Records that the silent connection to a peer is being replaced.
+    pub(crate) fn record_redial(&mut self, id: u16) {
         if let Some(peer) = self.peers.get_mut(&id) {
             peer.detector.replaced();
             self.stats.peers.entry(id).or_default().redials += 1;
         }
     }
 
-    /// Sets the peers; false if they are those that were set before.
+    /// Sets the peers; returns false if they are the same as before. Queued messages of a peer that
+    /// is removed or has a new address are dropped.
     pub(crate) fn set_peers(&mut self, peers: &[(u16, SocketAddr)]) -> bool {
         let before = self.addresses();
         let kept = |id: &u16, peer: &mut Peer| peers.contains(&(*id, peer.address));
@@ -115,8 +117,10 @@
         before != self.addresses()
     }
 
-    /// A new incarnation begins a new sequence, of which nothing was echoed yet. What waits was
-    /// said in the former life; sealed now, it would pass for the new one's word.
+    /// Sets the incarnation of this balancer, starts a new sequence and drops all queued messages.
+    /// Those stem from the previous incarnation; sealed now, they would count as messages of the
+    /// new one. No frame of the new sequence has been echoed yet, so the silence detectors start
+    /// anew.
     pub(crate) fn set_incarnation(&mut self, incarnation: u64) {
         if incarnation == self.settings.incarnation {
             return;
@@ -129,8 +133,8 @@
         }
     }
 
-    /// The next frame for a peer, if something waits that may pass, or its connection needs to be
-    /// kept alive.
+    /// Seals the next frame for a peer: the next queued message that the budget allows, or an empty
+    /// frame if a keepalive is due.
     pub(crate) fn next_frame(&mut self, id: u16) -> Option<Frame> {
         let now = self.now();
         let keepalive = self.settings.keepalive();
@@ -146,14 +150,15 @@
         self.seal(id, body)
     }
 
-    /// The frame that a new connection begins with. It carries nothing and is short: before the first
-    /// valid frame, a receiver takes no long one.
-    pub(crate) fn opening(&mut self, id: u16) -> Option<Frame> {
+    /// Seals the first frame of a new connection. It carries no message and is short, because a
+    /// receiver accepts no long frame before the first valid one.
+    pub(crate) fn opening_frame(&mut self, id: u16) -> Option<Frame> {
         self.seal(id, None)
     }
 
-    /// A frame that the last connection did not take whole, with a later number than the opening of
-    /// the new one; none if this balancer has joined anew since.
+    /// Seals a frame again that was not sent completely over the last connection. Its new sequence
+    /// number is higher than that of the new connection's first frame, so the receiver doesn't take
+    /// it for a replay. None if the incarnation has changed since.
     pub(crate) fn reseal(&mut self, id: u16, frame: Frame) -> Option<Frame> {
         if frame.incarnation != self.settings.incarnation {
             return None;
@@ -183,7 +188,7 @@
             &payload,
             &self.secret,
         );
-        self.bucket.charge(bytes.len() + LENGTH);
+        self.bucket.charge(bytes.len() + LENGTH_FIELD_BYTES);
         Some(Frame {
             bytes: bytes.into(),
             body: payload.body,
@@ -192,17 +197,18 @@
     }
 
     pub(crate) fn count_sent(&mut self, id: u16, bytes: usize) {
-        let traffic = self.stats.peers.entry(id).or_default();
-        traffic.sent_frames += 1;
-        traffic.sent_bytes += (bytes + LENGTH) as u64;
+        let counters = self.stats.peers.entry(id).or_default();
+        counters.sent_frames += 1;
+        counters.sent_bytes += (bytes + LENGTH_FIELD_BYTES) as u64;
     }
 
     pub(crate) fn count_refused(&mut self, error: &Error) {
         *self.stats.refused.entry(error.code()).or_default() += 1;
     }
 
-    /// Checks an opened frame and takes its echo; gives its body.
-    pub(crate) fn take(
+    /// Checks the addressing and freshness of an authenticated frame, records its echo and returns
+    /// its message, if any. `bytes` is the frame's length.
+    pub(crate) fn accept_frame(
         &mut self,
         envelope: &Envelope,
         payload: FramePayload,
@@ -218,9 +224,9 @@
             if let Some(echo) = payload.echo.filter(|echo| echo.incarnation == own) {
                 peer.detector.echoed(now, echo.sequence);
             }
-            let traffic = self.stats.peers.entry(envelope.sender).or_default();
-            traffic.received_frames += 1;
-            traffic.received_bytes += (bytes + LENGTH) as u64;
+            let counters = self.stats.peers.entry(envelope.sender).or_default();
+            counters.received_frames += 1;
+            counters.received_bytes += (bytes + LENGTH_FIELD_BYTES) as u64;
         }
         Ok(payload.body)
     }
