--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,15 +1,17 @@
 //! Control traffic between balancers, as frames over TCP.
 //!
-//! A [`Mesh`] listens on one socket and keeps one connection to each peer, all in one thread.
-//! [`Mesh::send`] never blocks: it puts the message into a bounded queue, from which it is sent within
-//! the budget for control bytes. What arrives is opened; what is forged, cut short, replayed or meant
-//! for another balancer is dropped and counted, and the rest is handed on.
+//! A [`Mesh`] listens on one socket and keeps one outgoing connection to each peer, all in one
+//! thread. [`Mesh::send`] never blocks: it puts the message into a bounded queue, and the thread
+//! sends it within the budget for control bytes. Received frames are authenticated and decoded.
+//! Forged, truncated, replayed and misaddressed frames are dropped and counted; the messages of all
+//! others go to the application.
 //!
-//! Every frame echoes the last one that was received from its receiver. When the echo of what we
-//! send does not advance, the connection has gone silent, whatever TCP thinks of it, and is
-//! replaced by a fresh one; [`SilenceDetector`] decides when.
+//! Every frame carries an echo, which identifies the last frame that its sender received from its
+//! receiver. When a peer's echo doesn't advance although we send to it, our connection to it counts
+//! as silent, even if TCP still reports it as open, and is replaced by a new one.
+//! [`SilenceDetector`] decides when.
 //!
-//! [`SilenceDetector`], [`Bucket`], [`Queue`] and [`ReplayFilter`] decide without sockets or clocks.
+//! [`SilenceDetector`], [`Bucket`], [`Queue`] and [`ReplayFilter`] use neither sockets nor clocks.
 
 mod bucket;
 mod error;
