--- a/crates/accept/tests/it/listen.rs
+++ b/crates/accept/tests/it/listen.rs
@@ -20,10 +20,11 @@
     idle_timeout: Duration::from_millis(600),
     stalled_after: Duration::from_millis(100),
 };
-/// Far longer than anything may take on a busy machine.
-const LONG: Duration = Duration::from_secs(10);
+/// Timeout of a read or an exchange: far longer than either takes even on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A server that echoes each byte; every byte but zero counts as a valid message.
+/// A server that echoes each byte. Zero is not a valid message, 255 makes the connection's task
+/// panic, and all other bytes are valid messages.
 struct Server {
     address: SocketAddr,
     limiter: Arc<Limiter>,
@@ -37,8 +38,8 @@
         let address = listener.local_addr().expect("bound");
         let limiter = Arc::new(Limiter::new("test", LIMITS));
         let stop = CancellationToken::new();
-        let (token, known) = (stop.clone(), Arc::clone(&limiter));
-        let task = tokio::spawn(listen(listener, token, known, echo));
+        let (server_stop, server_limiter) = (stop.clone(), Arc::clone(&limiter));
+        let task = tokio::spawn(listen(listener, server_stop, server_limiter, echo));
         Server {
             address,
             limiter,
@@ -56,7 +57,7 @@
 async fn echo(mut stream: TcpStream, slot: Arc<Slot>) {
     let mut byte = [0];
     while let Ok(1) = stream.read(&mut byte).await {
-        assert!(byte[0] != 255, "a message that the server can't bear");
+        assert!(byte[0] != 255, "a message that makes the task panic");
         if byte[0] != 0 && !slot.activate() {
             return;
         }
@@ -66,35 +67,36 @@
     }
 }
 
-/// Whether a byte comes back.
+/// Sends a byte and returns whether it is echoed.
 async fn is_answered(stream: &mut TcpStream, byte: u8) -> bool {
     let mut answer = [0];
     let exchange = async {
         stream.write_all(&[byte]).await?;
         stream.read_exact(&mut answer).await
     };
-    matches!(timeout(LONG, exchange).await, Ok(Ok(_))) && answer == [byte]
+    matches!(timeout(TIMEOUT, exchange).await, Ok(Ok(_))) && answer == [byte]
 }
 
+/// Waits for the server to close the connection; false if it sends data or nothing happens.
 async fn is_closed(stream: &mut TcpStream) -> bool {
     let mut byte = [0];
     matches!(
-        timeout(LONG, stream.read(&mut byte)).await,
+        timeout(TIMEOUT, stream.read(&mut byte)).await,
         Ok(Ok(0) | Err(_))
     )
 }
 
 #[tokio::test]
-async fn silent_connections_keep_nobody_out() {
+async fn silent_connections_do_not_keep_others_out() {
     let server = Server::start().await;
     let mut silent = vec![];
     for _ in 0..20 {
         silent.push(server.connect().await);
     }
 
-    let mut asked = server.connect().await;
+    let mut working = server.connect().await;
 
-    assert!(is_answered(&mut asked, 1).await);
+    assert!(is_answered(&mut working, 1).await);
     let stats = server.limiter.stats();
     assert_eq!(
         (stats.accepted, stats.displaced >= 16),
@@ -119,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn an_active_connection_that_stands_still_gives_way_to_a_new_one() {
+async fn a_stalled_connection_is_closed_for_one_that_becomes_active() {
     let server = Server::start().await;
     let (mut one, mut two) = (server.connect().await, server.connect().await);
     assert!(is_answered(&mut one, 1).await && is_answered(&mut two, 2).await);
@@ -134,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_whose_task_panics_is_counted_and_ends_no_other() {
+async fn a_connection_whose_task_panics_is_counted_and_leaves_others_open() {
     let server = Server::start().await;
     let mut other = server.connect().await;
     assert!(is_answered(&mut other, 1).await);
