--- a/crates/accept/tests/it/table.rs
+++ b/crates/accept/tests/it/table.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_active_connection_gives_way_only_when_it_stands_still() {
+fn an_active_connection_is_displaced_only_if_it_is_stalled() {
     let mut table = ConnectionTable::new(limits());
     let ids: Vec<u64> = (0..3)
         .map(|_| table.admit(address(1), Duration::ZERO).id)
@@ -62,7 +62,7 @@
     assert_eq!(table.deadline(id), None);
 }
 
-/// What happens to a table.
+/// An operation on a table.
 #[derive(Debug, Clone)]
 enum Step {
     Admit(u8),
@@ -80,13 +80,14 @@
 }
 
 proptest! {
-    /// Strangers who open connections must never close those of peers that have proved themselves.
+    /// Unauthenticated hosts that open connections must never displace those of peers, which have
+    /// carried a valid message.
     #[test]
     fn a_pending_connection_never_displaces_an_active_one(steps in steps()) {
         let mut table = ConnectionTable::new(limits());
         let mut active = BTreeSet::new();
-        for (at, step) in steps.into_iter().enumerate() {
-            let now = Duration::from_millis(at as u64 * 100);
+        for (round, step) in steps.into_iter().enumerate() {
+            let now = Duration::from_millis(round as u64 * 100);
             match step {
                 Step::Admit(from) => {
                     let displaced = table.admit(address(from), now).displaced;
