--- a/crates/peer/tests/it/frame.rs
+++ b/crates/peer/tests/it/frame.rs
@@ -8,10 +8,10 @@
     Heartbeat(Heartbeat),
 }
 
-/// docs/CAPACITY.md rests on the size of a heartbeat when all is well: incarnations in
-/// milliseconds since 1970, numbers after some days.
+/// docs/CAPACITY.md is based on the size of a heartbeat in normal operation: incarnations are in
+/// milliseconds since 1970, and sequence numbers are those after some days.
 #[test]
-fn a_heartbeats_frame_has_the_size_that_the_estimate_takes() {
+fn a_heartbeat_frame_is_as_large_as_estimated() {
     let (incarnation, number) = (1_800_000_000_000, 2_000_000);
     let message = Message::Heartbeat(Heartbeat {
         number,
@@ -50,9 +50,9 @@
         &Secret::new(&[7; 32], None),
     );
 
-    const LENGTH: usize = 8;
+    const LENGTH_FIELD_BYTES: usize = 8;
     assert!(
-        (FRAME_BYTES - 4..=FRAME_BYTES).contains(&(frame.len() + LENGTH)),
+        (FRAME_BYTES - 4..=FRAME_BYTES).contains(&(frame.len() + LENGTH_FIELD_BYTES)),
         "{}",
         frame.len()
     );
