--- a/crates/peer/tests/it/limits.rs
+++ b/crates/peer/tests/it/limits.rs
@@ -3,10 +3,10 @@
 use acacia_peer::{Bucket, Class, Queue, ReplayFilter};
 use acacia_wire::control::Envelope;
 
-/// A third of the backend servers drains and copies of pins are wanted at fifty times the budget.
-/// Heartbeats must go on, and the rest must keep to the budget.
+/// When a third of the backend servers drains, copies of pins are requested at fifty times the
+/// budget. Heartbeats must still be sent, and bulk messages must keep to the budget.
 #[test]
-fn bulk_keeps_to_the_budget_and_heartbeats_always_pass() {
+fn bulk_keeps_to_the_budget_and_heartbeats_are_always_sent() {
     let mut bucket = Bucket::new(4_000, 16_000, Duration::ZERO);
     let mut queue = Queue::new(256, 1 << 20);
     let (mut bulk, mut heartbeats) = (0, 0);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_urgent_giant_delays_bulk_for_seconds_only() {
+fn a_large_urgent_message_delays_bulk_for_seconds_only() {
     let mut bucket = Bucket::new(4_000, 16_000, Duration::ZERO);
 
     bucket.charge(1_000_000);
@@ -55,12 +55,12 @@
     assert!(queue.push(Class::Heartbeat, vec![3]) && queue.push(Class::Heartbeat, vec![4]));
 
     let order: Vec<u8> = std::iter::from_fn(|| queue.pop(true))
-        .map(|m| m[0])
+        .map(|message| message[0])
         .collect();
     assert_eq!(order, [4, 2, 1]);
     assert!(
         queue.push(Class::Bulk, vec![5; 1000]),
-        "what was sent makes room"
+        "messages that were sent free their bytes"
     );
 }
 
@@ -74,9 +74,9 @@
     };
     (0..300).for_each(|sender| filter.accept(&envelope(sender)).expect("new"));
 
-    assert_eq!(filter.last(0), None, "the oldest made room");
+    assert_eq!(filter.last(0), None, "the oldest sender is forgotten");
     assert!(
         filter.accept(&envelope(299)).is_err(),
-        "the latest is known"
+        "the latest sender is remembered"
     );
 }
