--- a/crates/peer/tests/it/mesh.rs
+++ b/crates/peer/tests/it/mesh.rs
@@ -10,7 +10,7 @@
 
 use crate::relay::Relay;
 
-type Opened = (Mesh<String>, Receiver<Received<String>>);
+type OpenMesh = (Mesh<String>, Receiver<Received<String>>);
 
 fn secret() -> Secret {
     Secret::new(&[7; 32], None)
@@ -20,14 +20,15 @@
     SocketAddr::from(([127, 9, net, id], 47_300))
 }
 
-/// A mesh with this id in a network of its own, ten times as fast as usual.
-fn open(net: u8, id: u8) -> Opened {
+/// Opens a mesh with a tenth of the default send interval. Each test uses a loopback network `net`
+/// of its own.
+fn open(net: u8, id: u8) -> OpenMesh {
     let mut settings = Settings::new(id.into(), address(net, id), 1);
     settings.send_interval = Duration::from_millis(50);
     Mesh::open(settings, secret()).expect("opens")
 }
 
-/// Repeats until it holds; far longer than it may take on a busy machine.
+/// Waits until `holds` returns true, for much longer than that takes on a busy machine.
 fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(20);
     while !holds() {
@@ -36,9 +37,9 @@
     }
 }
 
-/// Something between two balancers loses track of their open connection. It carries nothing any
-/// more and nobody closes it. The two would hold each other for dead although a new connection
-/// would work at once.
+/// A NAT or firewall between two balancers loses the state of their open connection. The connection
+/// carries no data any more and neither end closes it, so the two would take each other for dead
+/// although a new connection would work at once.
 #[test]
 fn a_silent_connection_is_replaced_and_the_old_one_closed() {
     let ((one, _), (two, inbox)) = (open(1, 1), open(1, 2));
@@ -51,7 +52,7 @@
 
     relay.silence();
 
-    eventually("a message passes again", || {
+    eventually("a message arrives again", || {
         one.send(2, Class::Heartbeat, &"after".into())
             .expect("queued");
         inbox
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn what_is_not_to_be_trusted_is_counted_and_dropped() {
+fn invalid_frames_are_counted_and_dropped() {
     let (mesh, inbox) = open(2, 1);
     let mut stream = TcpStream::connect(address(2, 1)).expect("connects");
     let envelope = |sequence| Envelope {
@@ -114,11 +115,15 @@
             (Code::ControlMisaddressed, 1),
         ]
     );
-    assert_eq!(inbox.try_iter().count(), 1, "only the good one");
+    assert_eq!(
+        inbox.try_iter().count(),
+        1,
+        "only the valid frame is delivered"
+    );
 }
 
 #[test]
-fn a_configuration_of_a_megabyte_passes_and_is_accounted() {
+fn a_configuration_of_a_megabyte_arrives_and_is_counted() {
     let ((one, _), (two, inbox)) = (open(3, 1), open(3, 2));
     one.set_peers(&[(2, address(3, 2))]);
     two.set_peers(&[(1, address(3, 1))]);
@@ -135,8 +140,8 @@
     });
 }
 
-/// A peer's VM is gone, and packets to it vanish. Whoever sends must neither wait for it nor fill
-/// its memory for it.
+/// A peer's VM is gone and packets to it are lost. Sending to it must neither block nor use more
+/// and more memory.
 #[test]
 fn sending_to_a_dead_peer_drops_and_counts() {
     let (mesh, _) = open(4, 1);
@@ -196,10 +201,10 @@
     );
 }
 
-/// A suspended balancer wakes and joins again while messages from before still wait. Sent under
-/// its new incarnation they would be taken for what it says now.
+/// A suspended balancer resumes and joins again while messages from before are still queued. Sent
+/// under its new incarnation, they would count as current.
 #[test]
-fn what_waited_in_a_former_incarnation_is_not_sent_in_the_next() {
+fn messages_queued_under_one_incarnation_are_not_sent_under_the_next() {
     let (one, _) = open(7, 1);
     one.set_peers(&[(2, address(7, 2))]);
     for _ in 0..3 {
@@ -210,31 +215,35 @@
     one.send(2, Class::Urgent, &"new".into()).expect("queued");
 
     let (_two, inbox) = open(7, 2);
-    let life =
+    let summary =
         |received: &Received<String>| (received.envelope.incarnation, received.message.clone());
-    let mut lives = vec![];
-    while !lives.contains(&(2, "new".to_string())) {
+    let mut received_messages = vec![];
+    while !received_messages.contains(&(2, "new".to_string())) {
         let received = inbox
             .recv_timeout(Duration::from_secs(20))
             .expect("arrives");
-        lives.push(life(&received));
+        received_messages.push(summary(&received));
     }
-    assert!(!lives.contains(&(2, "old".to_string())), "{lives:?}");
+    assert!(
+        !received_messages.contains(&(2, "old".to_string())),
+        "{received_messages:?}"
+    );
 }
 
-/// A connection ends while messages are being sent over it, and the next send ends the process.
+/// Guards against a crash of the process at the next send after a connection has ended while
+/// messages were being sent over it.
 #[test]
-fn peers_that_come_and_go_end_no_sender() {
+fn peers_that_come_and_go_do_not_crash_the_sender() {
     const ROUNDS: u64 = 150;
     let (one, _inbox) = open(9, 1);
     let peers: Vec<_> = (2..=6).map(|id| (u16::from(id), address(9, id))).collect();
     one.set_peers(&peers);
 
     for round in 0..ROUNDS {
-        let others: Vec<Opened> = (2..=6).map(|id| open(9, id)).collect();
+        let others: Vec<OpenMesh> = (2..=6).map(|id| open(9, id)).collect();
         for number in 0..400 {
             for (id, _) in &peers {
-                // A full queue is no fault here: the peer may not have been dialled again yet.
+                // A full queue is not an error here: the peer may not have been dialled again yet.
                 let _ = one.send(*id, Class::Heartbeat, &format!("{round} {number}"));
             }
             if number % 40 == 0 {
@@ -245,7 +254,7 @@
     }
 
     let (two, inbox) = open(9, 2);
-    eventually("a message passes again", || {
+    eventually("a message arrives again", || {
         let _ = one.send(2, Class::Heartbeat, &"after".into());
         inbox.try_iter().any(|received| received.message == "after")
     });
--- a/crates/peer/tests/it/relay.rs
+++ b/crates/peer/tests/it/relay.rs
@@ -1,4 +1,5 @@
-//! A TCP relay that loses track of its open connections on command, as a NAT or firewall does.
+//! A TCP relay that on command stops forwarding on its open connections, like a NAT or firewall
+//! that has lost their state.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,9 +10,10 @@
 #[derive(Default)]
 struct Shared {
     ending: AtomicBool,
-    /// Connections accepted before this many others carry nothing.
-    silenced: AtomicUsize,
-    /// Connections that the far end has not closed.
+    /// Connections with a number below this one no longer carry data. They are numbered in the
+    /// order in which they were accepted.
+    silent_below: AtomicUsize,
+    /// Number of connections that the far end has not closed.
     open: AtomicUsize,
     streams: Mutex<Vec<TcpStream>>,
     pumps: Mutex<Vec<JoinHandle<()>>>,
@@ -37,10 +39,10 @@
         }
     }
 
-    /// Lets every open connection go silent without closing it; later ones work.
+    /// Stops forwarding on every open connection without closing it; later connections work.
     pub fn silence(&self) {
         let count = self.shared.pumps.lock().unwrap().len() / 2;
-        self.shared.silenced.store(count, Ordering::SeqCst);
+        self.shared.silent_below.store(count, Ordering::SeqCst);
     }
 
     pub fn open(&self) -> usize {
@@ -79,7 +81,7 @@
 
 fn pump(shared: &Shared, number: usize, from: &mut TcpStream, to: &mut TcpStream) {
     let mut buffer = [0; 16_384];
-    let silent = || number < shared.silenced.load(Ordering::SeqCst);
+    let silent = || number < shared.silent_below.load(Ordering::SeqCst);
     while let Ok(count @ 1..) = from.read(&mut buffer) {
         if !silent() && to.write_all(&buffer[..count]).is_err() {
             break;
