--- a/crates/peer/tests/it/restart.rs
+++ b/crates/peer/tests/it/restart.rs
@@ -20,23 +20,23 @@
     Mesh::open(settings, Secret::new(&[7; 32], None)).unwrap()
 }
 
-/// A balancer ends and starts again. Its old connection is closed by then; when its first frame
-/// came over the new one, closing the old one once more made the receiving thread of every peer
-/// panic, and each peer took itself down: one planned restart ended the whole group.
+/// Guards against a panic that brought down a whole group at one planned restart. When the first
+/// frame of the restarted balancer arrived, each peer closed its previous connection, which had
+/// already ended. That made the peer's receiving thread panic, and the peer shut down.
 #[test]
-fn a_peer_that_starts_again_is_heard_and_takes_nobody_down() {
-    let (_stays, inbox) = open(1, 1);
+fn a_restarted_peer_is_heard_and_does_not_crash_others() {
+    let (_running, inbox) = open(1, 1);
 
     for incarnation in 1..=5 {
-        let (restarts, _) = open(2, incarnation);
-        restarts.set_peers(&[(1, address(1))]);
-        restarts.send(1, Class::Heartbeat, &incarnation).unwrap();
+        let (restarted, _) = open(2, incarnation);
+        restarted.set_peers(&[(1, address(1))]);
+        restarted.send(1, Class::Heartbeat, &incarnation).unwrap();
 
         let received = inbox.recv_timeout(Duration::from_secs(20)).unwrap();
         assert_eq!(
             (received.envelope.incarnation, received.message),
             (incarnation, incarnation)
         );
-        restarts.close();
+        restarted.close();
     }
 }
