--- a/crates/peer/tests/it/silence.rs
+++ b/crates/peer/tests/it/silence.rs
@@ -4,15 +4,15 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const SILENT: Duration = Duration::from_secs(2);
-const LONGEST: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Sends every half second for a minute over connections that carry nothing; the times of
-/// replacement, in milliseconds.
+/// Sends every half second for a minute over connections that carry no data. Returns the times in
+/// milliseconds at which they are replaced.
 fn replacements(random: f64) -> Vec<u64> {
     let mut detector = SilenceDetector::new();
     let mut times = Vec::new();
@@ -21,7 +21,7 @@
         if tick % 10 == 0 {
             detector.sent(ms(now), tick + 1);
         }
-        if detector.is_silent(ms(now), SILENT, LONGEST, random) {
+        if detector.is_silent(ms(now), TIMEOUT, MAX_TIMEOUT, random) {
             detector.replaced();
             times.push(now);
         }
@@ -32,7 +32,9 @@
 #[rstest]
 #[case(0.0)]
 #[case(1.0)]
-fn a_silent_connection_is_replaced_within_seconds_and_ever_more_rarely(#[case] random: f64) {
+fn a_silent_connection_is_replaced_within_seconds_and_then_less_and_less_often(
+    #[case] random: f64,
+) {
     let times = replacements(random);
 
     assert!((2000..=3000).contains(&times[0]), "{times:?}");
@@ -40,11 +42,11 @@
         times.windows(3).all(|w| w[2] - w[1] > w[1] - w[0]),
         "{times:?}"
     );
-    assert!(times.len() >= 4, "it goes on trying: {times:?}");
+    assert!(times.len() >= 4, "it keeps trying: {times:?}");
 }
 
 #[test]
-fn dialling_is_spread_by_jitter() {
+fn replacements_are_spread_by_jitter() {
     assert_ne!(replacements(0.0), replacements(1.0));
 }
 
@@ -55,7 +57,7 @@
 
     detector.echoed(ms(1500), 9);
 
-    assert!(detector.is_silent(ms(2100), SILENT, LONGEST, 0.0));
+    assert!(detector.is_silent(ms(2100), TIMEOUT, MAX_TIMEOUT, 0.0));
 }
 
 proptest! {
@@ -66,14 +68,14 @@
         ..ProptestConfig::default()
     })]
 
-    /// Echoes that come late or are partly lost, but come.
+    /// Echoes may lag by up to two frames, but keep advancing.
     #[test]
     fn a_live_connection_is_never_replaced(lags in prop::collection::vec(0u64..3, 200)) {
         let mut detector = SilenceDetector::new();
         for (round, lag) in lags.into_iter().enumerate() {
             let (now, sequence) = (ms(round as u64 * 500), round as u64 + 1);
             detector.sent(now, sequence);
-            prop_assert!(!detector.is_silent(now, SILENT, LONGEST, 0.0));
+            prop_assert!(!detector.is_silent(now, TIMEOUT, MAX_TIMEOUT, 0.0));
             detector.echoed(now, sequence.saturating_sub(lag));
         }
     }
