--- a/crates/peer/tests/it/strangers.rs
+++ b/crates/peer/tests/it/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of strangers, and of peers that are gone.
+//! Connections that are silent, are cut off in the middle of a frame, or are closed at once.
 
 use std::{
     io::{self, Read as _},
@@ -13,24 +13,27 @@
 use crossbeam_channel::Receiver;
 use socket2::{Domain, Socket, Type};
 
-/// How long the first message of a peer may take, whatever strangers do.
-const FIRST: Duration = Duration::from_secs(2);
-const STRANGERS: usize = 512;
+/// How long the first message of a peer may take while other hosts open silent connections.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
+const SILENT_CONNECTIONS: usize = 512;
 
 fn open(net: u8, id: u8) -> (Mesh<String>, Receiver<Received<String>>) {
     let settings = Settings::new(id.into(), address(net, id), 1);
     Mesh::open(settings, Secret::new(&[7; 32], None)).expect("opens")
 }
 
-/// A listener whose connections take little before it is read: a long frame waits at its sender.
-fn narrow(address: SocketAddr) -> TcpListener {
-    const TAKEN: usize = 8 << 10;
-    // By the size of a segment the sender's kernel decides how much it takes in advance.
-    const SEGMENT: u32 = 536;
+/// A listener whose connections buffer only a few KB that aren't read yet, so that a sender can't
+/// hand over a long frame as a whole.
+fn listener_with_small_buffer(address: SocketAddr) -> TcpListener {
+    const RECEIVE_BUFFER: usize = 8 << 10;
+    // The sender's kernel chooses the size of its send buffer by the segment size.
+    const MAX_SEGMENT: u32 = 536;
     const BACKLOG: i32 = 8;
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(TAKEN).expect("a socket");
-    socket.set_tcp_mss(SEGMENT).expect("a socket");
+    socket
+        .set_recv_buffer_size(RECEIVE_BUFFER)
+        .expect("a socket");
+    socket.set_tcp_mss(MAX_SEGMENT).expect("a socket");
     socket.bind(&address.into()).expect("a free port");
     socket.listen(BACKLOG).expect("listens");
     socket.into()
@@ -40,18 +43,19 @@
     SocketAddr::from(([127, 11, net, id], 47_300))
 }
 
-/// A connection ends in the middle of a long frame. The frame comes over the next connection, once,
-/// though a receiver takes no long frame before it knows the sender.
+/// A connection ends in the middle of a long frame. The frame must arrive over the next connection,
+/// and only once, although the receiver accepts no long frame before the first valid one.
 #[test]
-fn a_long_frame_that_was_cut_off_comes_whole_over_the_next_connection() {
+fn a_long_frame_that_was_cut_off_arrives_over_the_next_connection() {
     let ((one, _), (two, inbox)) = (open(2, 1), open(2, 2));
-    let listener = narrow(address(2, 3));
+    let listener = listener_with_small_buffer(address(2, 3));
     let text = "x".repeat(1 << 20);
-    let carried = thread::spawn(move || {
-        let (mut cut, _) = listener.accept().expect("a connection");
-        cut.read_exact(&mut [0; 100_000])
+    let forwarder = thread::spawn(move || {
+        let (mut first, _) = listener.accept().expect("a connection");
+        first
+            .read_exact(&mut [0; 100_000])
             .expect("a part of the frame");
-        drop(cut);
+        drop(first);
         let (mut near, _) = listener.accept().expect("a second connection");
         let mut far = TcpStream::connect(address(2, 2)).expect("the peer");
         io::copy(&mut near, &mut far)
@@ -65,38 +69,43 @@
         .expect("arrives");
     assert!(received.message == text);
     one.close();
-    carried.join().expect("no panic").expect("carried");
-    assert!(inbox.try_recv().is_err(), "twice");
+    forwarder.join().expect("no panic").expect("forwarded");
+    assert!(inbox.try_recv().is_err(), "the frame arrived twice");
     two.close();
 }
 
-/// A peer is full: it accepts connections and closes them at once. Dialled again without a pause by all
-/// others, it has to bear hundreds of connections a second besides.
+/// A peer at its limit of connections accepts new ones and closes them at once. If all others
+/// dialled it again without a delay, it would have to handle hundreds of connections a second as
+/// well.
 #[test]
-fn a_peer_that_closes_connections_at_once_is_dialled_ever_more_rarely() {
-    /// Those of an attempt every 100 ms to 2 s, doubling, with half of each wait at random.
-    const MOST: usize = 20;
+fn a_peer_that_closes_connections_at_once_is_dialled_less_and_less_often() {
+    /// Most attempts in 10 s if the delay doubles from 100 ms to 2 s and up to half of it is
+    /// jitter.
+    const MAX_CONNECTIONS: usize = 20;
     let listener = TcpListener::bind(address(3, 2)).expect("a free port");
     listener.set_nonblocking(true).expect("a socket");
     let (one, _) = open(3, 1);
     one.set_peers(&[(2, address(3, 2))]);
 
     let end = Instant::now() + Duration::from_secs(10);
-    let mut dialled = 0;
+    let mut connections = 0;
     while Instant::now() < end {
-        dialled += usize::from(listener.accept().is_ok());
+        connections += usize::from(listener.accept().is_ok());
         sleep(Duration::from_millis(5));
     }
 
-    assert!((4..=MOST).contains(&dialled), "{dialled} connections");
+    assert!(
+        (4..=MAX_CONNECTIONS).contains(&connections),
+        "{connections} connections"
+    );
     one.close();
 }
 
-/// Connections that say nothing take all places, and no peer is heard any more.
+/// Guards against silent connections that use up the listener's limit, so that no peer can connect.
 #[test]
-fn a_peer_is_heard_while_strangers_hold_connections() {
+fn a_peer_is_heard_while_others_hold_silent_connections() {
     let (one, inbox) = open(1, 1);
-    let silent: Vec<_> = (0..STRANGERS)
+    let silent: Vec<_> = (0..SILENT_CONNECTIONS)
         .map(|_| TcpStream::connect(address(1, 1)))
         .collect();
     let stop = AtomicBool::new(false);
@@ -115,12 +124,17 @@
         two.send(1, Class::Heartbeat, &"first".into())
             .expect("queued");
 
-        let heard = inbox.recv_timeout(FIRST * 8).map(|_| start.elapsed());
+        let heard = inbox
+            .recv_timeout(FIRST_MESSAGE_TIMEOUT * 8)
+            .map(|_| start.elapsed());
 
         stop.store(true, Ordering::Relaxed);
         heard
     });
-    assert!(heard.is_ok_and(|after| after <= FIRST), "{heard:?}");
+    assert!(
+        heard.is_ok_and(|after| after <= FIRST_MESSAGE_TIMEOUT),
+        "{heard:?}"
+    );
     let counted = one.stats().connections;
     assert!(counted.displaced > 0, "{counted:?}");
     drop(silent);
