--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -276,8 +276,10 @@
     fn turn(&mut self) {
         let answers = self.store.answers(self.now);
         let start = cpu::thread();
-        for (by, news) in answers {
-            self.balancers[by].core.news(self.now, news);
+        for (by, event) in answers {
+            self.balancers[by]
+                .core
+                .handle_platform_event(self.now, event);
         }
         let mut orders = Vec::new();
         for at in 0..self.balancers.len() {
@@ -285,7 +287,7 @@
             let outcome = own.core.tick(self.now, EPOCH + self.now, &own.shards);
             own.incarnation = outcome.incarnation;
             own.view = outcome.view;
-            orders.extend(outcome.orders.into_iter().map(|order| (at, order)));
+            orders.extend(outcome.platform_calls.into_iter().map(|order| (at, order)));
             self.send(at, outcome.outgoing);
         }
         while let Some((to, frame)) = self.frames.pop_front() {
--- a/crates/bench/src/control/store.rs
+++ b/crates/bench/src/control/store.rs
@@ -2,8 +2,8 @@
 
 use acacia_config::document::Document;
 use acacia_node::control::{
-    agreement::{Entry, Order},
-    platform::News,
+    agreement::{Entry, PlatformCall},
+    platform::PlatformEvent,
 };
 use acacia_rollout::Answer;
 use acacia_tables::writer;
@@ -16,7 +16,7 @@
 struct Waiting {
     by: usize,
     since: Duration,
-    order: Order,
+    order: PlatformCall,
 }
 
 /// The platform's store: two keys, compare-and-swap, watches that wait.
@@ -46,7 +46,7 @@
     }
 
     /// Takes a call of the balancer at place `by`. Answers come from [`Store::answers`].
-    pub fn call(&mut self, by: usize, order: Order, now: Duration) {
+    pub fn call(&mut self, by: usize, order: PlatformCall, now: Duration) {
         self.calls += 1;
         let same = |waiting: &Waiting| {
             let kind = std::mem::discriminant(&waiting.order);
@@ -61,7 +61,7 @@
     }
 
     /// What can be answered now, and to whom.
-    pub fn answers(&mut self, now: Duration) -> Vec<(usize, News)> {
+    pub fn answers(&mut self, now: Duration) -> Vec<(usize, PlatformEvent)> {
         let mut answers = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
             let late = now >= waiting.since + WATCH;
@@ -73,21 +73,21 @@
         answers
     }
 
-    fn answer(&mut self, order: &Order, late: bool) -> Option<News> {
+    fn answer(&mut self, order: &PlatformCall, late: bool) -> Option<PlatformEvent> {
         match order {
-            Order::WatchConfig { above } => {
+            PlatformCall::WatchConfig { above } => {
                 let answer = Answer {
                     revision: self.config.revision,
                     document: Some(Arc::clone(&self.config)),
                 };
-                (late || answer.revision > *above).then_some(News::Config(Some(answer)))
-            }
-            Order::WatchTables { above } => (late || self.tables.revision > *above)
-                .then(|| News::Tables(Some(self.tables.clone()))),
-            Order::ReadTables => Some(News::ReadTables(Some(self.tables.clone()))),
-            Order::WriteTables { expected, text } => {
-                Some(News::WroteTables(self.swap(*expected, Arc::clone(text))))
+                (late || answer.revision > *above).then_some(PlatformEvent::Config(Some(answer)))
             }
+            PlatformCall::WatchTables { above } => (late || self.tables.revision > *above)
+                .then(|| PlatformEvent::Tables(Some(self.tables.clone()))),
+            PlatformCall::ReadTables => Some(PlatformEvent::ReadTables(Some(self.tables.clone()))),
+            PlatformCall::WriteTables { expected, text } => Some(PlatformEvent::WroteTables(
+                self.swap(*expected, Arc::clone(text)),
+            )),
         }
     }
 
--- a/crates/node/src/control/agreement.rs
+++ b/crates/node/src/control/agreement.rs
@@ -1,5 +1,5 @@
 //! What all balancers must agree on: the configuration and the bucket tables, from the platform's
-//! store or from peers. No sockets; [`Order`]s for the platform's thread come out.
+//! store or from peers. No sockets; [`PlatformCall`]s for the platform's thread come out.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -27,7 +27,7 @@
 
 /// A call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Order {
+pub enum PlatformCall {
     /// Watch the configuration's key; takes the place of a watch that still waits.
     WatchConfig {
         /// The revision to rise above.
@@ -71,7 +71,7 @@
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// Calls to the platform.
-    pub orders: Vec<Order>,
+    pub platform_calls: Vec<PlatformCall>,
     /// Questions to peers.
     pub asks: Vec<Ask>,
     /// Whether new tables are in force.
@@ -240,7 +240,7 @@
         self.take_entry(now, entry.as_ref())
     }
 
-    /// The end of [`Order::ReadTables`]; none if the store could not be reached.
+    /// The end of [`PlatformCall::ReadTables`]; none if the store could not be reached.
     pub fn read_tables(&mut self, now: Duration, entry: Option<Entry>) -> Outcome {
         let mut outcome = self.take_entry(now, entry.as_ref());
         let answer = match entry {
@@ -251,7 +251,7 @@
         outcome
     }
 
-    /// The end of [`Order::WriteTables`].
+    /// The end of [`PlatformCall::WriteTables`].
     pub fn wrote_tables(&mut self, now: Duration, answer: writer::Answer) -> Outcome {
         let tables = self.writer.answered(answer, millis(now));
         Outcome {
@@ -298,7 +298,7 @@
         };
         match self.writer.step(moment, is_known) {
             Ok(writer::Action::Idle) => {}
-            Ok(writer::Action::Read) => outcome.orders.push(Order::ReadTables),
+            Ok(writer::Action::Read) => outcome.platform_calls.push(PlatformCall::ReadTables),
             Ok(writer::Action::Write { expected, document }) => {
                 self.write(now, expected, &document, &mut outcome);
             }
@@ -309,7 +309,7 @@
 
     fn write(&mut self, now: Duration, expected: u64, document: &Document, out: &mut Outcome) {
         match document.encode() {
-            Ok(text) => out.orders.push(Order::WriteTables {
+            Ok(text) => out.platform_calls.push(PlatformCall::WriteTables {
                 expected,
                 text: text.into(),
             }),
@@ -326,7 +326,7 @@
         let wanted = self.ranked || self.document().is_none();
         if wanted && !waits && now >= self.watch.not_before {
             self.watch.since = Some(now);
-            outcome.orders.push(Order::WatchTables {
+            outcome.platform_calls.push(PlatformCall::WatchTables {
                 above: self.watch.above,
             });
         }
@@ -356,7 +356,9 @@
         let mut outcome = Outcome::default();
         for action in self.rollout.step(now, event) {
             match action {
-                Action::Watch { above } => outcome.orders.push(Order::WatchConfig { above }),
+                Action::Watch { above } => outcome
+                    .platform_calls
+                    .push(PlatformCall::WatchConfig { above }),
                 Action::Fetch { peer } => outcome.asks.push(Ask::Config(peer)),
                 Action::Enforce(held) => {
                     log::info!("event=config-in-force revision={}", held.document.revision);
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -30,9 +30,9 @@
 };
 
 use super::{
-    agreement::{self, Agreement, Ask, Order},
+    agreement::{self, Agreement, Ask, PlatformCall},
     load::Pools,
-    platform::News,
+    platform::PlatformEvent,
 };
 use crate::{
     clock::millis,
@@ -72,7 +72,7 @@
     /// What traffic threads are to go by; none while this balancer must not serve.
     pub view: Option<View>,
     /// Calls to the platform.
-    pub orders: Vec<Order>,
+    pub platform_calls: Vec<PlatformCall>,
     /// Whether all pins and caches are to be forgotten, once the view is published.
     pub forget: bool,
 }
@@ -105,7 +105,7 @@
     closing: Vec<(Address, u16)>,
     tables: Tables,
     servers: Arc<Map<(Address, u16), SocketAddrV4>>,
-    orders: Vec<Order>,
+    platform_calls: Vec<PlatformCall>,
     outgoing: Vec<Outgoing>,
     swept: usize,
     leaving: bool,
@@ -147,7 +147,7 @@
             closing: Vec::new(),
             tables: Tables::default(),
             servers: Arc::default(),
-            orders: Vec::new(),
+            platform_calls: Vec::new(),
             outgoing: Vec::new(),
             swept: 0,
             leaving: false,
@@ -228,23 +228,23 @@
     }
 
     /// Takes in what the platform said.
-    pub fn news(&mut self, now: Duration, news: News) {
-        if news.is_answer() {
+    pub fn handle_platform_event(&mut self, now: Duration, event: PlatformEvent) {
+        if event.is_answer() {
             self.seen.store(now);
         }
-        let outcome = match news {
-            News::Config(answer) => self.agreement.saw_config(now, answer),
-            News::Tables(entry) => self.agreement.saw_tables(now, entry),
-            News::ReadTables(entry) => self.agreement.read_tables(now, entry),
-            News::WroteTables(answer) => self.agreement.wrote_tables(now, answer),
-            News::Machines(machines) => return self.set_machines(now, &machines),
+        let outcome = match event {
+            PlatformEvent::Config(answer) => self.agreement.saw_config(now, answer),
+            PlatformEvent::Tables(entry) => self.agreement.saw_tables(now, entry),
+            PlatformEvent::ReadTables(entry) => self.agreement.read_tables(now, entry),
+            PlatformEvent::WroteTables(answer) => self.agreement.wrote_tables(now, answer),
+            PlatformEvent::Machines(machines) => return self.set_machines(now, &machines),
         };
         self.follow(now, outcome);
     }
 
     /// Carries out what follows from an event of the agreement.
     fn follow(&mut self, now: Duration, outcome: agreement::Outcome) {
-        self.orders.extend(outcome.orders);
+        self.platform_calls.extend(outcome.platform_calls);
         for ask in outcome.asks {
             match ask {
                 Ask::Config(peer) => self.send(peer, Class::Urgent, Message::AskConfig),
@@ -330,7 +330,7 @@
         };
         Outcome {
             outgoing: std::mem::take(&mut self.outgoing),
-            orders: std::mem::take(&mut self.orders),
+            platform_calls: std::mem::take(&mut self.platform_calls),
             incarnation: self.group.incarnation(),
             view: self.agreement.is_ready().then_some(view),
             peers,
--- a/crates/node/src/control/platform.rs
+++ b/crates/node/src/control/platform.rs
@@ -25,7 +25,7 @@
 };
 use tokio_util::task::AbortOnDropHandle;
 
-use super::agreement::{Entry, Order};
+use super::agreement::{Entry, PlatformCall};
 use crate::settings::Settings;
 
 /// Between two looks at the list of VMs. It lags by more than that anyway, and 8 balancers make
@@ -36,7 +36,7 @@
 
 /// What the platform said.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum PlatformEvent {
     /// The end of a watch of the configuration.
     Config(Option<Answer>),
     /// The end of a watch of the tables.
@@ -49,21 +49,21 @@
     Machines(Vec<Machine>),
 }
 
-impl News {
+impl PlatformEvent {
     /// How an order ends that was not carried out.
     ///
     /// ```
-    /// use acacia_node::control::{agreement::Order, platform::News};
-    /// assert!(!News::failed(&Order::ReadTables).is_answer());
+    /// use acacia_node::control::{agreement::PlatformCall, platform::PlatformEvent};
+    /// assert!(!PlatformEvent::failed(&PlatformCall::ReadTables).is_answer());
     /// ```
     #[must_use]
-    pub fn failed(order: &Order) -> News {
+    pub fn failed(order: &PlatformCall) -> PlatformEvent {
         match order {
-            Order::WatchConfig { .. } => News::Config(None),
-            Order::WatchTables { .. } => News::Tables(None),
-            Order::ReadTables => News::ReadTables(None),
+            PlatformCall::WatchConfig { .. } => PlatformEvent::Config(None),
+            PlatformCall::WatchTables { .. } => PlatformEvent::Tables(None),
+            PlatformCall::ReadTables => PlatformEvent::ReadTables(None),
             // It may have been made in part: the next read tells.
-            Order::WriteTables { .. } => News::WroteTables(writer::Answer::Lost),
+            PlatformCall::WriteTables { .. } => PlatformEvent::WroteTables(writer::Answer::Lost),
         }
     }
 
@@ -71,15 +71,15 @@
     #[must_use]
     pub fn is_answer(&self) -> bool {
         match self {
-            News::Config(answer) => answer.is_some(),
-            News::Tables(entry) | News::ReadTables(entry) => entry.is_some(),
-            News::WroteTables(answer) => {
+            PlatformEvent::Config(answer) => answer.is_some(),
+            PlatformEvent::Tables(entry) | PlatformEvent::ReadTables(entry) => entry.is_some(),
+            PlatformEvent::WroteTables(answer) => {
                 matches!(
                     answer,
                     writer::Answer::Written { .. } | writer::Answer::Conflict
                 )
             }
-            News::Machines(_) => false,
+            PlatformEvent::Machines(_) => false,
         }
     }
 }
@@ -87,8 +87,8 @@
 /// Carries out orders until `stop` is raised.
 pub fn run(
     settings: &Settings,
-    orders: &mut Receiver<Order>,
-    news: &Sender<News>,
+    orders: &mut Receiver<PlatformCall>,
+    news: &Sender<PlatformEvent>,
     stop: &AtomicBool,
 ) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -133,21 +133,21 @@
 
 struct Calls {
     client: Arc<Client>,
-    news: Sender<News>,
+    news: Sender<PlatformEvent>,
     tasks: JoinSet<()>,
 }
 
 impl Calls {
     /// Begins a call; a watch takes the place of the one on the same key that still waits.
-    fn begin(&mut self, order: Order, watching: &mut [Option<AbortHandle>; 2]) {
+    fn begin(&mut self, order: PlatformCall, watching: &mut [Option<AbortHandle>; 2]) {
         let slot = match order {
-            Order::WatchConfig { .. } => Some(0),
-            Order::WatchTables { .. } => Some(1),
-            Order::ReadTables | Order::WriteTables { .. } => None,
+            PlatformCall::WatchConfig { .. } => Some(0),
+            PlatformCall::WatchTables { .. } => Some(1),
+            PlatformCall::ReadTables | PlatformCall::WriteTables { .. } => None,
         };
         let (client, news) = (Arc::clone(&self.client), self.news.clone());
         let task = self.tasks.spawn_local(async move {
-            let failed = News::failed(&order);
+            let failed = PlatformEvent::failed(&order);
             let answer = AbortOnDropHandle::new(task::spawn_local(call(client, order)));
             let answer = answer.await.unwrap_or_else(|error| {
                 log::error!("event=platform-call-panicked error=\"{error}\"");
@@ -163,38 +163,38 @@
     }
 }
 
-async fn call(client: Arc<Client>, order: Order) -> News {
+async fn call(client: Arc<Client>, order: PlatformCall) -> PlatformEvent {
     let (config, tables): (Arc<str>, Arc<str>) = (document::KEY.into(), acacia_tables::KEY.into());
     match order {
-        Order::WatchConfig { above } => {
+        PlatformCall::WatchConfig { above } => {
             let entry = client.watch(&config, above).await;
-            News::Config(note(entry).map(|entry| Answer {
+            PlatformEvent::Config(note(entry).map(|entry| Answer {
                 revision: entry.revision,
                 document: entry.value.and_then(|value| decode(&value)),
             }))
         }
-        Order::WatchTables { above } => {
+        PlatformCall::WatchTables { above } => {
             let entry = client.watch(&tables, above).await;
-            News::Tables(note(entry).map(|e| Entry {
+            PlatformEvent::Tables(note(entry).map(|e| Entry {
                 revision: e.revision,
                 value: e.value,
             }))
         }
-        Order::ReadTables => {
+        PlatformCall::ReadTables => {
             let entry = client.get(&tables).await;
-            News::ReadTables(note(entry).map(|e| Entry {
+            PlatformEvent::ReadTables(note(entry).map(|e| Entry {
                 revision: e.revision,
                 value: e.value,
             }))
         }
-        Order::WriteTables { expected, text } => {
+        PlatformCall::WriteTables { expected, text } => {
             let swap = Swap {
                 key: tables,
                 expected,
                 value: Some(text),
                 lease: None,
             };
-            News::WroteTables(match client.swap(swap).await {
+            PlatformEvent::WroteTables(match client.swap(swap).await {
                 Ok(Outcome::Written { revision }) => writer::Answer::Written { revision },
                 Ok(Outcome::Conflict { .. }) => writer::Answer::Conflict,
                 Err(Error::Unknown) => writer::Answer::Lost,
@@ -228,7 +228,7 @@
 
 /// Tells the control thread, as soon as its queue has room. Its asker makes no other call before the
 /// answer has come: one that was dropped would be the last.
-async fn tell(news: &Sender<News>, mut told: News) {
+async fn tell(news: &Sender<PlatformEvent>, mut told: PlatformEvent) {
     let mut waits = false;
     while let Err(TrySendError::Full(unsent)) = news.try_send(told) {
         if !waits {
@@ -247,10 +247,10 @@
     }
 }
 
-async fn follow_machines(client: Arc<Client>, news: Sender<News>) -> ! {
+async fn follow_machines(client: Arc<Client>, news: Sender<PlatformEvent>) -> ! {
     loop {
         if let Some(machines) = note(client.machines().await) {
-            tell(&news, News::Machines(machines)).await;
+            tell(&news, PlatformEvent::Machines(machines)).await;
         }
         tokio::time::sleep(MACHINES).await;
     }
--- a/crates/node/src/control/service.rs
+++ b/crates/node/src/control/service.rs
@@ -15,9 +15,9 @@
 use tokio::sync::mpsc;
 
 use super::{
-    agreement::Order,
+    agreement::PlatformCall,
     core::{self, Core, Outgoing},
-    platform::News,
+    platform::PlatformEvent,
 };
 use crate::{
     admin,
@@ -44,9 +44,9 @@
     /// Settings of the daemon.
     pub settings: Arc<Settings>,
     /// From the platform's thread.
-    pub news: Receiver<News>,
+    pub platform_events: Receiver<PlatformEvent>,
     /// To the platform's thread.
-    pub orders: mpsc::Sender<Order>,
+    pub platform_calls: mpsc::Sender<PlatformCall>,
     /// From the traffic threads.
     pub notices: Receiver<(u16, Notice)>,
     /// From the traffic threads.
@@ -113,7 +113,8 @@
     while !context.stop.load(Ordering::Relaxed) {
         select! {
             recv(inbox) -> received => state.receive(received?),
-            recv(context.news) -> news => state.core.news(clock::now(), news?),
+            recv(context.platform_events) -> event =>
+                state.core.handle_platform_event(clock::now(), event?),
             recv(context.notices) -> notice => {
                 let (to, notice) = notice?;
                 state.send(Core::notice(to, notice));
@@ -159,8 +160,8 @@
         if outcome.forget {
             core::forget(&self.context.shards);
         }
-        for order in outcome.orders {
-            self.order(now, order);
+        for call in outcome.platform_calls {
+            self.call_platform(now, call);
         }
         outcome
             .outgoing
@@ -185,11 +186,12 @@
 
     /// Hands an order to the platform's thread. Never waits: one that a full queue doesn't take has
     /// failed, and is told so to whoever waits for its end.
-    fn order(&mut self, now: Duration, order: Order) {
-        if let Err(error) = self.context.orders.try_send(order) {
-            let order = error.into_inner();
-            log::warn!("event=platform-order-dropped order={order:?}");
-            self.core.news(now, News::failed(&order));
+    fn call_platform(&mut self, now: Duration, call: PlatformCall) {
+        if let Err(error) = self.context.platform_calls.try_send(call) {
+            let call = error.into_inner();
+            log::warn!("event=platform-order-dropped order={call:?}");
+            self.core
+                .handle_platform_event(now, PlatformEvent::failed(&call));
         }
     }
 
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -25,8 +25,8 @@
     admin,
     control::{
         self,
-        agreement::Order,
-        platform::{self, News},
+        agreement::PlatformCall,
+        platform::{self, PlatformEvent},
     },
     counter::Counter,
     journal,
@@ -66,8 +66,8 @@
 
 /// The platform thread's ends of its channels.
 struct Platform {
-    news: Receiver<News>,
-    orders: mpsc::Sender<Order>,
+    events: Receiver<PlatformEvent>,
+    calls: mpsc::Sender<PlatformCall>,
 }
 
 /// The control thread's ends of its channels.
@@ -144,8 +144,8 @@
 
 fn platform_service(shared: Arc<Shared>) -> Service {
     Service::new("platform", [], move |context| {
-        let (sender, news) = bounded::<News>(QUEUE);
-        let (orders, mut received) = mpsc::channel::<Order>(QUEUE);
+        let (sender, events) = bounded::<PlatformEvent>(QUEUE);
+        let (calls, mut received) = mpsc::channel::<PlatformCall>(QUEUE);
         let stop = Arc::new(AtomicBool::new(false));
         let flag = Arc::clone(&stop);
         context.spawn(move || {
@@ -157,7 +157,7 @@
             )?)
         })?;
         context.on_stop(move || stop.store(true, Ordering::Relaxed));
-        Ok(Platform { news, orders })
+        Ok(Platform { events, calls })
     })
 }
 
@@ -169,8 +169,8 @@
         let stop = Arc::new(AtomicBool::new(false));
         let control = control::service::Context {
             settings: Arc::clone(&shared.settings),
-            news: platform.news.clone(),
-            orders: platform.orders.clone(),
+            platform_events: platform.events.clone(),
+            platform_calls: platform.calls.clone(),
             notices,
             counts,
             account: Arc::clone(&shared.account),
--- a/crates/node/tests/it/freeze.rs
+++ b/crates/node/tests/it/freeze.rs
@@ -36,8 +36,8 @@
     fn start(id: u16, of: u16) -> Self {
         let mut core = Core::new(Arc::new(settings(id, of)), FIRST, START);
         let first = grown(None);
-        core.news(START, config(&first));
-        core.news(START, stored(&tables(None, &first)));
+        core.handle_platform_event(START, config(&first));
+        core.handle_platform_event(START, stored(&tables(None, &first)));
         Balancer {
             id,
             core,
--- a/crates/node/tests/it/platform.rs
+++ b/crates/node/tests/it/platform.rs
@@ -9,8 +9,8 @@
 
 use acacia_node::{
     control::{
-        agreement::Order,
-        platform::{self, News},
+        agreement::PlatformCall,
+        platform::{self, PlatformEvent},
     },
     settings::Settings,
 };
@@ -37,9 +37,9 @@
     let settings = settings(stand.address());
     let (told, news) = bounded(1);
     let (orders, mut received) = mpsc::channel(8);
-    told.send(News::Machines(vec![])).expect("room");
+    told.send(PlatformEvent::Machines(vec![])).expect("room");
     for _ in 0..2 {
-        orders.try_send(Order::ReadTables).expect("room");
+        orders.try_send(PlatformCall::ReadTables).expect("room");
     }
     let stop = AtomicBool::new(false);
 
@@ -47,7 +47,7 @@
         scope.spawn(|| platform::run(&settings, &mut received, &told, &stop));
         // By then the store has answered all.
         thread::sleep(Duration::from_secs(2));
-        let is_read = |news: &News| matches!(news, News::ReadTables(Some(_)));
+        let is_read = |news: &PlatformEvent| matches!(news, PlatformEvent::ReadTables(Some(_)));
         let end = Instant::now() + LONG;
         let answers = std::iter::from_fn(|| news.recv_deadline(end).ok());
         let answers = answers.filter(is_read).take(2).count();
--- a/crates/node/tests/it/status.rs
+++ b/crates/node/tests/it/status.rs
@@ -9,7 +9,7 @@
 };
 use acacia_flow::{Shards, shard::Limits};
 use acacia_node::{
-    control::{agreement::Entry, core::Core, platform::News},
+    control::{agreement::Entry, core::Core, platform::PlatformEvent},
     settings::Settings,
 };
 use acacia_rollout::Answer;
@@ -51,8 +51,8 @@
     Document::follow(before, &draft).unwrap()
 }
 
-pub fn config(document: &Document) -> News {
-    News::Config(Some(Answer {
+pub fn config(document: &Document) -> PlatformEvent {
+    PlatformEvent::Config(Some(Answer {
         revision: document.revision,
         document: Some(Arc::new(document.clone())),
     }))
@@ -67,8 +67,8 @@
     follow(before, of, &situation).unwrap().unwrap()
 }
 
-pub fn stored(tables: &acacia_tables::Document) -> News {
-    News::Tables(Some(Entry {
+pub fn stored(tables: &acacia_tables::Document) -> PlatformEvent {
+    PlatformEvent::Tables(Some(Entry {
         revision: tables.version,
         value: Some(tables.encode().unwrap().into()),
     }))
@@ -100,7 +100,7 @@
     let mut shown = Vec::new();
 
     for news in [config(&first), stored(&old), config(&second), stored(&new)] {
-        core.news(START, news);
+        core.handle_platform_event(START, news);
         let status = status(&mut core);
         let table = status.services.first().map(|service| service.table);
         shown.push((status.revision, table, status.behind));
