--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     clock,
-    control::core::{Core, Standing},
+    control::core::{Core, ServingState},
     ledger::Ledger,
     metrics::{Meter, Traffic},
 };
@@ -30,7 +30,7 @@
 
 /// What the control thread shows.
 #[derive(Debug, Clone, Default)]
-pub struct Account {
+pub struct StatusSnapshot {
     /// When it was made, by [`clock::now`].
     pub at: Duration,
     /// How the balancer is.
@@ -44,21 +44,21 @@
 }
 
 /// The latest account.
-pub type Published = Arc<ArcSwap<Account>>;
+pub type Published = Arc<ArcSwap<StatusSnapshot>>;
 
 /// The control thread's side: when to show what.
 #[derive(Debug)]
-pub struct Showing {
+pub struct StatusPublisher {
     published: Published,
     meter: Meter,
-    last: Option<(Duration, Standing)>,
+    last: Option<(Duration, ServingState)>,
 }
 
-impl Showing {
+impl StatusPublisher {
     /// Shows through `published`.
     #[must_use]
     pub fn new(published: Published) -> Self {
-        Showing {
+        StatusPublisher {
             published,
             meter: Meter::default(),
             last: None,
@@ -73,14 +73,14 @@
         shards: &Shards,
         stats: impl FnOnce() -> acacia_peer::Stats,
     ) {
-        let standing = core.standing();
+        let state = core.serving_state();
         let is_due = self
             .last
-            .is_none_or(|(at, before)| before != standing || now.saturating_sub(at) >= PAUSE);
+            .is_none_or(|(at, before)| before != state || now.saturating_sub(at) >= PAUSE);
         if !is_due {
             return;
         }
-        self.last = Some((now, standing));
+        self.last = Some((now, state));
         let before = self.published.load();
         let status = core.status(now, clock::time_of_day(), shards);
         // The document changes with its revision and change only; encoding it takes milliseconds.
@@ -92,7 +92,7 @@
             core.document()
         };
         let stats = stats();
-        self.published.store(Arc::new(Account {
+        self.published.store(Arc::new(StatusSnapshot {
             at: now,
             status,
             document,
@@ -135,9 +135,9 @@
         .build()?;
     let (one, two) = (Arc::clone(published), Arc::clone(published));
     let status = move || {
-        let account = one.load();
-        let age = clock::now().saturating_sub(account.at);
-        account.status.clone().aged(age.as_millis() as u64)
+        let snapshot = one.load();
+        let age = clock::now().saturating_sub(snapshot.at);
+        snapshot.status.clone().aged(age.as_millis() as u64)
     };
     let document = move || two.load().document.clone();
     let ledger = Arc::clone(ledger);
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -43,7 +43,7 @@
 };
 
 use rejoin::Rejoin;
-pub use status::Standing;
+pub use status::ServingState;
 
 /// Shards looked through in one tick. With 16 shards and 20 ticks a second a whole pass takes
 /// 0.8 s, and no traffic thread waits for more than one shard.
--- a/crates/node/src/control/core/status.rs
+++ b/crates/node/src/control/core/status.rs
@@ -54,7 +54,7 @@
 
 /// What operators wait for; a change of it is worth a new account at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct ServingState {
     phase: Phase,
     revision: Option<u64>,
     table: u64,
@@ -63,7 +63,7 @@
 impl Core {
     /// What operators wait for.
     #[must_use]
-    pub fn standing(&self) -> Standing {
+    pub fn serving_state(&self) -> ServingState {
         let phase = if self.leaving {
             Phase::Leaving
         } else if self.agreement.is_ready() {
@@ -71,7 +71,7 @@
         } else {
             Phase::Starting
         };
-        Standing {
+        ServingState {
             phase,
             revision: self.agreement.version().map(|version| version.revision),
             table: self.tables.version,
@@ -91,15 +91,15 @@
     pub fn status(&mut self, now: Duration, unix: Duration, shards: &Shards) -> Status {
         let behind = self.is_behind(unix);
         let age = |since: Duration| millis(now.saturating_sub(since));
-        let standing = self.standing();
+        let state = self.serving_state();
         let view = self.group.view(now);
         let peers = view.members.iter().filter(|member| self.is_live(member));
         Status {
             name: name(self.settings.id),
             id: self.settings.id,
             data_centre: Arc::clone(&self.settings.data_centre),
-            phase: standing.phase,
-            revision: standing.revision,
+            phase: state.phase,
+            revision: state.revision,
             change: self.agreement.version().map(|version| version.change),
             behind,
             enforced_ms: self.seen.revision.map_or(0, |(_, since)| age(since)),
--- a/crates/node/src/control/service.rs
+++ b/crates/node/src/control/service.rs
@@ -52,7 +52,7 @@
     /// From the traffic threads.
     pub counts: Receiver<Counts>,
     /// For the admin and metrics threads.
-    pub account: admin::Published,
+    pub status: admin::Published,
     /// How flows ended, for operators.
     pub ledger: Arc<Ledger>,
     /// For the traffic threads.
@@ -80,7 +80,7 @@
     incarnation: u64,
     leaving: Option<Leaving>,
     counted: Duration,
-    showing: admin::Showing,
+    status_publisher: admin::StatusPublisher,
 }
 
 /// How far a graceful shutdown has come.
@@ -107,7 +107,7 @@
         incarnation,
         leaving: None,
         counted: now,
-        showing: admin::Showing::new(Arc::clone(&context.account)),
+        status_publisher: admin::StatusPublisher::new(Arc::clone(&context.status)),
     };
     let ticks = tick(TICK);
     while !context.stop.load(Ordering::Relaxed) {
@@ -168,14 +168,14 @@
             .into_iter()
             .for_each(|message| self.send(message));
         self.leave(now);
-        self.showing
+        self.status_publisher
             .tick(now, &mut self.core, &self.context.shards, || {
                 self.mesh.stats()
             });
         if now.saturating_sub(self.counted) >= COUNTS {
             self.counted = now;
             let (id, counts) = (self.context.settings.id, self.context.counter.line());
-            let traffic = self.showing.traffic();
+            let traffic = self.status_publisher.traffic();
             log::info!(
                 "event=counts id={id} {counts} control_sent={} control_received={}",
                 traffic.sent,
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -58,7 +58,7 @@
     published: Published,
     shards: Arc<Shards>,
     counter: Arc<Counter>,
-    account: admin::Published,
+    status: admin::Published,
     ledger: Arc<Ledger>,
     leave: Arc<AtomicBool>,
     left: Arc<AtomicBool>,
@@ -82,7 +82,7 @@
     let shared = Arc::new(Shared {
         ledger: Arc::new(Ledger::new(settings.id)),
         settings: Arc::new(settings),
-        account: admin::Published::default(),
+        status: admin::Published::default(),
         published: Published::default(),
         shards: Arc::new(Shards::new(SHARDS, Limits::default())),
         counter: Arc::default(),
@@ -173,7 +173,7 @@
             platform_calls: platform.calls.clone(),
             notices,
             counts,
-            account: Arc::clone(&shared.account),
+            status: Arc::clone(&shared.status),
             ledger: Arc::clone(&shared.ledger),
             published: Arc::clone(&shared.published),
             shards: Arc::clone(&shared.shards),
@@ -220,7 +220,7 @@
         let listener = admin::listen(shared.settings.admin)?;
         let stop = CancellationToken::new();
         let token = stop.clone();
-        context.spawn(move || admin::run(listener, token, &shared.account, &shared.ledger))?;
+        context.spawn(move || admin::run(listener, token, &shared.status, &shared.ledger))?;
         context.on_stop(move || stop.cancel());
         Ok(())
     })
@@ -233,8 +233,8 @@
         };
         let (running, stop) = bounded::<()>(0);
         context.spawn(move || {
-            let (id, account) = (shared.settings.id, &shared.account);
-            metrics::run(to, id, account, &shared.counter, &stop)
+            let (id, status) = (shared.settings.id, &shared.status);
+            metrics::run(to, id, status, &shared.counter, &stop)
         })?;
         context.on_stop(move || drop(running));
         Ok(())
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -12,7 +12,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 
 use crate::{
-    admin::{Account, Published},
+    admin::{Published, StatusSnapshot},
     counter::{Counter, KINDS},
 };
 
@@ -115,17 +115,17 @@
 
     /// Reports what happened since the report before, [`PERIOD`] ago. Reports may be lost on their
     /// way at any time and nothing depends on one, so errors are dropped.
-    pub fn report(&mut self, account: &Account, counter: &Counter) {
-        self.counts(account, counter);
-        self.gauges(account);
+    pub fn report(&mut self, snapshot: &StatusSnapshot, counter: &Counter) {
+        self.counts(snapshot, counter);
+        self.gauges(snapshot);
         let _ = self.client.flush();
     }
 
-    fn counts(&mut self, account: &Account, counter: &Counter) {
+    fn counts(&mut self, snapshot: &StatusSnapshot, counter: &Counter) {
         let kinds = KINDS.iter().map(|(kind, name)| (*name, counter.of(*kind)));
         let codes = counter.codes();
         let codes = codes.iter().map(|(code, count)| (code.label(), *count));
-        let mut counts = account.mesh.counts();
+        let mut counts = snapshot.mesh.counts();
         for (name, count) in kinds.chain(codes) {
             *counts.entry(name).or_default() += count;
         }
@@ -138,12 +138,12 @@
         }
     }
 
-    fn gauges(&mut self, account: &Account) {
-        let status = &account.status;
+    fn gauges(&mut self, snapshot: &StatusSnapshot) {
+        let status = &snapshot.status;
         let fresh = |age: Option<u64>| age.is_some_and(|ms| ms <= PERIOD.as_millis() as u64);
         let heard = status.peers.iter().filter(|peer| fresh(peer.heard_ms));
         let table = status.services.iter().map(|service| service.table).max();
-        let (now, before) = (account.traffic, self.traffic);
+        let (now, before) = (snapshot.traffic, self.traffic);
         let per_second = |now: u64, before: u64| now.saturating_sub(before) / PERIOD.as_secs();
         let gauges = [
             ("revision", status.revision.unwrap_or(0)),
--- a/crates/node/tests/it/admin.rs
+++ b/crates/node/tests/it/admin.rs
@@ -5,7 +5,7 @@
 use acacia_api::Status;
 use acacia_burn::{Count, Mark};
 use acacia_node::{
-    admin::{self, Account, Published},
+    admin::{self, Published, StatusSnapshot},
     ledger::Ledger,
 };
 use tokio_util::sync::CancellationToken;
@@ -22,10 +22,10 @@
         ..Status::default()
     };
     // Made at the machine's start, long ago.
-    published.store(Arc::new(Account {
+    published.store(Arc::new(StatusSnapshot {
         status,
         document: Some("text".into()),
-        ..Account::default()
+        ..StatusSnapshot::default()
     }));
     let ledger = Arc::new(Ledger::new(3));
     let good = Count {
--- a/crates/node/tests/it/metrics.rs
+++ b/crates/node/tests/it/metrics.rs
@@ -8,7 +8,7 @@
 use acacia_api::Status;
 use acacia_code::Code;
 use acacia_node::{
-    admin::Account,
+    admin::StatusSnapshot,
     counter::{Counter, KINDS, Kind},
     metrics::{Reporter, Traffic},
 };
@@ -42,7 +42,7 @@
     let (socket, address) = statsd();
     let mut reporter = Reporter::open(address, 3).unwrap();
     let counter = Counter::default();
-    let account = |sent| Account {
+    let snapshot = |sent| StatusSnapshot {
         status: Status {
             revision: Some(8),
             ..Status::default()
@@ -52,15 +52,15 @@
             inbox_full: sent / 1_000,
             ..Stats::default()
         },
-        ..Account::default()
+        ..StatusSnapshot::default()
     };
 
     counter.kind(Kind::Ingress, 5);
     counter.code(Code::PacketTruncated);
-    reporter.report(&account(1_000), &counter);
+    reporter.report(&snapshot(1_000), &counter);
     let first = receive(&socket);
     counter.kind(Kind::Ingress, 2);
-    reporter.report(&account(3_000), &counter);
+    reporter.report(&snapshot(3_000), &counter);
     let second = receive(&socket);
 
     let lines = [
