--- a/crates/node/src/control/agreement.rs
+++ b/crates/node/src/control/agreement.rs
@@ -16,7 +16,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 
-use super::spread::Spread;
+use super::table_fetch::TableFetcher;
 use crate::{clock::millis, settings::Settings};
 
 /// Longest pause after a watch of the tables failed. Load: all watchers lose the store at the same
@@ -60,7 +60,7 @@
 
 /// A message to a peer that this module wants sent.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ask {
+pub enum PeerRequest {
     /// For the configuration.
     Config(u16),
     /// For the tables.
@@ -73,7 +73,7 @@
     /// Calls to the platform.
     pub platform_calls: Vec<PlatformCall>,
     /// Questions to peers.
-    pub asks: Vec<Ask>,
+    pub peer_requests: Vec<PeerRequest>,
     /// Whether new tables are in force.
     pub tables: bool,
 }
@@ -83,7 +83,7 @@
 pub struct Agreement {
     rollout: Rollout,
     writer: Writer,
-    spread: Spread,
+    table_fetcher: TableFetcher,
     watch: Watch,
     random: Pcg64,
     id: u16,
@@ -110,7 +110,7 @@
         Agreement {
             rollout: Rollout::new(Options { me, seed }, now),
             writer: Writer::new(millis(now)),
-            spread: Spread::default(),
+            table_fetcher: TableFetcher::default(),
             watch: Watch::default(),
             random: Pcg64::seed_from_u64(seed),
             id: settings.id,
@@ -165,7 +165,7 @@
     /// highest configuration and tables that it could learn of.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.rollout.is_ready() && self.document().is_some() && !self.spread.is_behind()
+        self.rollout.is_ready() && self.document().is_some() && !self.table_fetcher.is_behind()
     }
 
     /// Measured weights of backend servers by name.
@@ -190,7 +190,7 @@
         self.writer
             .set_rank(rank.and_then(|rank| u16::try_from(rank).ok()));
         self.ranked = self.is_watcher(view);
-        self.spread.saw_view(view);
+        self.table_fetcher.saw_view(view);
         self.step_rollout(now, Event::View(peers))
     }
 
@@ -202,7 +202,7 @@
         config: Option<Version>,
         tables: u64,
     ) -> Outcome {
-        self.spread.heard(peer, tables);
+        self.table_fetcher.heard(peer, tables);
         self.step_rollout(
             now,
             Event::Heard {
@@ -217,7 +217,7 @@
         self.step_rollout(now, Event::Store(answer))
     }
 
-    /// A peer's answer to [`Ask::Config`].
+    /// A peer's answer to [`PeerRequest::Config`].
     pub fn fetched_config(
         &mut self,
         now: Duration,
@@ -260,14 +260,14 @@
         }
     }
 
-    /// A peer's answer to [`Ask::Tables`].
+    /// A peer's answer to [`PeerRequest::Tables`].
     pub fn fetched_tables(
         &mut self,
         now: Duration,
         peer: u16,
         text: Option<&str>,
     ) -> Result<Outcome, Code> {
-        self.spread.ended(peer);
+        self.table_fetcher.ended(peer);
         let Some(text) = text else {
             return Ok(Outcome::default());
         };
@@ -289,8 +289,8 @@
         let mut outcome = self.step_rollout(now, Event::Tick);
         self.watch_tables(now, &mut outcome);
         let version = self.document().map_or(0, |document| document.version);
-        if let Some(peer) = self.spread.fetch(now, version) {
-            outcome.asks.push(Ask::Tables(peer));
+        if let Some(peer) = self.table_fetcher.fetch(now, version) {
+            outcome.peer_requests.push(PeerRequest::Tables(peer));
         }
         let moment = Moment {
             monotonic: millis(now),
@@ -359,7 +359,7 @@
                 Action::Watch { above } => outcome
                     .platform_calls
                     .push(PlatformCall::WatchConfig { above }),
-                Action::Fetch { peer } => outcome.asks.push(Ask::Config(peer)),
+                Action::Fetch { peer } => outcome.peer_requests.push(PeerRequest::Config(peer)),
                 Action::Enforce(held) => {
                     log::info!("event=config-in-force revision={}", held.document.revision);
                     self.writer.saw_config(held.document);
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -30,7 +30,7 @@
 };
 
 use super::{
-    agreement::{self, Agreement, Ask, PlatformCall},
+    agreement::{self, Agreement, PeerRequest, PlatformCall},
     load::Pools,
     platform::PlatformEvent,
 };
@@ -245,10 +245,10 @@
     /// Carries out what follows from an event of the agreement.
     fn follow(&mut self, now: Duration, outcome: agreement::Outcome) {
         self.platform_calls.extend(outcome.platform_calls);
-        for ask in outcome.asks {
-            match ask {
-                Ask::Config(peer) => self.send(peer, Class::Urgent, Message::AskConfig),
-                Ask::Tables(peer) => self.send(peer, Class::Urgent, Message::AskTables),
+        for request in outcome.peer_requests {
+            match request {
+                PeerRequest::Config(peer) => self.send(peer, Class::Urgent, Message::AskConfig),
+                PeerRequest::Tables(peer) => self.send(peer, Class::Urgent, Message::AskTables),
             }
         }
         if outcome.tables {
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -5,4 +5,4 @@
 pub mod load;
 pub mod platform;
 pub mod service;
-pub mod spread;
+pub mod table_fetch;
--- a/crates/node/src/control/spread.rs
+++ b/crates/node/src/control/table_fetch.rs
@@ -10,14 +10,14 @@
 
 /// Which tables the peers say they have, and the question that is open.
 #[derive(Debug, Default)]
-pub struct Spread {
+pub struct TableFetcher {
     versions: BTreeMap<u16, u64>,
     own: u64,
     open: Option<(u16, Duration)>,
     last: Option<u16>,
 }
 
-impl Spread {
+impl TableFetcher {
     /// Forgets peers that are no longer heard.
     pub fn saw_view(&mut self, view: &View) {
         self.versions
--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -153,17 +153,17 @@
 
 /// One traffic thread's part for all services.
 #[derive(Debug)]
-pub struct Desk {
+pub struct FlowPlacer {
     locals: Map<Address, Local>,
     random: Pcg64,
     drained: Duration,
 }
 
-impl Desk {
+impl FlowPlacer {
     /// A thread that has decided nothing yet. `seed` spreads the times to come back.
     #[must_use]
     pub fn new(seed: u64) -> Self {
-        Desk {
+        FlowPlacer {
             locals: Map::default(),
             random: Pcg64::seed_from_u64(seed),
             drained: Duration::ZERO,
@@ -181,7 +181,7 @@
             return place::by_table(request);
         };
         let class = policy.class(IpAddr::V4(request.packet.key.client));
-        let Desk { locals, random, .. } = self;
+        let FlowPlacer { locals, random, .. } = self;
         let local = local(locals, request.service.address, policy);
         let admitted = local.gate.admit(class, &policy.plan, now, random);
         if let (Err(refusal), true) = (admitted, request.refusable && policy.refuses) {
--- a/crates/node/src/traffic/worker.rs
+++ b/crates/node/src/traffic/worker.rs
@@ -27,7 +27,7 @@
 use crate::{
     clock,
     counter::{Counter, Kind},
-    load::{Counts, Desk},
+    load::{Counts, FlowPlacer},
     view::{Published, View},
 };
 
@@ -54,7 +54,7 @@
 
 /// Resolves and passes on packets until `stop` is raised.
 pub fn run(socket: &UdpSocket, context: &Context, stop: &AtomicBool) -> std::io::Result<()> {
-    let mut desk = Desk::new(context.seed);
+    let mut placer = FlowPlacer::new(context.seed);
     repeat(socket, &context.counter, stop, |received, to_send| {
         // One look a batch: a view is good for far longer than a batch takes.
         let view = context.published.load();
@@ -69,13 +69,13 @@
                 now,
                 index,
                 to_send,
-                desk: &mut desk,
+                placer: &mut placer,
             };
             if let Err(code) = step.datagram(received.get(index)) {
                 context.counter.code(code);
             }
         }
-        for counts in desk.drain(now) {
+        for counts in placer.drain(now) {
             // A full queue loses half a second of counts; estimates go on with the next.
             if context.counts.try_send(counts).is_err() {
                 context.counter.kind(Kind::Untold, 1);
@@ -110,7 +110,7 @@
     now: Duration,
     index: usize,
     to_send: &'a mut ToSend,
-    desk: &'a mut Desk,
+    placer: &'a mut FlowPlacer,
 }
 
 impl Step<'_> {
@@ -131,8 +131,8 @@
         let time = clock::millis(self.now);
         let verdict = {
             let mut shard = self.context.shards.of(packet.key.hash());
-            let (desk, policies, now) = (&mut *self.desk, &self.view.policies, self.now);
-            let mut place = |request: &Request<'_>| desk.place(request, policies, now);
+            let (placer, policies, now) = (&mut *self.placer, &self.view.policies, self.now);
+            let mut place = |request: &Request<'_>| placer.place(request, policies, now);
             resolve(
                 &self.view.snapshot,
                 &mut shard,
@@ -144,7 +144,7 @@
         };
         if let (Action::Forward { server }, Arrival::Ingress) = (verdict.action, arrival) {
             let address = Address::of(&packet.key);
-            self.desk
+            self.placer
                 .observe(&packet, address, server, &self.view.policies, self.now);
         }
         self.carry_out(verdict, &packet, datagram.len() - bytes.len(), bytes)
