--- a/crates/node/src/cookie/traffic.rs
+++ b/crates/node/src/cookie/traffic.rs
@@ -55,7 +55,7 @@
 pub fn run(socket: &UdpSocket, context: &Context, stop: &AtomicBool) -> std::io::Result<()> {
     let mut resolver = Resolver::default();
     let mut before: Option<Arc<Snapshot>> = None;
-    worker::repeat(socket, &context.counter, stop, |received, to_send| {
+    worker::process_batches(socket, &context.counter, stop, |received, to_send| {
         let Some(snapshot) = context.published.load_full() else {
             return;
         };
--- a/crates/node/src/traffic/worker.rs
+++ b/crates/node/src/traffic/worker.rs
@@ -55,7 +55,7 @@
 /// Resolves and passes on packets until `stop` is raised.
 pub fn run(socket: &UdpSocket, context: &Context, stop: &AtomicBool) -> std::io::Result<()> {
     let mut placer = FlowPlacer::new(context.seed);
-    repeat(socket, &context.counter, stop, |received, to_send| {
+    process_batches(socket, &context.counter, stop, |received, to_send| {
         // One look a batch: a view is good for far longer than a batch takes.
         let view = context.published.load();
         let Some(view) = view.as_deref() else {
@@ -86,7 +86,7 @@
 
 /// Takes batches of datagrams until `stop` is raised, and sends what `handle` makes of each. It is
 /// called at least as often as the socket's read timeout, also with an empty batch.
-pub fn repeat(
+pub fn process_batches(
     socket: &UdpSocket,
     counter: &Counter,
     stop: &AtomicBool,
