--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -53,7 +53,7 @@
     let sink = Sink {
         sender: sender.clone(),
         line: Vec::new(),
-        budget: Budget::default(),
+        limit: LineLimit::default(),
         start: Instant::now(),
     };
     WriteLogger::init(level, config, sink)?;
@@ -134,7 +134,7 @@
 struct Sink {
     sender: Sender<Entry>,
     line: Vec<u8>,
-    budget: Budget,
+    limit: LineLimit,
     start: Instant,
 }
 
@@ -157,7 +157,7 @@
     fn queue(&mut self, line: Vec<u8>) {
         let now = self.start.elapsed();
         let event = event(&line).to_owned();
-        for (event, count) in self.budget.settle(now) {
+        for (event, count) in self.limit.start_second(now) {
             let told = format!("event=log-left-out of={event} lines={count}\n");
             // Counted again below if the queue is full: the figure is then told a second later.
             if self
@@ -165,14 +165,14 @@
                 .try_send(Entry::Line(told.into_bytes()))
                 .is_err()
             {
-                self.budget.left_out(&event, count);
+                self.limit.left_out(&event, count);
             }
         }
-        if !self.budget.admit(&event) {
+        if !self.limit.admit(&event) {
             return;
         }
         if self.sender.try_send(Entry::Line(line)).is_err() {
-            self.budget.left_out(&event, 1);
+            self.limit.left_out(&event, 1);
         }
     }
 }
@@ -187,21 +187,21 @@
 
 /// The bound on lines of each kind of event.
 #[derive(Debug, Default)]
-pub struct Budget {
+pub struct LineLimit {
     second: u64,
     used: Map<String, u32>,
     left_out: Map<String, u64>,
 }
 
-impl Budget {
+impl LineLimit {
     /// Whether a line of that event may pass in this second; else it is counted.
     ///
     /// ```
     /// use std::time::Duration;
-    /// let mut budget = acacia_node::journal::Budget::default();
-    /// let passed = (0..300).filter(|_| budget.admit("server")).count();
+    /// let mut limit = acacia_node::journal::LineLimit::default();
+    /// let passed = (0..300).filter(|_| limit.admit("server")).count();
     /// assert_eq!(passed, 250);
-    /// assert_eq!(budget.settle(Duration::from_secs(1)), [("server".to_owned(), 50)]);
+    /// assert_eq!(limit.start_second(Duration::from_secs(1)), [("server".to_owned(), 50)]);
     /// ```
     pub fn admit(&mut self, event: &str) -> bool {
         let used = self.used.entry(event.to_owned()).or_default();
@@ -219,7 +219,7 @@
     }
 
     /// Begins a new second if it is time, and gives what was left out in the one before.
-    pub fn settle(&mut self, now: Duration) -> Vec<(String, u64)> {
+    pub fn start_second(&mut self, now: Duration) -> Vec<(String, u64)> {
         if now.as_secs() == self.second {
             return Vec::new();
         }
