--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,5 +1,5 @@
-//! What operators are answered. The control thread shows an account of the balancer about once a
-//! second; a thread of its own gives it out and never waits for control.
+//! The admin endpoint. The control thread publishes a snapshot of the balancer's status about once
+//! a second; the admin thread serves the latest one and never waits for the control thread.
 
 use std::{
     net::SocketAddrV4,
@@ -20,33 +20,33 @@
     metrics::{Meter, Traffic},
 };
 
-/// Between two accounts. Ages go on while an account is given out, so that a control thread that
-/// hangs is seen by its ages.
-const PAUSE: Duration = Duration::from_secs(1);
-/// How long the listener is tried for: a process before this one may just be ending.
-const BINDING: Duration = Duration::from_secs(2);
-/// Between two tries.
-const RETRY: Duration = Duration::from_millis(50);
+/// Interval between snapshots. The ages in a snapshot are advanced to the time at which it is
+/// served, so a control thread that hangs shows up as ages that keep growing.
+const INTERVAL: Duration = Duration::from_secs(1);
+/// How long binding the listener is retried: the previous process may still be exiting.
+const BIND_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between two attempts to bind.
+const BIND_RETRY: Duration = Duration::from_millis(50);
 
-/// What the control thread shows.
+/// The status of the balancer at one moment, as published by the control thread.
 #[derive(Debug, Clone, Default)]
 pub struct StatusSnapshot {
-    /// When it was made, by [`clock::now`].
+    /// When the snapshot was taken, by [`clock::now`].
     pub at: Duration,
-    /// How the balancer is.
+    /// The balancer's status, with ages as of [`StatusSnapshot::at`].
     pub status: Status,
-    /// The document in force, encoded.
+    /// The configuration document in force, encoded.
     pub document: Option<Arc<str>>,
-    /// Bytes of control messages since the start.
+    /// Bytes of control messages since the process started.
     pub traffic: Traffic,
-    /// Counts of the control messages and connections.
+    /// Statistics of control messages and connections.
     pub mesh: acacia_peer::Stats,
 }
 
-/// The latest account.
+/// The latest snapshot, shared between threads.
 pub type Published = Arc<ArcSwap<StatusSnapshot>>;
 
-/// The control thread's side: when to show what.
+/// Decides when the control thread publishes a new snapshot.
 #[derive(Debug)]
 pub struct StatusPublisher {
     published: Published,
@@ -55,7 +55,7 @@
 }
 
 impl StatusPublisher {
-    /// Shows through `published`.
+    /// Creates a publisher that stores snapshots in `published`.
     #[must_use]
     pub fn new(published: Published) -> Self {
         StatusPublisher {
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Shows a new account if it is time, or if something changed that operators wait for.
+    /// Publishes a new snapshot if [`INTERVAL`] has passed, or at once if the serving state
+    /// has changed.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -76,14 +77,15 @@
         let state = core.serving_state();
         let is_due = self
             .last
-            .is_none_or(|(at, before)| before != state || now.saturating_sub(at) >= PAUSE);
+            .is_none_or(|(at, before)| before != state || now.saturating_sub(at) >= INTERVAL);
         if !is_due {
             return;
         }
         self.last = Some((now, state));
         let before = self.published.load();
         let status = core.status(now, clock::time_of_day(), shards);
-        // The document changes with its revision and change only; encoding it takes milliseconds.
+        // Encoding the document takes milliseconds, and it is the same while its revision and
+        // change are.
         let version = |status: &Status| (status.revision, status.change);
         let is_same = before.document.is_some() && version(&before.status) == version(&status);
         let document = if is_same {
@@ -101,16 +103,16 @@
         }));
     }
 
-    /// Bytes of control messages, as last shown.
+    /// Bytes of control messages, as of the latest snapshot.
     #[must_use]
     pub fn traffic(&self) -> Traffic {
         self.published.load().traffic
     }
 }
 
-/// Listens for operators. Tries again for a moment if the address is still taken.
+/// Binds the admin listener, retrying for [`BIND_TIMEOUT`] while the address is still in use.
 pub fn listen(address: SocketAddrV4) -> std::io::Result<std::net::TcpListener> {
-    let deadline = Instant::now() + BINDING;
+    let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
         match std::net::TcpListener::bind(address) {
             Ok(listener) => {
@@ -118,12 +120,12 @@
                 return Ok(listener);
             }
             Err(error) if Instant::now() >= deadline => return Err(error),
-            Err(_) => std::thread::sleep(RETRY),
+            Err(_) => std::thread::sleep(BIND_RETRY),
         }
     }
 }
 
-/// Answers operators until told to stop.
+/// Serves requests of operators until `stop` is cancelled.
 pub fn run(
     listener: std::net::TcpListener,
     stop: CancellationToken,
@@ -133,13 +135,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let (one, two) = (Arc::clone(published), Arc::clone(published));
+    let (for_status, for_document) = (Arc::clone(published), Arc::clone(published));
     let status = move || {
-        let snapshot = one.load();
+        let snapshot = for_status.load();
         let age = clock::now().saturating_sub(snapshot.at);
         snapshot.status.clone().aged(age.as_millis() as u64)
     };
-    let document = move || two.load().document.clone();
+    let document = move || for_document.load().document.clone();
     let ledger = Arc::clone(ledger);
     let ledger = move || ledger.snapshot();
     runtime.block_on(async {
