--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,13 +1,14 @@
-//! The process's clock.
+//! Clocks of the process: monotonic time and time of day.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Time since the machine started, its suspension included.
+/// Monotonic time since the machine booted, including time spent suspended.
 ///
 /// A process that was frozen (stopped, or its VM paused and resumed) must notice that its view of
-/// the others is old. A clock that stops with it would hide that, so this is `CLOCK_BOOTTIME`.
+/// the other balancers is out of date. A clock that stops during the freeze would hide that, so
+/// this reads `CLOCK_BOOTTIME`.
 ///
 /// ```
 /// let earlier = acacia_node::clock::now();
@@ -20,7 +21,7 @@
     Duration::from(time)
 }
 
-/// Time since 1970 by the machine's clock; before that, nothing.
+/// Time since the Unix epoch by the machine's clock; zero if the clock is set to before it.
 ///
 /// ```
 /// assert!(acacia_node::clock::time_of_day().as_secs() > 0);
@@ -32,7 +33,7 @@
         .unwrap_or_default()
 }
 
-/// Whole milliseconds of a time, as the flow crate counts them.
+/// Converts a time to whole milliseconds, the unit of time in the flow crate.
 ///
 /// ```
 /// use std::time::Duration;
