--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -1,32 +1,33 @@
-//! Counts of what traffic and control threads saw, by numbered code and by kind.
+//! Event counters shared by the traffic and control threads, by numbered code and by kind.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use acacia_code::{Code, TABLE};
 
-/// Codes are numbered below this.
-const CODES: usize = 512;
+/// Upper bound (exclusive) on the numbers of codes.
+const CODE_COUNT: usize = 512;
 
-/// What happened to a packet that was not dropped.
+/// An event that is counted without a code: what became of a packet that was not dropped, or a
+/// message that was lost inside the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// From the fabric.
+    /// A packet received from the fabric.
     Ingress,
-    /// To a backend server.
+    /// A packet forwarded to a backend server.
     Forwarded,
-    /// To another balancer.
+    /// A packet redirected to another balancer.
     Redirected,
-    /// Answered as not run.
+    /// A new flow refused under load; the caller is told when to retry.
     Refused,
-    /// A flow reset towards both ends.
+    /// A flow ended with a reset to both ends.
     Ended,
-    /// Not taken by the kernel for sending.
+    /// A datagram that the kernel did not accept for sending.
     Unsent,
-    /// A notice or counts for the control thread that its full queue did not take.
+    /// A notice or counts that were dropped because the control thread's queue was full.
     Untold,
 }
 
-/// Every kind with its name in metrics.
+/// Every kind and its name in metrics.
 pub const KINDS: &[(Kind, &str)] = &[
     (Kind::Ingress, "ingress"),
     (Kind::Forwarded, "forwarded"),
@@ -37,7 +38,7 @@
     (Kind::Untold, "untold"),
 ];
 
-/// The counts of one balancer since its start. Threads add without locks.
+/// The counters of one balancer since it started. Threads increment them without locks.
 #[derive(Debug)]
 pub struct Counter {
     codes: Vec<AtomicU64>,
@@ -48,7 +49,7 @@
     fn default() -> Self {
         let zeroes = |len| (0..len).map(|_| AtomicU64::new(0)).collect();
         Counter {
-            codes: zeroes(CODES),
+            codes: zeroes(CODE_COUNT),
             kinds: zeroes(KINDS.len()),
         }
     }
@@ -74,13 +75,13 @@
         self.kinds[kind as usize].fetch_add(number, Ordering::Relaxed);
     }
 
-    /// How many events of a kind there were.
+    /// Returns the number of events of a kind.
     #[must_use]
     pub fn of(&self, kind: Kind) -> u64 {
         self.kinds[kind as usize].load(Ordering::Relaxed)
     }
 
-    /// All counts as key=value pairs, for a line of the log.
+    /// Formats all counts as key=value pairs for the log.
     #[must_use]
     pub fn line(&self) -> String {
         let kinds = KINDS
@@ -93,7 +94,7 @@
         kinds.chain(codes).collect::<Vec<_>>().join(" ")
     }
 
-    /// The codes that were counted at least once.
+    /// Returns the codes that were counted at least once, with their counts.
     #[must_use]
     pub fn codes(&self) -> Vec<(Code, u64)> {
         TABLE
