--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the services of the process together, and ends them in order.
+//! Starts the services of the process, and stops them in order of their dependencies.
 
 use std::{
     net::{SocketAddrV4, UdpSocket},
@@ -38,21 +38,22 @@
     view::Published,
 };
 
-/// The longest that a traffic thread waits for packets before it looks whether to stop.
-const LOOK: Duration = Duration::from_millis(50);
-/// Receive buffer of a traffic socket, in bytes: a burst of some 3,000 full packets.
-const BUFFER: usize = 4 << 20;
+/// Read timeout of a traffic socket: how often an idle traffic thread checks whether to stop.
+const READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// Receive buffer of a traffic socket, in bytes: holds a burst of some 3,000 full-sized packets.
+const RECEIVE_BUFFER: usize = 4 << 20;
 
-/// Pins and caches are spread over so many locks: a traffic thread holds one for the time of a
-/// decision, the control thread for a look through one shard.
+/// Number of shards that pins and caches are spread over, each behind its own lock. A traffic
+/// thread holds one lock while it decides on a packet, the control thread while it sweeps one
+/// shard.
 const SHARDS: usize = 16;
-/// Messages that wait for the control thread. More than the traffic threads can have to say
-/// between two turns of it, within the budget for hints.
+/// Capacity of the channels to and from the control thread. The hint budget keeps the traffic
+/// threads below this between two iterations of the control thread.
 const QUEUE: usize = 1_024;
-/// Between two looks at how far a graceful shutdown has come.
-const STEP: Duration = Duration::from_millis(20);
+/// Interval at which signals and the progress of a graceful shutdown are polled.
+const SIGNAL_POLL: Duration = Duration::from_millis(20);
 
-/// What the services of the process share.
+/// State shared by the services of the process.
 struct Shared {
     settings: Arc<Settings>,
     published: Published,
@@ -76,7 +77,9 @@
     counts: Sender<Counts>,
 }
 
-/// Runs the balancer until it is asked to end or a service of it dies.
+/// Runs the balancer until it is told to stop by a signal or one of its services dies.
+///
+/// The first signal starts a graceful shutdown, a second one forces the exit.
 pub fn run(settings: Settings) -> anyhow::Result<Code> {
     let _journal = journal::start(settings.log)?;
     let shared = Arc::new(Shared {
@@ -105,28 +108,28 @@
         settings.id,
         settings.traffic
     );
-    let ending = Arc::clone(&shared);
+    let signalled = Arc::clone(&shared);
     let waiter = std::thread::spawn(move || {
-        let mut asked = 0;
+        let mut received = 0;
         while !handle.is_closed() {
-            asked += signals.pending().count();
-            match asked {
+            received += signals.pending().count();
+            match received {
                 0 => {}
-                1 => ending.leave.store(true, Ordering::Relaxed),
+                1 => signalled.leave.store(true, Ordering::Relaxed),
                 _ => {
                     log::error!("event=forced code={}", Code::Forced);
                     journal::exit(Code::Forced.exit_status());
                 }
             }
-            if ending.left.load(Ordering::Relaxed) {
+            if signalled.left.load(Ordering::Relaxed) {
                 stopper.stop();
                 return;
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(SIGNAL_POLL);
         }
     });
     let outcome = kernel.wait();
-    // After a death nobody asked to end: the waiter must still be let go.
+    // If a service died, no signal has arrived: this ends the loop of the waiting thread.
     shared.left.store(true, Ordering::Relaxed);
     waiter
         .join()
@@ -241,14 +244,14 @@
     })
 }
 
-/// A socket of its own for each traffic thread, on one address: the kernel spreads datagrams over
-/// them by their outer addresses.
+/// Binds the socket of one traffic thread. All traffic threads bind the same address with
+/// `SO_REUSEPORT`, and the kernel distributes datagrams among them by their outer addresses.
 pub(crate) fn bind(address: SocketAddrV4) -> std::io::Result<UdpSocket> {
     let socket = Socket::new(Domain::IPV4, Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_reuse_port(true)?;
-    // The system may grant less; then bursts are cut sooner.
-    let _ = socket.set_recv_buffer_size(BUFFER);
+    // The kernel may grant less; then shorter bursts already lose packets.
+    let _ = socket.set_recv_buffer_size(RECEIVE_BUFFER);
     socket.bind(&address.into())?;
-    socket.set_read_timeout(Some(LOOK))?;
+    socket.set_read_timeout(Some(READ_TIMEOUT))?;
     Ok(socket.into())
 }
