--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -1,9 +1,9 @@
-//! Logs: one line of key=value pairs for each event, on standard output.
+//! Logging: one line of key=value pairs for each event, on standard output.
 //!
-//! Load: a flood of unknown packets, a server that flaps, or whoever reads the output doesn't any
-//! more. Harm: a write to a full pipe blocks, and with it the thread that logs, and callers' packets
-//! behind it. So lines go through a bounded queue to a thread of their own, each kind of event has a
-//! bound a second, and what is left out is counted and told.
+//! A write to a full pipe blocks the thread that logs, and with it the packets of callers. That can
+//! happen in a flood of unknown packets, with a server that flaps, or when the reader of the output
+//! has stopped reading. Lines therefore go through a bounded queue to a writer thread, each kind of
+//! event is limited to a number of lines per second, and lines left out are counted and reported.
 
 use std::{
     io::Write,
@@ -16,34 +16,36 @@
 use crossbeam_channel::{Receiver, Sender, bounded};
 use simplelog::{ConfigBuilder, LevelFilter, WriteLogger};
 
-/// Lines that wait for the writer: a second's worth of a busy balancer. At 200 bytes, 200 KB.
+/// Capacity of the queue to the writer, in lines: what a busy balancer logs in a second. At 200
+/// bytes a line, 200 KB.
 const QUEUE: usize = 1_024;
-/// Lines of one kind of event in a second. A configuration with hundreds of servers tells of each
-/// one once; beyond that, more lines of a kind say little more.
-const MOST: u32 = 250;
-/// How long the end of the process waits for the last lines, if nobody reads them.
-const LAST: Duration = Duration::from_millis(200);
-/// Bytes written at a time.
+/// Maximum lines per second for one kind of event. A configuration with hundreds of servers may log
+/// one line for each of them; more lines of one kind than that add little information.
+const MAX_LINES_PER_EVENT: u32 = 250;
+/// Timeout for writing the last lines when the process exits, in case nobody reads them.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Bytes after which a batch of lines is written.
 const BATCH: usize = 32 * 1_024;
 
-/// What the writer gets.
+/// An item in the queue to the writer.
 enum Entry {
-    /// A line with its end.
+    /// A line, including its line feed.
     Line(Vec<u8>),
-    /// The end; answered when all before it is written.
+    /// Stops the writer, which replies once everything queued before is written.
     End(Sender<()>),
 }
 
-/// The running log. Dropping it writes what waits.
+/// Handle of the running log. Dropping it waits until the queued lines are written.
 pub struct Journal {
     sender: Sender<Entry>,
     writer: Option<JoinHandle<()>>,
 }
 
-/// Starts logging from `level`. Lines of libraries, one or two a call, are left out.
+/// Starts logging at `level`. Lines of other libraries, which log one or two for each call, are
+/// left out.
 ///
 /// # Errors
-/// When logging was started before in this process.
+/// If logging was already started in this process.
 pub fn start(level: LevelFilter) -> anyhow::Result<Journal> {
     let config = ConfigBuilder::new()
         .set_time_format_rfc3339()
@@ -57,7 +59,7 @@
         start: Instant::now(),
     };
     WriteLogger::init(level, config, sink)?;
-    QUEUED.get_or_init(|| sender.clone());
+    QUEUE_SENDER.get_or_init(|| sender.clone());
     let writer = std::thread::Builder::new()
         .name("journal".into())
         .spawn(move || write(&entries, &mut std::io::stdout()))?;
@@ -69,8 +71,8 @@
 
 impl Drop for Journal {
     fn drop(&mut self) {
-        // A writer that is stuck in a full pipe ends with the process.
-        if is_written(&self.sender)
+        // A writer that blocks on a full pipe is not joined; it ends with the process.
+        if flush_queue(&self.sender)
             && let Some(writer) = self.writer.take()
         {
             let _ = writer.join();
@@ -78,26 +80,27 @@
     }
 }
 
-/// The queue of the running log, for an end of the process that drops nothing.
-static QUEUED: OnceLock<Sender<Entry>> = OnceLock::new();
+/// The queue of the running log, for [`exit`], which runs no destructors.
+static QUEUE_SENDER: OnceLock<Sender<Entry>> = OnceLock::new();
 
-/// Ends the process at once, but for the lines that wait to be written: the last of them says why it
-/// ends, and was lost where the process was gone before the writer's turn.
+/// Exits the process as soon as the queued lines are written, or after a timeout. The last line
+/// says why the process exits, and would be lost if it were gone before the writer ran.
 pub fn exit(status: u8) -> ! {
-    if let Some(sender) = QUEUED.get() {
-        is_written(sender);
+    if let Some(sender) = QUEUE_SENDER.get() {
+        flush_queue(sender);
     }
     std::process::exit(i32::from(status))
 }
 
-/// Waits until all that is queued is written, [`LAST`] at most; whether it is.
-fn is_written(sender: &Sender<Entry>) -> bool {
+/// Stops the writer once it has written all queued lines. Returns whether it did so within
+/// [`FLUSH_TIMEOUT`], which applies to queueing the request and to the reply each.
+fn flush_queue(sender: &Sender<Entry>) -> bool {
     let (done, written) = bounded(1);
-    let told = sender.send_timeout(Entry::End(done), LAST).is_ok();
-    told && written.recv_timeout(LAST).is_ok()
+    let queued = sender.send_timeout(Entry::End(done), FLUSH_TIMEOUT).is_ok();
+    queued && written.recv_timeout(FLUSH_TIMEOUT).is_ok()
 }
 
-/// Writes lines until the end, many at a time where many wait.
+/// Writes lines until [`Entry::End`], several at a time if several are queued.
 fn write(entries: &Receiver<Entry>, output: &mut impl Write) {
     let mut batch = Vec::new();
     while let Ok(mut entry) = entries.recv() {
@@ -106,7 +109,7 @@
                 Entry::Line(line) => batch.extend(line),
                 Entry::End(done) => {
                     flush(&mut batch, output);
-                    // Nobody waits if the process's end took too long.
+                    // The receiver is gone if the exit has timed out.
                     let _ = done.send(());
                     return;
                 }
@@ -124,13 +127,14 @@
     }
 }
 
-/// A closed output loses the lines: there is nowhere left to say so.
+/// Writes the batch and clears it. Errors are ignored: if the output is closed, the lines are lost
+/// and there is nowhere to report it.
 fn flush(batch: &mut Vec<u8>, output: &mut impl Write) {
     let _ = output.write_all(batch).and_then(|()| output.flush());
     batch.clear();
 }
 
-/// Takes the logger's bytes and queues whole lines.
+/// Collects the bytes that the logger writes into lines and queues them.
 struct Sink {
     sender: Sender<Entry>,
     line: Vec<u8>,
@@ -158,11 +162,11 @@
         let now = self.start.elapsed();
         let event = event(&line).to_owned();
         for (event, count) in self.limit.start_second(now) {
-            let told = format!("event=log-left-out of={event} lines={count}\n");
-            // Counted again below if the queue is full: the figure is then told a second later.
+            let line = format!("event=log-left-out of={event} lines={count}\n");
+            // If the queue is full, the count is added again and reported a second later.
             if self
                 .sender
-                .try_send(Entry::Line(told.into_bytes()))
+                .try_send(Entry::Line(line.into_bytes()))
                 .is_err()
             {
                 self.limit.left_out(&event, count);
@@ -177,7 +181,7 @@
     }
 }
 
-/// The name of the event that a line tells of; empty if it names none.
+/// Returns the value of a line's `event` key, or an empty string if it has none.
 fn event(line: &[u8]) -> &str {
     let text = str::from_utf8(line).unwrap_or_default();
     let rest = text.split_once("event=").map(|(_, rest)| rest);
@@ -185,7 +189,7 @@
         .unwrap_or_default()
 }
 
-/// The bound on lines of each kind of event.
+/// Limits the lines per second of each kind of event, and counts those left out.
 #[derive(Debug, Default)]
 pub struct LineLimit {
     second: u64,
@@ -194,31 +198,33 @@
 }
 
 impl LineLimit {
-    /// Whether a line of that event may pass in this second; else it is counted.
+    /// Returns whether a line of this event may be logged in the current second. If not, counts it
+    /// as left out.
     ///
     /// ```
     /// use std::time::Duration;
     /// let mut limit = acacia_node::journal::LineLimit::default();
-    /// let passed = (0..300).filter(|_| limit.admit("server")).count();
-    /// assert_eq!(passed, 250);
+    /// let admitted = (0..300).filter(|_| limit.admit("server")).count();
+    /// assert_eq!(admitted, 250);
     /// assert_eq!(limit.start_second(Duration::from_secs(1)), [("server".to_owned(), 50)]);
     /// ```
     pub fn admit(&mut self, event: &str) -> bool {
         let used = self.used.entry(event.to_owned()).or_default();
         *used += 1;
-        if *used > MOST {
+        if *used > MAX_LINES_PER_EVENT {
             self.left_out(event, 1);
             return false;
         }
         true
     }
 
-    /// Counts lines that were left out.
+    /// Counts lines of an event as left out.
     pub fn left_out(&mut self, event: &str, lines: u64) {
         *self.left_out.entry(event.to_owned()).or_default() += lines;
     }
 
-    /// Begins a new second if it is time, and gives what was left out in the one before.
+    /// Starts a new second if `now` lies in one, and returns the lines left out in the previous one
+    /// by event.
     pub fn start_second(&mut self, now: Duration) -> Vec<(String, u64)> {
         if now.as_secs() == self.second {
             return Vec::new();
