--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -1,4 +1,5 @@
-//! How flows ended here, by service and mark, for the report on service-level burn.
+//! Counts of how flows ended on this balancer, by service and mark, for the report on how fast the
+//! error budgets of services burn.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,7 +7,7 @@
 
 use crate::clock;
 
-/// The counts of this process, shared by its threads.
+/// The flow counts of this process, shared by its threads.
 #[derive(Debug)]
 pub struct Ledger {
     source: Source,
@@ -14,7 +15,7 @@
 }
 
 impl Ledger {
-    /// The empty counts of balancer `id`, from now on.
+    /// Creates empty counts for balancer `id`, starting now.
     ///
     /// ```
     /// use acacia_burn::{Count, Mark};
@@ -35,15 +36,15 @@
         }
     }
 
-    /// Adds flows of a service that ended, or were refused, just now. Takes a lock for about a
-    /// microsecond: callers add up what they count and hand it over about once a second.
+    /// Adds flows of a service that have just ended or been refused. Holds a lock for about a
+    /// microsecond, so threads accumulate their counts and add them about once a second.
     pub fn add(&self, service: &Arc<str>, mark: Mark, count: Count) {
         let now = clock::time_of_day().as_secs();
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         counts.add(self.source, now, service, mark, count);
     }
 
-    /// All counts up to now.
+    /// Returns all counts up to now.
     #[must_use]
     pub fn snapshot(&self) -> acacia_burn::Ledger {
         let now = clock::time_of_day().as_secs();
