--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -1,5 +1,5 @@
-//! The load crate in the daemon: a pool for each service, what traffic threads decide by, and what
-//! the control thread makes of their counts.
+//! Load balancing in the traffic threads: the policy of each service, by which new flows are
+//! admitted and placed, and the counts that the control thread makes new plans from.
 
 use std::{net::IpAddr, sync::Arc, time::Duration};
 
@@ -22,42 +22,42 @@
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64;
 
-/// What a trial class is guaranteed, against 1 for a paying one of the same weight. Without any
-/// guarantee trial callers would be shut out for as long as paying ones fill the service; a tenth
-/// keeps them served and costs paying ones little.
+/// Guaranteed share of a trial class, relative to 1 for a paying class of the same weight. Without
+/// a guarantee trial callers would be shut out for as long as paying ones fill the service; a tenth
+/// keeps them served and costs paying callers little.
 const TRIAL_SHARE: f64 = 0.1;
-/// Samples that one traffic thread keeps for a service: 8,192 of some 64 bytes. Beyond it the
-/// estimates rest on fewer flows and no memory grows.
-const SAMPLES: usize = 8_192;
-/// Between two reports of a traffic thread's counts. Half of the control thread's period, so that
-/// each of its turns has fresh ones.
-const DRAIN: Duration = Duration::from_millis(500);
+/// Maximum number of open samples that one traffic thread keeps for a service, at some 64 bytes
+/// each. Beyond that, estimates rest on fewer flows, so that memory stays bounded.
+const MAX_SAMPLES: usize = 8_192;
+/// Interval at which a traffic thread reports its counts: half the period at which the control
+/// thread makes plans, so that each plan has fresh counts.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What one service's new flows are decided by. Immutable; the control thread publishes a new one
-/// with each plan.
+/// How new flows of one service are admitted and placed. Immutable; the control thread publishes a
+/// new policy with each plan.
 #[derive(Debug, Clone)]
 pub struct Policy {
-    /// The pool, shared by all plans made for it.
+    /// The service's servers and classes of callers, shared by all plans made for them.
     pub pool: Arc<Pool>,
     /// The plan in force.
     pub plan: Arc<Plan>,
-    /// Whether flows may be refused now: the pool is under pressure by what is measured in it.
+    /// Whether flows may be refused now, because measurements show the pool under pressure.
     pub refuses: bool,
-    /// Index in the pool by number in the tables.
+    /// Index of a server in the pool by its number in the tables.
     pub index: Arc<Map<u16, pool::Server>>,
-    /// Finds the customer of a caller; its class has the next higher index, and class 0 is for
-    /// callers of no customer.
+    /// Looks up the customer of a caller. The class of customer `n` has index `n + 1`; class 0 is
+    /// for callers that belong to no customer.
     pub callers: Arc<Callers>,
 }
 
-/// The policies of all services.
+/// The policies of all services, by address.
 pub type Policies = Map<Address, Policy>;
 
-/// The class of callers that belong to no customer.
+/// Index of the class for callers that belong to no customer.
 pub const NO_CUSTOMER: usize = 0;
 
-/// The policies of a configuration and its tables before anything was measured. All balancers that
-/// have both number servers and classes alike.
+/// Returns the policies of a configuration and its tables, before anything has been measured.
+/// Balancers with the same configuration and tables assign the same indices to servers and classes.
 #[must_use]
 pub fn policies(config: &Config, config_revision: u64, document: &Document) -> Policies {
     let callers = Arc::new(Callers::new(config));
@@ -111,7 +111,7 @@
 }
 
 impl Policy {
-    /// The class of a caller.
+    /// Returns the index of a caller's class.
     #[must_use]
     pub fn class(&self, caller: IpAddr) -> usize {
         self.callers
@@ -120,57 +120,58 @@
     }
 }
 
-/// Counts of one service from one traffic thread.
+/// What one traffic thread counted for one service since its previous report.
 #[derive(Debug, Clone)]
 pub struct Counts {
-    /// The service.
+    /// The address of the service.
     pub address: Address,
-    /// The pool's revision; counts made under another one are dropped.
+    /// The pool's revision; the control thread drops counts of a revision other than its own.
     pub revision: u64,
-    /// The counts.
+    /// Measurements for the load crate's controller.
     pub tally: Tally,
-    /// What became of new flows, by index of class.
+    /// New flows admitted and refused, by index of class.
     pub flows: Vec<Flows>,
 }
 
-/// What became of the new flows of one class.
+/// New flows of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Flows {
-    /// Let in.
+    /// Flows admitted and placed.
     pub placed: u64,
-    /// Answered as not run.
+    /// Flows refused, whose callers were told when to retry.
     pub refused: u64,
 }
 
-/// One traffic thread's part for one service.
+/// State of one traffic thread for one service.
 #[derive(Debug)]
-struct Local {
+struct ServiceState {
     revision: u64,
     gate: Gate,
     tracker: Tracker,
     flows: Vec<Flows>,
 }
 
-/// One traffic thread's part for all services.
+/// Admits and places the new flows of one traffic thread, and counts them.
 #[derive(Debug)]
 pub struct FlowPlacer {
-    locals: Map<Address, Local>,
+    services: Map<Address, ServiceState>,
     random: Pcg64,
     drained: Duration,
 }
 
 impl FlowPlacer {
-    /// A thread that has decided nothing yet. `seed` spreads the times to come back.
+    /// Creates the state of a thread that has placed no flow yet. `seed` is for its random choices,
+    /// such as the retry times of refused callers.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         FlowPlacer {
-            locals: Map::default(),
+            services: Map::default(),
             random: Pcg64::seed_from_u64(seed),
             drained: Duration::ZERO,
         }
     }
 
-    /// Decides on a new flow.
+    /// Decides whether a new flow is admitted, and to which server it goes.
     pub fn place(
         &mut self,
         request: &Request<'_>,
@@ -181,11 +182,13 @@
             return place::by_table(request);
         };
         let class = policy.class(IpAddr::V4(request.packet.key.client));
-        let FlowPlacer { locals, random, .. } = self;
-        let local = local(locals, request.service.address, policy);
-        let admitted = local.gate.admit(class, &policy.plan, now, random);
+        let FlowPlacer {
+            services, random, ..
+        } = self;
+        let state = service_state(services, request.service.address, policy);
+        let admitted = state.gate.admit(class, &policy.plan, now, random);
         if let (Err(refusal), true) = (admitted, request.refusable && policy.refuses) {
-            local.flows[class].refused += 1;
+            state.flows[class].refused += 1;
             let retry_after = u32::try_from(refusal.after.as_millis()).unwrap_or(u32::MAX);
             return Placement::Refuse { retry_after };
         }
@@ -193,19 +196,20 @@
         if choices.is_empty() {
             return Placement::Nowhere;
         }
-        local.flows[class].placed += 1;
+        state.flows[class].placed += 1;
         let known = |number: &u16| policy.index.get(number).copied();
         let ranked: Vec<pool::Server> = choices.iter().filter_map(known).collect();
         if ranked.len() < choices.len() {
             return Placement::Server(choices[0]);
         }
-        match local.gate.place(&ranked, &policy.plan, random) {
+        match state.gate.place(&ranked, &policy.plan, random) {
             Ok(position) => Placement::Server(choices[position]),
             Err(_) => Placement::Nowhere,
         }
     }
 
-    /// Looks at a packet from the fabric that goes to the server with this number.
+    /// Measures load from a packet that arrived from the fabric and goes to the server with this
+    /// number.
     pub fn observe(
         &mut self,
         packet: &Packet,
@@ -221,50 +225,52 @@
             return;
         };
         let class = policy.class(IpAddr::V4(packet.key.client));
-        let Local { gate, tracker, .. } = local(&mut self.locals, address, policy);
+        let ServiceState { gate, tracker, .. } = service_state(&mut self.services, address, policy);
         tracker.observe(packet, server, class, now, gate.tally());
     }
 
-    /// The counts since the last time, when they are due.
+    /// Returns the counts since the previous report, or nothing until [`DRAIN_INTERVAL`] has
+    /// passed.
     pub fn drain(&mut self, now: Duration) -> Vec<Counts> {
-        if now.saturating_sub(self.drained) < DRAIN {
+        if now.saturating_sub(self.drained) < DRAIN_INTERVAL {
             return Vec::new();
         }
         self.drained = now;
-        self.locals
+        self.services
             .iter_mut()
-            .map(|(address, local)| Counts {
+            .map(|(address, state)| Counts {
                 address: *address,
-                revision: local.revision,
-                tally: local.gate.drain(),
-                flows: local.flows.iter_mut().map(std::mem::take).collect(),
+                revision: state.revision,
+                tally: state.gate.drain(),
+                flows: state.flows.iter_mut().map(std::mem::take).collect(),
             })
             .collect()
     }
 }
 
-fn local<'a>(
-    locals: &'a mut Map<Address, Local>,
+fn service_state<'a>(
+    services: &'a mut Map<Address, ServiceState>,
     address: Address,
     policy: &Policy,
-) -> &'a mut Local {
+) -> &'a mut ServiceState {
     let fresh = || {
         let limits = Limits::default();
-        Local {
+        ServiceState {
             revision: policy.pool.revision,
-            tracker: Tracker::new(SAMPLES, limits.slow),
+            tracker: Tracker::new(MAX_SAMPLES, limits.slow),
             gate: Gate::new(&policy.pool, limits),
             flows: vec![Flows::default(); policy.pool.classes.len()],
         }
     };
-    let local = locals.entry(address).or_insert_with(fresh);
-    if local.revision != policy.pool.revision {
-        *local = fresh();
+    let state = services.entry(address).or_insert_with(fresh);
+    if state.revision != policy.pool.revision {
+        *state = fresh();
     }
-    local
+    state
 }
 
-/// The servers that may take the flow, best first: only the base where the flow may not leave it.
+/// Returns the servers that the flow may be placed on, best first: only its base if the flow must
+/// not be placed elsewhere.
 fn choices(request: &Request<'_>) -> Vec<u16> {
     if !request.off_base_allowed {
         return vec![request.service.base[request.bucket]];
