--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,8 @@
-//! The balancer daemon as a library: settings, sockets and threads around the decision crates.
+//! The balancer daemon as a library: settings, sockets and threads around the crates that decide
+//! about packets, members and load.
 //!
-//! One thread holds control state and publishes immutable snapshots; traffic threads read the
-//! latest snapshot and never wait for control.
+//! The control thread owns the control state and publishes immutable snapshots. Traffic threads
+//! read the latest snapshot and never block on the control thread.
 
 pub mod admin;
 pub mod clock;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -16,10 +16,10 @@
 #[derive(Debug, Parser)]
 #[command(name = "acaciad", version, about = "Layer-4 load balancer")]
 struct Arguments {
-    /// The settings file, or - for standard input. Without it, the file that the platform names.
+    /// The settings file, or - for standard input. Defaults to the file that the platform provides.
     #[arg(long)]
     settings: Option<PathBuf>,
-    /// Only check the settings.
+    /// Check the settings and exit.
     #[arg(long)]
     check: bool,
 }
@@ -27,23 +27,26 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let Some(path) = arguments.settings.or_else(acacia_adapter::settings::path) else {
-        eprintln!("acaciad: {}: name a settings file", Code::Usage);
+        eprintln!(
+            "acaciad: {}: no settings file given; use --settings FILE",
+            Code::Usage
+        );
         return ExitCode::from(Code::Usage.exit_status());
     };
-    let ended = match read(&path) {
+    let outcome = match read(&path) {
         Ok(text) if settings::transport(&text) == Transport::Cookie => {
-            checked(cookie::Settings::parse(&text)).map(|settings| match arguments.check {
+            report_problems(cookie::Settings::parse(&text)).map(|settings| match arguments.check {
                 true => Ok(Code::Success),
                 false => cookie::daemon::run(settings, path),
             })
         }
-        Ok(text) => checked(Settings::parse(&text)).map(|settings| match arguments.check {
+        Ok(text) => report_problems(Settings::parse(&text)).map(|settings| match arguments.check {
             true => Ok(Code::Success),
             false => daemon::run(settings),
         }),
         Err(code) => Err(code),
     };
-    match ended {
+    match outcome {
         Ok(Ok(code)) | Err(code) => ExitCode::from(code.exit_status()),
         Ok(Err(error)) => {
             eprintln!("acaciad: {error:#}");
@@ -52,8 +55,8 @@
     }
 }
 
-/// Says what is wrong with settings.
-fn checked<T>(parsed: Result<T, settings::Error>) -> Result<T, Code> {
+/// Prints the problems of invalid settings to standard error.
+fn report_problems<T>(parsed: Result<T, settings::Error>) -> Result<T, Code> {
     parsed.map_err(|error| {
         eprintln!("acaciad: {error}");
         error.code
@@ -62,12 +65,12 @@
 
 fn read(path: &Path) -> Result<String, Code> {
     let mut text = String::new();
-    let taken = if path.as_os_str() == "-" {
+    let result = if path.as_os_str() == "-" {
         std::io::stdin().read_to_string(&mut text).map(|_| ())
     } else {
         std::fs::read_to_string(path).map(|read| text = read)
     };
-    if let Err(error) = taken {
+    if let Err(error) = result {
         eprintln!(
             "acaciad: {}: {}: {error}",
             Code::SettingsUnreadable,
