--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,4 @@
-//! What balancers tell each other over the control connections.
+//! Messages that balancers exchange over control connections.
 
 use std::sync::Arc;
 
@@ -14,35 +14,36 @@
 /// A control message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A sign of life; its payload is an encoded [`Payload`].
+    /// A heartbeat, whose payload is an encoded [`Payload`].
     Heartbeat(Heartbeat),
-    /// Copies of pins for a new owner.
+    /// Copies of pins, sent to a new owner.
     Batch(Batch),
     /// The answer to a batch.
     Acknowledgement(Acknowledgement),
-    /// A pin that the receiver should know.
+    /// A correction or hint: the server of one flow that the receiver should know.
     Notice(Notice),
-    /// Asks for the configuration in force.
+    /// Requests the configuration in force.
     AskConfig,
     /// The configuration in force, if there is one.
     Config(Option<Arc<Document>>),
-    /// Asks for the tables in force.
+    /// Requests the tables in force.
     AskTables,
-    /// The tables in force as they stand in the store, if there are any.
+    /// The tables in force, encoded as in the store, if there are any.
     Tables(Option<Arc<str>>),
 }
 
-/// What the crates above the membership add to a heartbeat.
+/// The part of a heartbeat that the layers above the membership protocol fill in.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Payload {
-    /// Flags, versions and handovers.
+    /// Flags, versions and handovers of flow control.
     pub flow: Report,
-    /// The configuration in force: its revision, and the change that made it.
+    /// The configuration in force: its revision and the id of the change that created it.
     pub config: Option<(u64, Id)>,
-    /// Counts under load, once a second.
+    /// Load reports of services, sent once a second.
     pub load: Vec<(Address, acacia_load::report::Report)>,
-    /// How many of the sender's last incarnations its pins reach back. A balancer that was suspended
-    /// for a moment joins as a new member and is the same owner of flows.
+    /// How many incarnations ago the sender started to collect the pins that it holds. A balancer
+    /// that was suspended briefly rejoins with a new incarnation, but keeps its pins and remains
+    /// the owner of its flows.
     pub kept: u64,
 }
 
@@ -53,7 +54,7 @@
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Decodes it; none if a balancer of another version sent it.
+    /// Decodes a payload; `None` if the sender runs another version with a different format.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
