--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in statsd's format over UDP. Their names are listed in docs/METRICS.md.
+//! Reports metrics to a statsd server over UDP. Their names are listed in docs/METRICS.md.
 
 use std::{
     collections::BTreeMap,
@@ -16,12 +16,12 @@
     counter::{Counter, KINDS},
 };
 
-/// Between two reports.
+/// Interval between reports.
 pub const PERIOD: Duration = Duration::from_secs(10);
-/// Every metric's name begins with this, then comes the balancer's number.
+/// Prefix of every metric's name, followed by the balancer's number.
 pub const PREFIX: &str = "acaciatrack";
 
-/// Bytes of control messages, without TCP's and IP's headers.
+/// Bytes of control messages, excluding TCP and IP headers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Sent to peers.
@@ -30,7 +30,8 @@
     pub received: u64,
 }
 
-/// Adds up the control messages of all peers. A peer's counters begin anew when it is set again.
+/// Sums the bytes of control messages over all peers. A peer's counters restart at zero when its
+/// connection is set up again, which doesn't lower the sum.
 #[derive(Debug, Default)]
 pub struct Meter {
     last: BTreeMap<u16, Traffic>,
@@ -38,7 +39,7 @@
 }
 
 impl Meter {
-    /// All bytes since the first reading.
+    /// Adds what has been sent and received since the previous call, and returns the total.
     ///
     /// ```
     /// use acacia_peer::{Stats, Traffic};
@@ -59,8 +60,8 @@
                 received: peer.received_bytes,
             };
             let before = self.last.get(id).copied().unwrap_or_default();
-            self.total.sent += risen(before.sent, now.sent);
-            self.total.received += risen(before.received, now.received);
+            self.total.sent += increase(before.sent, now.sent);
+            self.total.received += increase(before.received, now.received);
             last.insert(*id, now);
         }
         self.last = last;
@@ -68,12 +69,12 @@
     }
 }
 
-/// How far a counter has risen that may have begun anew.
-fn risen(before: u64, now: u64) -> u64 {
+/// Returns the increase of a counter that may have restarted at zero in between.
+fn increase(before: u64, now: u64) -> u64 {
     now.checked_sub(before).unwrap_or(now)
 }
 
-/// Sends reports, and remembers what was last reported.
+/// Sends reports, and keeps the values of the previous one to report differences.
 #[derive(Debug)]
 pub struct Reporter {
     client: StatsdClient,
@@ -97,13 +98,13 @@
 }
 
 impl Reporter {
-    /// Reports of balancer `id` to a statsd server.
+    /// Creates a reporter for balancer `id` that sends to the statsd server at `to`.
     ///
     /// # Errors
-    /// When no socket can be had.
+    /// If no socket can be opened.
     pub fn open(to: SocketAddrV4, id: u16) -> Result<Self, BoxError> {
         let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
-        // A full buffer loses a report rather than holding up the end of the process.
+        // If the send buffer is full, the report is lost; blocking would delay the shutdown.
         socket.set_nonblocking(true)?;
         let sink = BufferedUdpMetricSink::from(to, socket)?;
         Ok(Reporter {
@@ -113,8 +114,8 @@
         })
     }
 
-    /// Reports what happened since the report before, [`PERIOD`] ago. Reports may be lost on their
-    /// way at any time and nothing depends on one, so errors are dropped.
+    /// Reports changes since the previous report, which was sent [`PERIOD`] ago. Errors are
+    /// ignored: UDP may lose any report, and nothing depends on a single one.
     pub fn report(&mut self, snapshot: &StatusSnapshot, counter: &Counter) {
         self.counts(snapshot, counter);
         self.gauges(snapshot);
