--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings, read from INI and checked as a whole before anything starts.
+//! The daemon's settings, read from an INI file and validated as a whole before anything starts.
 
 use std::{
     collections::BTreeMap,
@@ -11,48 +11,49 @@
 use acacia_wire::control::Secret;
 use ini::Ini;
 
-/// Largest number of traffic threads.
-const MOST_THREADS: usize = 64;
+/// Maximum number of traffic threads.
+const MAX_THREADS: usize = 64;
 /// Length of a key, in bytes.
-const KEY: usize = 32;
+const KEY_LEN: usize = 32;
 
-/// Everything a balancer learns from its settings.
+/// The validated settings of a balancer that uses [`Transport::Ip`].
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// This balancer's number, unique among balancers.
     pub id: u16,
     /// The data centre this balancer runs in.
     pub data_centre: Arc<str>,
-    /// The IP number at which other balancers reach this one, on the ports of `traffic` and
-    /// `control`: another than these listen at where an address is translated or relayed.
+    /// The IP address at which other balancers reach this one, on the ports of `traffic` and
+    /// `control`. It differs from the addresses they listen on if there is a NAT or relay in
+    /// between.
     pub advertise: Ipv4Addr,
-    /// Where encapsulated packets come in, from the fabric and from other balancers.
+    /// Address to receive encapsulated packets on, from the fabric and from other balancers.
     pub traffic: SocketAddrV4,
-    /// Traffic threads.
+    /// Number of traffic threads.
     pub threads: usize,
-    /// Where packets for callers are sent: the network's gateway.
+    /// Address of the network's gateway, which packets for callers are sent to.
     pub gateway: SocketAddrV4,
-    /// Where control messages of other balancers come in.
+    /// Address to listen on for control connections of other balancers.
     pub control: SocketAddrV4,
-    /// Where operators' requests come in.
+    /// Address to listen on for operators' requests.
     pub admin: SocketAddrV4,
-    /// Where the platform answers.
+    /// Address of the platform's API.
     pub platform: SocketAddrV4,
-    /// Where metrics are sent (statsd over UDP), if anywhere.
+    /// Address that metrics are sent to (statsd over UDP), if any.
     pub metrics: Option<SocketAddrV4>,
-    /// Keys of the traffic between balancers.
+    /// Keys that authenticate the traffic between balancers.
     pub secret: Secret,
     /// Other balancers known from the start, by number.
     pub peers: BTreeMap<u16, Peer>,
-    /// Level of logs.
+    /// Log level.
     pub log: log::LevelFilter,
 }
 
-/// Another balancer's addresses.
+/// The address and location of another balancer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Where it takes control messages. It takes redirected packets at the same IP number, on the
-    /// port that this balancer takes them.
+    /// Address of its control connections. It receives redirected packets at the same IP address,
+    /// on the traffic port of this balancer.
     pub control: SocketAddrV4,
     /// The data centre it runs in.
     pub data_centre: Arc<str>,
@@ -61,13 +62,13 @@
 /// One problem in the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The section, empty for the part before the first.
+    /// The section; empty for keys before the first one.
     pub section: String,
-    /// The key.
+    /// The name of the key.
     pub key: String,
-    /// What stands there, if anything.
+    /// The value found, if any.
     pub found: Option<String>,
-    /// What is expected.
+    /// A description of valid values.
     pub expected: &'static str,
 }
 
@@ -76,7 +77,7 @@
 pub struct Error {
     /// [`Code::SettingsUnreadable`] or [`Code::SettingsInvalid`].
     pub code: Code,
-    /// Each problem.
+    /// The problems, in the order in which they were found.
     pub problems: Vec<Problem>,
 }
 
@@ -102,7 +103,8 @@
 
 impl std::error::Error for Error {}
 
-/// Every key that may stand in a section, for the check on unknown ones and for docs/SETTINGS.md.
+/// The keys allowed in each section. Other keys are rejected, and docs/SETTINGS.md describes them
+/// all.
 pub const KEYS: &[(&str, &[&str])] = &[
     ("balancer", &["id", "data_centre", "advertise"]),
     ("traffic", &["transport", "listen", "threads", "gateway"]),
@@ -112,11 +114,11 @@
     ("metrics", &["statsd"]),
     ("log", &["level"]),
 ];
-/// Keys of a `[peer.N]` section.
+/// The keys allowed in a `[peer.N]` section.
 pub const PEER_KEYS: &[&str] = &["control", "data_centre"];
 
 impl Settings {
-    /// Reads and checks `text`.
+    /// Parses and validates settings.
     ///
     /// ```
     /// use acacia_node::settings::Settings;
@@ -128,12 +130,12 @@
     }
 }
 
-/// How flows are resolved, which the transport decides.
+/// How packets reach the balancer, which decides how their flows are resolved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Transport {
-    /// IP packets in UDP: balancers remember flows by pins.
+    /// IP packets encapsulated in UDP. Balancers store a pin for each flow.
     Ip,
-    /// Packets that carry a cookie of the balancer's.
+    /// Packets that carry a cookie issued by a balancer.
     Cookie,
 }
 
@@ -149,8 +151,8 @@
     }
 }
 
-/// The transport that settings name; [`Transport::Ip`] where they name none or can't be read,
-/// which reading them whole then reports.
+/// Returns the transport that settings name, or [`Transport::Ip`] if they name none or can't be
+/// parsed. Parsing them as a whole then reports the problem.
 ///
 /// ```
 /// use acacia_node::settings::{Transport, transport};
@@ -164,12 +166,12 @@
         .unwrap_or(Transport::Ip)
 }
 
-/// Reads settings with `take`, which gives nothing if a value is missing, and refuses keys that
-/// aren't among `keys`.
+/// Parses settings with `parse`, which returns `None` if a value is missing, and rejects keys that
+/// aren't listed in `keys`.
 pub(crate) fn read<T>(
     text: &str,
     keys: &'static [(&'static str, &'static [&'static str])],
-    take: impl FnOnce(&mut Reader<'_>) -> Option<T>,
+    parse: impl FnOnce(&mut Reader<'_>) -> Option<T>,
 ) -> Result<T, Error> {
     let ini = Ini::load_from_str(text).map_err(|error| Error {
         code: Code::SettingsUnreadable,
@@ -184,7 +186,7 @@
         ini: &ini,
         problems: Vec::new(),
     };
-    let settings = take(&mut reader);
+    let settings = parse(&mut reader);
     reader.unknown_keys(keys);
     match settings {
         Some(settings) if reader.problems.is_empty() => Ok(settings),
@@ -195,28 +197,29 @@
     }
 }
 
-/// Takes values out of a file and collects what is wrong with them.
+/// Reads values from a settings file and collects all problems found.
 pub(crate) struct Reader<'a> {
     ini: &'a Ini,
     problems: Vec<Problem>,
 }
 
 pub(crate) const ADDRESS: &str = "an IPv4 address and port, such as 10.0.0.1:6080";
-const IP_NUMBER: &str = "an IPv4 address, such as 10.0.0.1";
+const IP_ADDRESS: &str = "an IPv4 address, such as 10.0.0.1";
 const HEX_KEY: &str = "64 hexadecimal digits";
 
 impl Reader<'_> {
     fn settings(&mut self) -> Option<Settings> {
-        // Each value is read before any is missed, so that all problems are listed at once.
+        // All values are read before a missing one ends the parsing, so that all problems are
+        // listed.
         let id = self.required("balancer", "id", "a number from 0 to 65534");
         let data_centre = self.required::<String>("balancer", "data_centre", "a name");
-        let advertise = self.optional("balancer", "advertise", IP_NUMBER);
+        let advertise = self.optional("balancer", "advertise", IP_ADDRESS);
         self.optional::<Transport>("traffic", "transport", "ip or cookie");
         let traffic = self.required("traffic", "listen", ADDRESS);
         let threads = self
             .optional("traffic", "threads", "a number from 1 to 64")
             .unwrap_or(1);
-        if !(1..=MOST_THREADS).contains(&threads) {
+        if !(1..=MAX_THREADS).contains(&threads) {
             self.problem("traffic", "threads", "a number from 1 to 64");
         }
         let gateway = self.required("traffic", "gateway", ADDRESS);
@@ -259,14 +262,14 @@
         let mut peers = BTreeMap::new();
         for section in sections {
             let control = self.required(&section, "control", ADDRESS);
-            let centre = self.required::<String>(&section, "data_centre", "a name");
-            match (section["peer.".len()..].parse(), control, centre) {
-                (Ok(id), Some(control), Some(centre)) => {
+            let data_centre = self.required::<String>(&section, "data_centre", "a name");
+            match (section["peer.".len()..].parse(), control, data_centre) {
+                (Ok(id), Some(control), Some(data_centre)) => {
                     peers.insert(
                         id,
                         Peer {
                             control,
-                            data_centre: centre.into(),
+                            data_centre: data_centre.into(),
                         },
                     );
                 }
@@ -277,7 +280,7 @@
         peers
     }
 
-    pub(crate) fn key(&mut self, name: &str, needed: bool) -> Option<[u8; KEY]> {
+    pub(crate) fn key(&mut self, name: &str, needed: bool) -> Option<[u8; KEY_LEN]> {
         let text = if needed {
             self.required::<String>("control", name, HEX_KEY)?
         } else {
@@ -285,7 +288,7 @@
         };
         let key = decode_hex(&text);
         if key.is_none() {
-            // The value stays out of the message: logs aren't a place for keys.
+            // The value is left out of the message, so that no key ends up in a log.
             self.problems.push(Problem {
                 section: "control".into(),
                 key: name.into(),
@@ -323,7 +326,7 @@
         parsed
     }
 
-    /// What stands there; nothing is an empty text.
+    /// Returns the trimmed value of a key, or an empty string if it is missing.
     pub(crate) fn text(&self, section: &str, key: &str) -> String {
         self.ini
             .get_from(Some(section), key)
@@ -341,7 +344,8 @@
         });
     }
 
-    /// A misspelt key would otherwise leave its default in force without a word.
+    /// Reports keys that are not allowed. A misspelt key would otherwise be ignored and its default
+    /// silently used.
     fn unknown_keys(&mut self, all: &[(&str, &[&str])]) {
         for (section, properties) in self.ini.iter() {
             let section = section.unwrap_or("");
@@ -362,9 +366,9 @@
     }
 }
 
-fn decode_hex(text: &str) -> Option<[u8; KEY]> {
-    let mut key = [0; KEY];
-    if text.len() != 2 * KEY || !text.is_ascii() {
+fn decode_hex(text: &str) -> Option<[u8; KEY_LEN]> {
+    let mut key = [0; KEY_LEN];
+    if text.len() != 2 * KEY_LEN || !text.is_ascii() {
         return None;
     }
     for (at, byte) in key.iter_mut().enumerate() {
