--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes and traffic threads read.
+//! The forwarding state that the control thread publishes and traffic threads read.
 
 use std::{net::SocketAddrV4, sync::Arc};
 
@@ -8,18 +8,18 @@
 
 use crate::load::Policies;
 
-/// One moment's knowledge: who owns which flows, and where everybody is.
+/// A consistent snapshot of the ownership of flows and the addresses of servers and balancers.
 #[derive(Debug, Clone)]
 pub struct View {
-    /// What decides about packets.
+    /// The input of flow resolution.
     pub snapshot: Snapshot,
-    /// Where each backend server takes encapsulated packets.
+    /// Address at which each backend server receives encapsulated packets.
     pub servers: Arc<Map<(Address, u16), SocketAddrV4>>,
-    /// What new flows are decided by.
+    /// The policies by which new flows are admitted and placed.
     pub policies: Arc<Policies>,
-    /// Where each balancer takes redirected packets.
+    /// Address at which each balancer receives redirected packets.
     pub peers: Map<u16, SocketAddrV4>,
 }
 
-/// The latest view; none until the first is complete.
+/// The latest view; `None` while this balancer must not serve.
 pub type Published = Arc<ArcSwapOption<View>>;
