--- a/crates/node/src/traffic/batch.rs
+++ b/crates/node/src/traffic/batch.rs
@@ -1,4 +1,4 @@
-//! Batched datagrams: many packets a system call, in both directions.
+//! Batched datagram I/O: receives and sends many packets with one system call.
 
 use std::{
     io::{IoSlice, IoSliceMut},
@@ -12,11 +12,11 @@
     sys::socket::{ControlMessage, MsgFlags, MultiHeaders, SockaddrIn, recvmmsg, sendmmsg},
 };
 
-/// Datagrams taken or sent in one system call. More gains little over the cost of the call and
-/// lets the first packet of a batch wait for the last.
+/// Maximum number of datagrams per system call. Larger batches save little more of the cost of the
+/// call, and delay the first packet of a batch until the last is handled.
 pub const SIZE: usize = 32;
-/// Largest datagram taken, in bytes: a jumbo frame. One that fills its buffer was cut and is
-/// dropped.
+/// Size of a receive buffer, in bytes: a jumbo frame. A datagram that fills it may have been
+/// truncated and is dropped.
 pub const LARGEST: usize = 9216;
 
 /// Buffers for one batch of received datagrams.
@@ -38,8 +38,8 @@
 }
 
 impl Received {
-    /// Waits for datagrams, no longer than the socket's read timeout, and takes up to [`SIZE`].
-    /// Nothing within that time is an empty batch.
+    /// Waits for datagrams and receives up to [`SIZE`] of them. The batch is empty if none arrives
+    /// within the socket's read timeout.
     pub fn fill(&mut self, socket: &UdpSocket) -> std::io::Result<()> {
         self.lengths.clear();
         let mut slices: Vec<[IoSliceMut<'_>; 1]> = self
@@ -47,14 +47,14 @@
             .iter_mut()
             .map(|buffer| [IoSliceMut::new(buffer)])
             .collect();
-        let taken = recvmmsg(
+        let result = recvmmsg(
             socket.as_raw_fd(),
             &mut self.headers,
             slices.iter_mut(),
             MsgFlags::MSG_WAITFORONE,
             None,
         );
-        match taken {
+        match result {
             Ok(results) => self.lengths.extend(results.map(|result| result.bytes)),
             Err(Errno::EAGAIN | Errno::EINTR) => {}
             Err(error) => return Err(error.into()),
@@ -62,31 +62,31 @@
         Ok(())
     }
 
-    /// Number of datagrams in the batch.
+    /// Returns the number of datagrams in the batch.
     #[must_use]
     pub fn len(&self) -> usize {
         self.lengths.len()
     }
 
-    /// Whether the batch is empty.
+    /// Returns whether the batch is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.lengths.is_empty()
     }
 
-    /// The datagram at `index`.
+    /// Returns the datagram at `index`.
     #[must_use]
     pub fn get(&self, index: usize) -> &[u8] {
         &self.buffers[index][..self.lengths[index]]
     }
 }
 
-/// Where the bytes of a datagram to send are.
+/// Location of the bytes of a datagram to send.
 #[derive(Debug, Clone)]
 enum Source {
-    /// A part of a received datagram, sent as it is.
+    /// A range of the received datagram at an index, sent unchanged.
     Received(usize, Range<usize>),
-    /// A datagram built here.
+    /// The index of a buffer in [`ToSend::built`].
     Built(usize),
 }
 
@@ -94,7 +94,8 @@
 #[derive(Debug)]
 pub struct ToSend {
     entries: Vec<(SocketAddrV4, Source)>,
-    /// Buffers, kept from batch to batch; the first `used` are in this one.
+    /// Buffers for datagrams that are built, reused between batches. The first `used` belong to the
+    /// current one.
     built: Vec<Vec<u8>>,
     used: usize,
     headers: MultiHeaders<SockaddrIn>,
@@ -112,12 +113,12 @@
 }
 
 impl ToSend {
-    /// Adds `range` of the received datagram at `index`, without a copy.
+    /// Adds a range of the received datagram at `index`, without copying it.
     pub fn forward(&mut self, to: SocketAddrV4, index: usize, range: Range<usize>) {
         self.entries.push((to, Source::Received(index, range)));
     }
 
-    /// Adds a datagram that `write` builds in an empty buffer.
+    /// Adds a datagram that `write` appends to an empty buffer.
     pub fn build(&mut self, to: SocketAddrV4, write: impl FnOnce(&mut Vec<u8>)) {
         if self.used == self.built.len() {
             self.built.push(Vec::new());
@@ -129,21 +130,22 @@
         self.used += 1;
     }
 
-    /// Sends the batch and empties it. Returns how many datagrams the kernel did not take: they
-    /// are lost as in any network, and the caller's transport sends them again.
+    /// Sends the batch and clears it. Returns the number of datagrams that the kernel did not
+    /// accept. They are dropped as a network may drop them; the caller's transport retransmits.
     pub fn flush(&mut self, socket: &UdpSocket, received: &Received) -> usize {
         let (mut at, mut lost) = (0, 0);
         while at < self.entries.len() {
             match self.send(socket, received, at) {
                 Ok(sent) if sent > 0 => at += sent,
-                // The socket takes no more now, and packets that waited would come too late.
+                // The send buffer is full. The rest is dropped, as packets that waited would arrive
+                // too late.
                 Err(Errno::EAGAIN | Errno::ENOBUFS) => {
                     lost += self.entries.len() - at;
                     break;
                 }
-                // The kernel stops at a datagram that it refuses: its network is gone, a rule
-                // forbids it, or it is too large. Given up with it, the packets behind it would be
-                // missed by the flows of healthy servers.
+                // The kernel stops at a datagram that it rejects: its network is unreachable, a
+                // firewall rule forbids it, or it is too large. Only that one is skipped, as the
+                // packets behind it belong to flows of healthy servers.
                 _ => {
                     lost += 1;
                     at += 1;
@@ -155,7 +157,8 @@
         lost
     }
 
-    /// Sends up to [`SIZE`] datagrams from `first` on; gives how many the kernel took.
+    /// Sends up to [`SIZE`] datagrams, starting at index `first`. Returns how many the kernel
+    /// accepted.
     fn send(
         &mut self,
         socket: &UdpSocket,
@@ -164,7 +167,8 @@
     ) -> Result<usize, Errno> {
         let rest = &self.entries[first..];
         let chunk = &rest[..rest.len().min(SIZE)];
-        // On the stack: two allocations a batch cost more than all else here.
+        // These arrays are on the stack: two allocations per batch cost more than the rest of this
+        // function.
         let slices: [[IoSlice<'_>; 1]; SIZE] = std::array::from_fn(|at| {
             let bytes = match chunk.get(at) {
                 Some((_, Source::Received(index, range))) => &received.get(*index)[range.clone()],
--- a/crates/node/src/traffic/mod.rs
+++ b/crates/node/src/traffic/mod.rs
@@ -1,4 +1,5 @@
-//! Traffic threads: receive a batch, decide on each packet, send a batch.
+//! Traffic threads, which receive a batch of packets, decide on each and send the results as a
+//! batch.
 
 pub mod batch;
 pub mod worker;
--- a/crates/node/src/traffic/worker.rs
+++ b/crates/node/src/traffic/worker.rs
@@ -1,4 +1,4 @@
-//! The loop of one traffic thread.
+//! The receive and send loop of a traffic thread.
 
 use std::{
     net::{SocketAddrV4, UdpSocket},
@@ -34,36 +34,36 @@
 /// What a traffic thread shares with the rest of the process.
 #[derive(Debug, Clone)]
 pub struct Context {
-    /// The latest view.
+    /// The latest view, published by the control thread.
     pub published: Published,
-    /// Pins and caches.
+    /// Pins and caches, spread over shards.
     pub shards: Arc<Shards>,
-    /// Counts.
+    /// Event counters.
     pub counter: Arc<Counter>,
-    /// Notices for peers, sent by the control thread.
+    /// Notices for peers, which the control thread sends.
     pub notices: Sender<(u16, Notice)>,
-    /// Counts of load for the control thread.
+    /// Load counts for the control thread.
     pub counts: Sender<Counts>,
     /// Seed of this thread's random choices.
     pub seed: u64,
-    /// Keys of redirects.
+    /// Keys that authenticate redirected packets.
     pub secret: Secret,
-    /// Where packets for callers go.
+    /// Address of the gateway, which packets for callers are sent to.
     pub gateway: SocketAddrV4,
 }
 
-/// Resolves and passes on packets until `stop` is raised.
+/// Resolves and forwards packets until `stop` is set.
 pub fn run(socket: &UdpSocket, context: &Context, stop: &AtomicBool) -> std::io::Result<()> {
     let mut placer = FlowPlacer::new(context.seed);
     process_batches(socket, &context.counter, stop, |received, to_send| {
-        // One look a batch: a view is good for far longer than a batch takes.
+        // Loaded once per batch: a view stays valid far longer than a batch takes.
         let view = context.published.load();
         let Some(view) = view.as_deref() else {
             return;
         };
         let now = clock::now();
         for index in 0..received.len() {
-            let mut step = Step {
+            let mut handler = DatagramHandler {
                 context,
                 view,
                 now,
@@ -71,12 +71,13 @@
                 to_send,
                 placer: &mut placer,
             };
-            if let Err(code) = step.datagram(received.get(index)) {
+            if let Err(code) = handler.handle(received.get(index)) {
                 context.counter.code(code);
             }
         }
         for counts in placer.drain(now) {
-            // A full queue loses half a second of counts; estimates go on with the next.
+            // If the queue is full, half a second of counts is lost and estimates continue with the
+            // next ones.
             if context.counts.try_send(counts).is_err() {
                 context.counter.kind(Kind::Untold, 1);
             }
@@ -84,8 +85,9 @@
     })
 }
 
-/// Takes batches of datagrams until `stop` is raised, and sends what `handle` makes of each. It is
-/// called at least as often as the socket's read timeout, also with an empty batch.
+/// Receives batches of datagrams until `stop` is set, and sends the datagrams that `handle` adds
+/// for each. `handle` runs at least once per read timeout of the socket, with an empty batch if no
+/// datagram arrived.
 pub fn process_batches(
     socket: &UdpSocket,
     counter: &Counter,
@@ -103,8 +105,8 @@
     Ok(())
 }
 
-/// One datagram on its way through.
-struct Step<'a> {
+/// The handling of one received datagram.
+struct DatagramHandler<'a> {
     context: &'a Context,
     view: &'a View,
     now: Duration,
@@ -113,9 +115,10 @@
     placer: &'a mut FlowPlacer,
 }
 
-impl Step<'_> {
-    /// Decides on one datagram; the error is the code under which it is dropped.
-    fn datagram(&mut self, datagram: &[u8]) -> Result<(), Code> {
+impl DatagramHandler<'_> {
+    /// Decodes the datagram, resolves its flow and carries out the verdict. The error is the code
+    /// under which the datagram is dropped.
+    fn handle(&mut self, datagram: &[u8]) -> Result<(), Code> {
         if datagram.len() == LARGEST {
             return Err(Code::PacketTruncated);
         }
@@ -150,7 +153,8 @@
         self.carry_out(verdict, &packet, datagram.len() - bytes.len(), bytes)
     }
 
-    /// `skip` bytes of the datagram stand before the caller's packet.
+    /// Acts on the verdict for a packet. `bytes` is the caller's packet, which starts at offset
+    /// `skip` in the datagram.
     fn carry_out(
         &mut self,
         verdict: Verdict,
@@ -159,7 +163,8 @@
         bytes: &[u8],
     ) -> Result<(), Code> {
         if let Some(notice) = verdict.notice {
-            // A full queue loses the notice: that costs a redirect or a repetition, no flow.
+            // If the queue is full, the notice is lost. That costs a redirect or a repeated notice,
+            // but breaks no flow.
             if self.context.notices.try_send(notice).is_err() {
                 self.context.counter.kind(Kind::Untold, 1);
             }
@@ -167,7 +172,7 @@
         let counter = &self.context.counter;
         match verdict.action {
             Action::Forward { server } => {
-                let to = self.server(packet, server)?;
+                let to = self.server_address(packet, server)?;
                 counter.kind(Kind::Forwarded, 1);
                 self.to_send
                     .forward(to, self.index, skip..skip + bytes.len());
@@ -189,15 +194,16 @@
                     key.service,
                     key.service_port
                 );
-                // The time to come back goes first: the reset ends the caller's socket.
-                let told = reply::come_back(&packet.key, bytes, retry_after);
-                self.to_send.build(self.context.gateway, |out| *out = told);
-                self.reset(packet);
+                // The packet with the retry time is sent first, because the reset closes the
+                // caller's socket.
+                let retry = reply::come_back(&packet.key, bytes, retry_after);
+                self.to_send.build(self.context.gateway, |out| *out = retry);
+                self.reset_caller(packet);
             }
             Action::End { server } => {
                 counter.kind(Kind::Ended, 1);
-                self.reset(packet);
-                let to = self.server(packet, server)?;
+                self.reset_caller(packet);
+                let to = self.server_address(packet, server)?;
                 if let Some(reset) = reply::reset_server(packet) {
                     self.to_send.build(to, |out| *out = reset);
                 }
@@ -207,17 +213,17 @@
         Ok(())
     }
 
-    fn reset(&mut self, packet: &Packet) {
+    fn reset_caller(&mut self, packet: &Packet) {
         if let Some(reset) = reply::reset(packet) {
             self.to_send.build(self.context.gateway, |out| *out = reset);
         }
     }
 
-    fn server(&self, packet: &Packet, server: u16) -> Result<SocketAddrV4, Code> {
-        let place = (Address::of(&packet.key), server);
+    fn server_address(&self, packet: &Packet, server: u16) -> Result<SocketAddrV4, Code> {
+        let key = (Address::of(&packet.key), server);
         self.view
             .servers
-            .get(&place)
+            .get(&key)
             .copied()
             .ok_or(Code::FlowServerUnknown)
     }
