--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// Binds the admin listener, retrying for [`BIND_TIMEOUT`] while the address is still in use.
+/// Binds the admin listener. Retries for [`BIND_TIMEOUT`], as the address may still be in use.
 pub fn listen(address: SocketAddrV4) -> std::io::Result<std::net::TcpListener> {
     let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
