--- a/crates/node/src/control/agreement.rs
+++ b/crates/node/src/control/agreement.rs
@@ -1,5 +1,6 @@
-//! What all balancers must agree on: the configuration and the bucket tables, from the platform's
-//! store or from peers. No sockets; [`PlatformCall`]s for the platform's thread come out.
+//! The state that all balancers must agree on: the configuration and the bucket tables, fetched
+//! from the platform's store or from peers. This module does no I/O; it returns the
+//! [`PlatformCall`]s to be made by the platform thread and the requests to be sent to peers.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -19,37 +20,38 @@
 use super::table_fetch::TableFetcher;
 use crate::{clock::millis, settings::Settings};
 
-/// Longest pause after a watch of the tables failed. Load: all watchers lose the store at the same
-/// moment. Harm: they come back together and keep it down. Hence a pause drawn at random.
-const PAUSE: Duration = Duration::from_secs(2);
-/// A watch that has not ended by then was lost: the client ends one within 7 s.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum pause after a watch of the tables failed. The pause is random: all watchers lose the
+/// store at the same moment, and would keep it down if they all reconnected at once.
+const MAX_WATCH_BACKOFF: Duration = Duration::from_secs(2);
+/// Time after which a watch without a result is taken for lost. The client ends every watch within
+/// 7 s.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformCall {
-    /// Watch the configuration's key; takes the place of a watch that still waits.
+    /// Watch the configuration's key. Replaces a pending watch of it.
     WatchConfig {
-        /// The revision to rise above.
+        /// The watch ends when the key's revision is higher than this.
         above: u64,
     },
-    /// Watch the tables' key; takes the place of a watch that still waits.
+    /// Watch the tables' key. Replaces a pending watch of it.
     WatchTables {
-        /// The revision to rise above.
+        /// The watch ends when the key's revision is higher than this.
         above: u64,
     },
     /// Read the tables' key.
     ReadTables,
-    /// Write the tables' key by compare-and-swap.
+    /// Write the tables' key with compare-and-swap.
     WriteTables {
-        /// The revision that the key must have.
+        /// The revision that the key must have for the write to succeed.
         expected: u64,
-        /// The value.
+        /// The value to write.
         text: Arc<str>,
     },
 }
 
-/// What the store holds under the tables' key.
+/// The store's entry for the tables' key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// The key's revision.
@@ -58,27 +60,27 @@
     pub value: Option<Arc<str>>,
 }
 
-/// A message to a peer that this module wants sent.
+/// A request to be sent to a peer, by the peer's number.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PeerRequest {
-    /// For the configuration.
+    /// Request the configuration in force.
     Config(u16),
-    /// For the tables.
+    /// Request the tables in force.
     Tables(u16),
 }
 
-/// Everything that follows from an event.
+/// Actions that result from an event.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Calls to the platform.
+    /// Calls to make to the platform.
     pub platform_calls: Vec<PlatformCall>,
-    /// Questions to peers.
+    /// Requests to send to peers.
     pub peer_requests: Vec<PeerRequest>,
-    /// Whether new tables are in force.
+    /// Whether new tables have come into force.
     pub tables: bool,
 }
 
-/// This balancer's part in what is agreed.
+/// This balancer's state of the configuration and the tables.
 #[derive(Debug)]
 pub struct Agreement {
     rollout: Rollout,
@@ -88,10 +90,10 @@
     random: Pcg64,
     id: u16,
     data_centre: Arc<str>,
-    ranked: bool,
+    is_watcher: bool,
 }
 
-/// The watch of the tables' key.
+/// State of the watch of the tables' key.
 #[derive(Debug, Default)]
 struct Watch {
     above: u64,
@@ -100,7 +102,7 @@
 }
 
 impl Agreement {
-    /// The state of a balancer that has just started.
+    /// Creates the state of a balancer that has just started.
     #[must_use]
     pub fn new(settings: &Settings, seed: u64, now: Duration) -> Self {
         let me = Peer {
@@ -115,35 +117,36 @@
             random: Pcg64::seed_from_u64(seed),
             id: settings.id,
             data_centre: Arc::clone(&settings.data_centre),
-            ranked: false,
+            is_watcher: false,
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force, as a document.
     #[must_use]
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.rollout.held().map(|held| &held.document)
     }
 
-    /// The configuration in force, decoded.
+    /// Returns the configuration in force, decoded.
     #[must_use]
     pub fn held(&self) -> Option<&Held> {
         self.rollout.held()
     }
 
-    /// Its version, for heartbeats.
+    /// Returns the version of the configuration in force, for heartbeats.
     #[must_use]
     pub fn version(&self) -> Option<Version> {
         self.rollout.version()
     }
 
-    /// The tables in force.
+    /// Returns the tables in force.
     #[must_use]
     pub fn document(&self) -> Option<&Arc<Document>> {
         self.writer.current()
     }
 
-    /// The tables in force as flow resolution takes them, and where their servers are.
+    /// Returns the tables in force in the format of flow resolution, and the addresses of their
+    /// servers.
     #[must_use]
     pub fn tables(&self) -> (Tables, Map<(Address, u16), SocketAddrV4>) {
         let Some(document) = self.document() else {
@@ -161,19 +164,19 @@
         (tables(document), servers.collect())
     }
 
-    /// Whether this balancer may serve: it has asked the store and its peers, and holds the
-    /// highest configuration and tables that it could learn of.
+    /// Returns whether this balancer may serve: it has queried the store and its peers, and has the
+    /// latest configuration and tables that any of them has reported.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.rollout.is_ready() && self.document().is_some() && !self.table_fetcher.is_behind()
     }
 
-    /// Measured weights of backend servers by name.
+    /// Sets the measured weights of backend servers, by name.
     pub fn set_weights(&mut self, weights: Map<Arc<str>, u32>) {
         self.writer.set_weights(weights);
     }
 
-    /// The group has changed, or may have.
+    /// Handles a possible change of the group.
     pub fn saw_view(&mut self, now: Duration, view: &View) -> Outcome {
         let peers = view
             .members
@@ -189,12 +192,12 @@
         let rank = view.ready().position(|id| id == self.id);
         self.writer
             .set_rank(rank.and_then(|rank| u16::try_from(rank).ok()));
-        self.ranked = self.is_watcher(view);
+        self.is_watcher = self.ranks_as_watcher(view);
         self.table_fetcher.saw_view(view);
         self.step_rollout(now, Event::View(peers))
     }
 
-    /// A heartbeat of `peer` named these versions.
+    /// Handles the versions in a heartbeat of `peer`.
     pub fn heard(
         &mut self,
         now: Duration,
@@ -212,12 +215,13 @@
         )
     }
 
-    /// The end of a watch of the configuration; none if the store could not be reached.
+    /// Handles the result of [`PlatformCall::WatchConfig`]; `None` if the store could not be
+    /// reached.
     pub fn saw_config(&mut self, now: Duration, answer: Option<Answer>) -> Outcome {
         self.step_rollout(now, Event::Store(answer))
     }
 
-    /// A peer's answer to [`PeerRequest::Config`].
+    /// Handles a peer's answer to [`PeerRequest::Config`].
     pub fn fetched_config(
         &mut self,
         now: Duration,
@@ -227,20 +231,22 @@
         self.step_rollout(now, Event::Fetched { peer, document })
     }
 
-    /// The end of a watch of the tables; none if the store could not be reached.
+    /// Handles the result of [`PlatformCall::WatchTables`]; `None` if the store could not be
+    /// reached.
     pub fn saw_tables(&mut self, now: Duration, entry: Option<Entry>) -> Outcome {
         self.watch.since = None;
         match &entry {
             Some(entry) => self.watch.above = entry.revision,
             None => {
-                let pause = PAUSE.mul_f64(self.random.random::<f64>());
+                let pause = MAX_WATCH_BACKOFF.mul_f64(self.random.random::<f64>());
                 self.watch.not_before = now + pause;
             }
         }
         self.take_entry(now, entry.as_ref())
     }
 
-    /// The end of [`PlatformCall::ReadTables`]; none if the store could not be reached.
+    /// Handles the result of [`PlatformCall::ReadTables`]; `None` if the store could not be
+    /// reached.
     pub fn read_tables(&mut self, now: Duration, entry: Option<Entry>) -> Outcome {
         let mut outcome = self.take_entry(now, entry.as_ref());
         let answer = match entry {
@@ -251,7 +257,7 @@
         outcome
     }
 
-    /// The end of [`PlatformCall::WriteTables`].
+    /// Handles the result of [`PlatformCall::WriteTables`].
     pub fn wrote_tables(&mut self, now: Duration, answer: writer::Answer) -> Outcome {
         let tables = self.writer.answered(answer, millis(now));
         Outcome {
@@ -260,7 +266,8 @@
         }
     }
 
-    /// A peer's answer to [`PeerRequest::Tables`].
+    /// Handles a peer's answer to [`PeerRequest::Tables`]. The error is the code for tables that
+    /// can't be decoded.
     pub fn fetched_tables(
         &mut self,
         now: Duration,
@@ -279,7 +286,8 @@
         })
     }
 
-    /// Time has passed. `is_known` tells whether every balancer has tables of a version.
+    /// Runs the timers and starts calls and requests that are due. `is_known` returns whether every
+    /// balancer has the tables of a version.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -321,10 +329,13 @@
     }
 
     fn watch_tables(&mut self, now: Duration, outcome: &mut Outcome) {
-        let waits = self.watch.since.is_some_and(|since| now < since + PATIENCE);
-        // One that has just started asks once, whatever its rank.
-        let wanted = self.ranked || self.document().is_none();
-        if wanted && !waits && now >= self.watch.not_before {
+        let is_pending = self
+            .watch
+            .since
+            .is_some_and(|since| now < since + WATCH_TIMEOUT);
+        // A balancer that has no tables yet watches the key whatever its rank.
+        let wanted = self.is_watcher || self.document().is_none();
+        if wanted && !is_pending && now >= self.watch.not_before {
             self.watch.since = Some(now);
             outcome.platform_calls.push(PlatformCall::WatchTables {
                 above: self.watch.above,
@@ -374,9 +385,10 @@
         outcome
     }
 
-    /// The lowest numbers of each data centre watch the store, so that its calls don't grow with
-    /// the fleet.
-    fn is_watcher(&self, view: &View) -> bool {
+    /// Returns whether this balancer is one of those that watch the store. Only the [`WATCHERS`]
+    /// balancers with the lowest numbers in each data centre do, so that the calls to the store
+    /// don't grow with the number of balancers.
+    fn ranks_as_watcher(&self, view: &View) -> bool {
         let before = view.members.iter().filter(|member| {
             let here = member.data_centre.as_ref() == Some(&self.data_centre);
             here && member.id < self.id && !matches!(member.state, State::Dead | State::Unheard)
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! Control: one thread holds all state that isn't a flow's, and publishes views for traffic.
+//! The control thread, which owns all state except that of flows, and publishes views for the
+//! traffic threads.
 
 pub mod agreement;
 pub mod core;
