--- a/crates/node/src/control/service.rs
+++ b/crates/node/src/control/service.rs
@@ -1,4 +1,4 @@
-//! The control thread's loop: channels and connections around [`Core`].
+//! The control thread's event loop, which connects [`Core`] to channels and peer connections.
 
 use std::{
     net::SocketAddr,
@@ -30,47 +30,48 @@
     view::Published,
 };
 
-/// Between two ticks; the membership's own number.
+/// Interval between ticks, the same as in the membership protocol.
 const TICK: Duration = Duration::from_millis(50);
-/// How long a leaving balancer goes on after the last packet from the fabric: the fabric learns of
-/// it late, and packets that it has sent are still on their way.
-const QUIET: Duration = Duration::from_millis(1_500);
-/// How long a leaving balancer goes on at most. A fabric that never stops sending to it would keep
-/// it for ever; by then its pins have been handed over or the peers are out of reach.
-const LONGEST_LEAVING: Duration = Duration::from_secs(15);
+/// How long a leaving balancer keeps running after the last packet from the fabric. The fabric
+/// learns of the departure late, and packets that it has already sent are still in flight.
+const QUIET_TIME: Duration = Duration::from_millis(1_500);
+/// Maximum time that a leaving balancer keeps running. Without it, a fabric that never stops
+/// sending would keep the process running for ever. By then its pins have been handed over, or the
+/// peers are out of reach.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The ends of the channels and what the thread shares.
+/// Channels of the control thread and the state that it shares with other threads.
 pub struct Context {
     /// Settings of the daemon.
     pub settings: Arc<Settings>,
-    /// From the platform's thread.
+    /// Results from the platform thread.
     pub platform_events: Receiver<PlatformEvent>,
-    /// To the platform's thread.
+    /// Calls for the platform thread to make.
     pub platform_calls: mpsc::Sender<PlatformCall>,
-    /// From the traffic threads.
+    /// Notices of the traffic threads, to be sent to peers.
     pub notices: Receiver<(u16, Notice)>,
-    /// From the traffic threads.
+    /// Load counts of the traffic threads.
     pub counts: Receiver<Counts>,
-    /// For the admin and metrics threads.
+    /// Status snapshots for the admin and metrics threads.
     pub status: admin::Published,
-    /// How flows ended, for operators.
+    /// Flow counts for the burn report.
     pub ledger: Arc<Ledger>,
-    /// For the traffic threads.
+    /// Views for the traffic threads.
     pub published: Published,
-    /// Pins and caches.
+    /// Pins and caches, spread over shards.
     pub shards: Arc<Shards>,
-    /// Counts.
+    /// Event counters.
     pub counter: Arc<Counter>,
-    /// Raised to begin a graceful shutdown.
+    /// Set to start a graceful shutdown.
     pub leave: Arc<AtomicBool>,
-    /// Raised by this thread when nothing depends on the balancer any more.
+    /// Set by this thread when nothing depends on this balancer any more and the process may exit.
     pub left: Arc<AtomicBool>,
-    /// Raised to end the thread.
+    /// Set to stop the thread.
     pub stop: Arc<AtomicBool>,
 }
 
-/// Between two lines of counts in the log.
-const COUNTS: Duration = Duration::from_secs(10);
+/// Interval between log lines with the event counters.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 struct Loop<'a> {
     context: &'a Context,
@@ -83,14 +84,14 @@
     status_publisher: admin::StatusPublisher,
 }
 
-/// How far a graceful shutdown has come.
+/// Progress of a graceful shutdown.
 struct Leaving {
     since: Duration,
     ingress: u64,
     quiet_since: Duration,
 }
 
-/// Runs until `stop` is raised.
+/// Runs the control thread until `stop` is set.
 pub fn run(context: &Context) -> anyhow::Result<()> {
     let now = clock::now();
     let incarnation = time_of_day().as_millis() as u64;
@@ -172,7 +173,7 @@
             .tick(now, &mut self.core, &self.context.shards, || {
                 self.mesh.stats()
             });
-        if now.saturating_sub(self.counted) >= COUNTS {
+        if now.saturating_sub(self.counted) >= LOG_INTERVAL {
             self.counted = now;
             let (id, counts) = (self.context.settings.id, self.context.counter.line());
             let traffic = self.status_publisher.traffic();
@@ -184,8 +185,9 @@
         }
     }
 
-    /// Hands an order to the platform's thread. Never waits: one that a full queue doesn't take has
-    /// failed, and is told so to whoever waits for its end.
+    /// Passes a call to the platform thread without blocking. If the queue is full, the call is
+    /// handled as failed, so that the part of the core that waits for
+    /// its result can go on.
     fn call_platform(&mut self, now: Duration, call: PlatformCall) {
         if let Err(error) = self.context.platform_calls.try_send(call) {
             let call = error.into_inner();
@@ -196,7 +198,8 @@
     }
 
     fn send(&self, outgoing: Outgoing) {
-        // The mesh counts what it drops; a heartbeat's successor is due soon, the rest is repeated.
+        // The mesh counts the messages that it drops. The next heartbeat is due soon, and other
+        // messages are repeated.
         let _ = self
             .mesh
             .send(outgoing.to, outgoing.class, &outgoing.message);
@@ -219,8 +222,8 @@
             leaving.ingress = ingress;
             leaving.quiet_since = now;
         }
-        let quiet = now.saturating_sub(leaving.quiet_since) >= QUIET;
-        let late = now.saturating_sub(leaving.since) >= LONGEST_LEAVING;
+        let quiet = now.saturating_sub(leaving.quiet_since) >= QUIET_TIME;
+        let late = now.saturating_sub(leaving.since) >= LEAVE_TIMEOUT;
         if (quiet && self.core.may_leave()) || late {
             self.context.left.store(true, Ordering::Relaxed);
         }
