--- a/crates/node/src/control/platform.rs
+++ b/crates/node/src/control/platform.rs
@@ -1,4 +1,4 @@
-//! The thread that calls the platform, and tells the control thread what it hears.
+//! The thread that makes calls to the platform and passes the results to the control thread.
 
 use std::{
     net::SocketAddr,
@@ -28,46 +28,46 @@
 use super::agreement::{Entry, PlatformCall};
 use crate::settings::Settings;
 
-/// Between two looks at the list of VMs. It lags by more than that anyway, and 8 balancers make
-/// 1.6 calls a second of the platform's two thousand.
-const MACHINES: Duration = Duration::from_secs(5);
-/// Between two looks whether to stop.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between reads of the list of VMs. The list lags by more than that anyway, and 8
+/// balancers make 1.6 calls per second of the platform's limit of two thousand.
+const MACHINES_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which the stop flag and a full queue are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the platform said.
+/// The result of a call to the platform, or its list of VMs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlatformEvent {
-    /// The end of a watch of the configuration.
+    /// The result of [`PlatformCall::WatchConfig`]; `None` if the call failed.
     Config(Option<Answer>),
-    /// The end of a watch of the tables.
+    /// The result of [`PlatformCall::WatchTables`]; `None` if the call failed.
     Tables(Option<Entry>),
-    /// The end of a read of the tables.
+    /// The result of [`PlatformCall::ReadTables`]; `None` if the call failed.
     ReadTables(Option<Entry>),
-    /// The end of a write of the tables.
+    /// The result of [`PlatformCall::WriteTables`].
     WroteTables(writer::Answer),
-    /// The list of VMs.
+    /// The platform's list of VMs.
     Machines(Vec<Machine>),
 }
 
 impl PlatformEvent {
-    /// How an order ends that was not carried out.
+    /// Returns the result of a call that was not completed.
     ///
     /// ```
     /// use acacia_node::control::{agreement::PlatformCall, platform::PlatformEvent};
     /// assert!(!PlatformEvent::failed(&PlatformCall::ReadTables).is_answer());
     /// ```
     #[must_use]
-    pub fn failed(order: &PlatformCall) -> PlatformEvent {
-        match order {
+    pub fn failed(call: &PlatformCall) -> PlatformEvent {
+        match call {
             PlatformCall::WatchConfig { .. } => PlatformEvent::Config(None),
             PlatformCall::WatchTables { .. } => PlatformEvent::Tables(None),
             PlatformCall::ReadTables => PlatformEvent::ReadTables(None),
-            // It may have been made in part: the next read tells.
+            // The write may have taken effect; the next read shows whether it has.
             PlatformCall::WriteTables { .. } => PlatformEvent::WroteTables(writer::Answer::Lost),
         }
     }
 
-    /// Whether the platform's store has answered.
+    /// Returns whether the platform's store answered the call.
     #[must_use]
     pub fn is_answer(&self) -> bool {
         match self {
@@ -84,11 +84,11 @@
     }
 }
 
-/// Carries out orders until `stop` is raised.
+/// Makes calls to the platform until `stop` is set.
 pub fn run(
     settings: &Settings,
-    orders: &mut Receiver<PlatformCall>,
-    news: &Sender<PlatformEvent>,
+    platform_calls: &mut Receiver<PlatformCall>,
+    events: &Sender<PlatformEvent>,
     stop: &AtomicBool,
 ) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -99,25 +99,26 @@
         ..Options::default()
     };
     let client = Arc::new(Client::new(SocketAddr::V4(settings.platform), options));
-    // The client's futures stay on this thread: nothing here gains from others.
+    // The client's futures run on this thread; a multi-threaded runtime would gain nothing here.
     LocalSet::new().block_on(&runtime, async {
         let mut calls = Calls {
             client,
-            news: news.clone(),
+            events: events.clone(),
             tasks: JoinSet::new(),
         };
-        // A part of this task, so that a panic in it ends the service and doesn't go unnoticed.
-        let mut machines = pin!(follow_machines(Arc::clone(&calls.client), news.clone()));
+        // Polled in this task rather than spawned, so that a panic ends the service and doesn't go
+        // unnoticed.
+        let mut machines = pin!(follow_machines(Arc::clone(&calls.client), events.clone()));
         let mut watching = [None, None];
         loop {
             tokio::select! {
-                () = stopped(stop) => break,
+                () = wait_for_stop(stop) => break,
                 never = &mut machines => never,
-                order = orders.recv() => match order {
-                    Some(order) => calls.begin(order, &mut watching),
+                call = platform_calls.recv() => match call {
+                    Some(call) => calls.start(call, &mut watching),
                     None => break,
                 },
-                Some(ended) = calls.tasks.join_next() => note_end(ended),
+                Some(result) = calls.tasks.join_next() => log_task_failure(result),
             }
         }
         calls.tasks.shutdown().await;
@@ -125,35 +126,35 @@
     Ok(())
 }
 
-async fn stopped(stop: &AtomicBool) {
+async fn wait_for_stop(stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 struct Calls {
     client: Arc<Client>,
-    news: Sender<PlatformEvent>,
+    events: Sender<PlatformEvent>,
     tasks: JoinSet<()>,
 }
 
 impl Calls {
-    /// Begins a call; a watch takes the place of the one on the same key that still waits.
-    fn begin(&mut self, order: PlatformCall, watching: &mut [Option<AbortHandle>; 2]) {
-        let slot = match order {
+    /// Starts a call. A watch replaces a pending watch of the same key.
+    fn start(&mut self, call: PlatformCall, watching: &mut [Option<AbortHandle>; 2]) {
+        let slot = match call {
             PlatformCall::WatchConfig { .. } => Some(0),
             PlatformCall::WatchTables { .. } => Some(1),
             PlatformCall::ReadTables | PlatformCall::WriteTables { .. } => None,
         };
-        let (client, news) = (Arc::clone(&self.client), self.news.clone());
+        let (client, events) = (Arc::clone(&self.client), self.events.clone());
         let task = self.tasks.spawn_local(async move {
-            let failed = PlatformEvent::failed(&order);
-            let answer = AbortOnDropHandle::new(task::spawn_local(call(client, order)));
-            let answer = answer.await.unwrap_or_else(|error| {
+            let failed = PlatformEvent::failed(&call);
+            let event = AbortOnDropHandle::new(task::spawn_local(make_call(client, call)));
+            let event = event.await.unwrap_or_else(|error| {
                 log::error!("event=platform-call-panicked error=\"{error}\"");
                 failed
             });
-            tell(&news, answer).await;
+            send_event(&events, event).await;
         });
         if let Some(slot) = slot
             && let Some(before) = watching[slot].replace(task)
@@ -163,26 +164,26 @@
     }
 }
 
-async fn call(client: Arc<Client>, order: PlatformCall) -> PlatformEvent {
+async fn make_call(client: Arc<Client>, call: PlatformCall) -> PlatformEvent {
     let (config, tables): (Arc<str>, Arc<str>) = (document::KEY.into(), acacia_tables::KEY.into());
-    match order {
+    match call {
         PlatformCall::WatchConfig { above } => {
             let entry = client.watch(&config, above).await;
-            PlatformEvent::Config(note(entry).map(|entry| Answer {
+            PlatformEvent::Config(log_failure(entry).map(|entry| Answer {
                 revision: entry.revision,
                 document: entry.value.and_then(|value| decode(&value)),
             }))
         }
         PlatformCall::WatchTables { above } => {
             let entry = client.watch(&tables, above).await;
-            PlatformEvent::Tables(note(entry).map(|e| Entry {
+            PlatformEvent::Tables(log_failure(entry).map(|e| Entry {
                 revision: e.revision,
                 value: e.value,
             }))
         }
         PlatformCall::ReadTables => {
             let entry = client.get(&tables).await;
-            PlatformEvent::ReadTables(note(entry).map(|e| Entry {
+            PlatformEvent::ReadTables(log_failure(entry).map(|e| Entry {
                 revision: e.revision,
                 value: e.value,
             }))
@@ -207,7 +208,7 @@
     }
 }
 
-fn note<T>(result: Result<T, Error>) -> Option<T> {
+fn log_failure<T>(result: Result<T, Error>) -> Option<T> {
     result
         .inspect_err(|error| log::warn!("event=platform-unanswered error=\"{error}\""))
         .ok()
@@ -226,32 +227,34 @@
     }
 }
 
-/// Tells the control thread, as soon as its queue has room. Its asker makes no other call before the
-/// answer has come: one that was dropped would be the last.
-async fn tell(news: &Sender<PlatformEvent>, mut told: PlatformEvent) {
-    let mut waits = false;
-    while let Err(TrySendError::Full(unsent)) = news.try_send(told) {
-        if !waits {
+/// Sends an event to the control thread, waiting until its queue has room. The part of the control
+/// thread that made a call makes no other before it has the result, so it would never call again if
+/// the result were dropped.
+async fn send_event(events: &Sender<PlatformEvent>, mut event: PlatformEvent) {
+    let mut is_logged = false;
+    while let Err(TrySendError::Full(unsent)) = events.try_send(event) {
+        if !is_logged {
             log::warn!("event=platform-news-waits news={unsent:?}");
         }
-        (told, waits) = (unsent, true);
-        tokio::time::sleep(LOOK).await;
+        (event, is_logged) = (unsent, true);
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A task that ends by a fault has told nothing; a watch that was replaced was told to end.
-fn note_end(ended: Result<(), JoinError>) {
-    let Err(error) = ended else { return };
+/// Logs a task that panicked, which has sent no event. Watches that were replaced are cancelled,
+/// which is not a fault.
+fn log_task_failure(result: Result<(), JoinError>) {
+    let Err(error) = result else { return };
     if !error.is_cancelled() {
         log::error!("event=platform-task-panicked error=\"{error}\"");
     }
 }
 
-async fn follow_machines(client: Arc<Client>, news: Sender<PlatformEvent>) -> ! {
+async fn follow_machines(client: Arc<Client>, events: Sender<PlatformEvent>) -> ! {
     loop {
-        if let Some(machines) = note(client.machines().await) {
-            tell(&news, PlatformEvent::Machines(machines)).await;
+        if let Some(machines) = log_failure(client.machines().await) {
+            send_event(&events, PlatformEvent::Machines(machines)).await;
         }
-        tokio::time::sleep(MACHINES).await;
+        tokio::time::sleep(MACHINES_INTERVAL).await;
     }
 }
