--- a/crates/node/src/control/service.rs
+++ b/crates/node/src/control/service.rs
@@ -186,8 +186,7 @@
     }
 
     /// Passes a call to the platform thread without blocking. If the queue is full, the call is
-    /// handled as failed, so that the part of the core that waits for
-    /// its result can go on.
+    /// handled as failed, so that the part of the core that waits for its result can go on.
     fn call_platform(&mut self, now: Duration, call: PlatformCall) {
         if let Err(error) = self.context.platform_calls.try_send(call) {
             let call = error.into_inner();
