--- a/crates/node/src/control/core/weigh.rs
+++ b/crates/node/src/control/core/weigh.rs
@@ -45,7 +45,7 @@
         for (address, guarded) in outcome.guard {
             self.flow.guard(address, guarded);
         }
-        for (address, loose) in outcome.loosen {
+        for (address, loose) in outcome.off_base {
             self.flow.allow_off_base(address, loose, millis(now));
         }
         for (address, server, down) in outcome.down {
--- a/crates/node/src/control/load.rs
+++ b/crates/node/src/control/load.rs
@@ -46,7 +46,7 @@
     /// Services whose openings are to be guarded, or not any more.
     pub guard: Vec<(Address, bool)>,
     /// Services whose buckets are to be opened, or not any more.
-    pub loosen: Vec<(Address, bool)>,
+    pub off_base: Vec<(Address, bool)>,
     /// Servers by number that are to be left alone, or not any more.
     pub down: Vec<(Address, u16, bool)>,
     /// Measured weights by name of server.
@@ -187,7 +187,7 @@
         for (address, entry) in &mut self.entries {
             entry.turn(now, passed, members);
             outcome.guard.push((*address, entry.needs_guard(now)));
-            outcome.loosen.push((*address, entry.needs_opening(now)));
+            outcome.off_base.push((*address, entry.needs_opening(now)));
             let changed = entry.changed();
             outcome.down.extend(
                 changed
