--- a/crates/node/src/control/load.rs
+++ b/crates/node/src/control/load.rs
@@ -1,5 +1,6 @@
-//! The control thread's part of the decisions under load: merges counts, makes plans, and says
-//! which services need their openings guarded or their buckets opened.
+//! Load control in the control thread: merges the counts of traffic threads and peers, makes plans,
+//! and decides which services are guarded, which may place flows off their base, and which servers
+//! are ejected.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -18,48 +19,53 @@
 
 use crate::load::{Counts, Flows, Policies, Policy, policies};
 
-/// Between two turns: the period that the load crate's figures are made for.
+/// Interval between plans. The limits of the load crate are tuned for it.
 const PERIOD: Duration = Duration::from_secs(1);
-/// Part of this balancer's share of the capacity from which demand has openings guarded: they then
-/// pass the flow's owners, who alone may refuse. Load: a flood that rises within seconds. Harm: a
-/// guard takes three seconds to be known everywhere, in which nothing can be refused. Half leaves
-/// time for demand to double; a guard costs a redirect or two for each opening.
-const GUARD: f64 = 0.5;
-/// Work in progress a slot from which flows may be refused. Load: a few callers a second, by whom
-/// capacity can't be measured well. Harm: it is taken for less than it is, and callers are refused
-/// by servers that stand idle. Work in progress tells idle from busy also with few samples; at a
-/// true saturation it is 1 and more.
-const BUSY: f64 = 0.6;
-/// Part of a server's flows that should take their second choice from which its service's buckets
-/// are opened for that. Below it the weights alone put it right, and open buckets cost a redirect
-/// for packets of flows that a balancer doesn't know.
-const LOOSEN: f64 = 0.25;
-/// A guard and open buckets stay for this long after their reason has gone, so that they don't come
-/// and go with noise.
-const LINGER: Duration = Duration::from_secs(60);
-/// Weight of the latest second in the running mean of demand.
-const LATEST: f64 = 0.3;
+/// Fraction of this balancer's share of the capacity above which a service is guarded. Openings of
+/// a guarded service go through the flow's owners, which alone may refuse them.
+///
+/// A guard takes three seconds to be known to all balancers, during which nothing can be refused,
+/// and a flood may rise within seconds. Starting at half leaves time for demand to double. The cost
+/// of a guard is a redirect or two for each opening.
+const GUARD_THRESHOLD: f64 = 0.5;
+/// Work in progress per slot above which flows may be refused. With only a few callers per second,
+/// capacity can't be measured well and may be underestimated, and callers would be refused although
+/// servers are idle. Work in progress distinguishes idle from busy servers even with few samples;
+/// at real saturation it is 1 or more.
+const BUSY_THRESHOLD: f64 = 0.6;
+/// Fraction of a server's flows that should go to their second choice, above which flows of the
+/// service may be placed off their base in every bucket. Below it, adjusting the weights is enough.
+/// Off-base placement costs a redirect for packets of flows that a balancer doesn't know.
+const OFF_BASE_THRESHOLD: f64 = 0.25;
+/// How long a guard and off-base placement stay in force after the last measurement that required
+/// them, so that noise doesn't switch them on and off.
+const HOLD_TIME: Duration = Duration::from_secs(60);
+/// Weight of the latest second in the moving average of demand.
+const DEMAND_SMOOTHING: f64 = 0.3;
 
-/// What the flow control has to be told.
+/// Changes to pass to flow control and the tables.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Services whose openings are to be guarded, or not any more.
+    /// For each service, whether its openings are guarded.
     pub guard: Vec<(Address, bool)>,
-    /// Services whose buckets are to be opened, or not any more.
+    /// For each service, whether flows may be placed off their base in every bucket.
     pub off_base: Vec<(Address, bool)>,
-    /// Servers by number that are to be left alone, or not any more.
+    /// Servers, by number in the tables, that have just been ejected (`true`) or readmitted
+    /// (`false`).
     pub down: Vec<(Address, u16, bool)>,
-    /// Measured weights by name of server.
+    /// Measured weights, by name of server.
     pub weights: Map<Arc<str>, u32>,
 }
 
-/// The pools of all services.
+/// Load control of all services.
 #[derive(Debug, Default)]
 pub struct Pools {
     entries: Map<Address, Entry>,
+    /// Revision of the configuration and version of the tables that the entries are for.
     made_for: Option<(u64, u64)>,
     weights: Map<Arc<str>, u32>,
-    turned: Duration,
+    last_tick: Duration,
+    /// The number of the latest round whose reports each peer was sent.
     sent: BTreeMap<u16, u32>,
     round: u32,
 }
@@ -72,16 +78,21 @@
     names: Vec<Arc<str>>,
     numbers: Vec<u16>,
     report: Report,
+    /// New flows counted since the latest plan.
     counted: f64,
+    /// Moving average of new flows per second.
     demand: f64,
-    guarded: Option<Duration>,
-    loose: Option<Duration>,
-    down: Vec<bool>,
+    /// When the guard was last required.
+    guard_needed: Option<Duration>,
+    /// When off-base placement was last required.
+    off_base_needed: Option<Duration>,
+    /// Whether each server is ejected.
+    ejected: Vec<bool>,
 }
 
 impl Pools {
-    /// Takes over a configuration and its tables; gives whether they are new here. What was
-    /// measured of servers and classes that stay is kept.
+    /// Applies a configuration and its tables, and returns whether they are new. Measurements of
+    /// servers and classes that remain are kept.
     pub fn renew(
         &mut self,
         config: &Config,
@@ -106,7 +117,7 @@
         true
     }
 
-    /// Takes in a traffic thread's counts; gives what they mean for the burn report, by service
+    /// Adds a traffic thread's counts, and returns the flow counts for the burn report by service
     /// and mark.
     pub fn counts(&mut self, counts: &Counts) -> Vec<(Arc<str>, burn::Mark, burn::Count)> {
         let entry = self.entries.get_mut(&counts.address);
@@ -137,7 +148,7 @@
             .collect()
     }
 
-    /// Takes in what a peer reported.
+    /// Adds the load reports of a peer.
     pub fn merge(&mut self, peer: u16, reports: &[(Address, Report)], now: Duration) {
         for (address, report) in reports {
             if let Some(entry) = self.entries.get_mut(address) {
@@ -146,7 +157,7 @@
         }
     }
 
-    /// A peer has left, died or been started anew.
+    /// Removes a peer that has left, died or restarted.
     pub fn forget(&mut self, peer: u16) {
         self.sent.remove(&peer);
         self.entries
@@ -154,7 +165,7 @@
             .for_each(|entry| entry.controller.forget(peer));
     }
 
-    /// The reports of the latest turn, unless they were given for this peer before.
+    /// Returns the latest reports for a peer, or nothing if they were already returned for it.
     pub fn reports(&mut self, to: u16) -> Vec<(Address, Report)> {
         if self.sent.insert(to, self.round) == Some(self.round) {
             return Vec::new();
@@ -165,7 +176,7 @@
             .collect()
     }
 
-    /// What traffic threads are to decide by.
+    /// Returns the policies for the traffic threads.
     #[must_use]
     pub fn policies(&self) -> Policies {
         self.entries
@@ -174,27 +185,27 @@
             .collect()
     }
 
-    /// Makes new plans once a second. `members` are the balancers among which new flows are spread,
-    /// this one included; `writes` says whether this one may write the tables.
-    pub fn tick(&mut self, now: Duration, members: usize, writes: bool) -> Option<Outcome> {
-        let passed = now.saturating_sub(self.turned);
+    /// Makes new plans once a second. `members` is the number of balancers that new flows are
+    /// spread over, including this one. `is_writer` is whether this balancer may write the tables.
+    pub fn tick(&mut self, now: Duration, members: usize, is_writer: bool) -> Option<Outcome> {
+        let passed = now.saturating_sub(self.last_tick);
         if passed < PERIOD {
             return None;
         }
-        self.turned = now;
+        self.last_tick = now;
         self.round = self.round.wrapping_add(1);
         let mut outcome = Outcome::default();
         for (address, entry) in &mut self.entries {
-            entry.turn(now, passed, members);
+            entry.update(now, passed, members);
             outcome.guard.push((*address, entry.needs_guard(now)));
-            outcome.off_base.push((*address, entry.needs_opening(now)));
-            let changed = entry.changed();
+            outcome.off_base.push((*address, entry.needs_off_base(now)));
+            let changed = entry.take_ejection_changes();
             outcome.down.extend(
                 changed
                     .into_iter()
                     .map(|(server, down)| (*address, server, down)),
             );
-            if writes && let Some(weights) = entry.controller.weights(now) {
+            if is_writer && let Some(weights) = entry.controller.weights(now) {
                 let named = entry.names.iter().zip(weights);
                 self.weights.extend(named.map(|(name, weight)| {
                     (Arc::clone(name), (weight * f64::from(UNIT)).round() as u32)
@@ -247,7 +258,7 @@
         controller.set_weights(&weights);
         Entry {
             name: Arc::clone(&service.name),
-            down: vec![false; numbers.len()],
+            ejected: vec![false; numbers.len()],
             policy,
             controller,
             names,
@@ -255,14 +266,14 @@
             report: Report::default(),
             counted: 0.0,
             demand: old.as_ref().map_or(0.0, |old| old.demand),
-            guarded: old.as_ref().and_then(|old| old.guarded),
-            loose: old.as_ref().and_then(|old| old.loose),
+            guard_needed: old.as_ref().and_then(|old| old.guard_needed),
+            off_base_needed: old.as_ref().and_then(|old| old.off_base_needed),
         }
     }
 
-    fn turn(&mut self, now: Duration, passed: Duration, members: usize) {
+    fn update(&mut self, now: Duration, passed: Duration, members: usize) {
         let rate = std::mem::take(&mut self.counted) / passed.as_secs_f64();
-        self.demand += LATEST * (rate - self.demand);
+        self.demand += DEMAND_SMOOTHING * (rate - self.demand);
         let (report, plan) = self.controller.tick(members, now);
         self.report = report;
         self.policy.plan = Arc::new(plan);
@@ -273,8 +284,8 @@
         }
     }
 
-    /// Tells on what figures flows may be refused from now on, or no longer. A refused caller's
-    /// complaint leads here from its `flow-refused` line.
+    /// Logs the measurements because of which flows may be refused from now on, or no longer. It
+    /// explains the `flow-refused` lines of single callers.
     fn log_refusing(&self) {
         let (service, refuses) = (&self.name, self.policy.refuses);
         let progress = self.controller.progress().unwrap_or(0.0);
@@ -284,7 +295,8 @@
         );
     }
 
-    /// What this balancer's threads may let in together by the plan, in flows a second.
+    /// Returns the rate at which the plan lets this balancer's threads admit flows in total, in
+    /// flows per second.
     fn capacity(&self) -> Option<f64> {
         let Plan { rates, .. } = &*self.policy.plan;
         let threads = f64::from(self.controller.threads());
@@ -292,46 +304,46 @@
     }
 
     fn needs_guard(&mut self, now: Duration) -> bool {
-        let nears = self
+        let is_near_capacity = self
             .capacity()
-            .is_some_and(|capacity| self.demand > GUARD * capacity);
-        if nears && self.is_busy() {
-            self.guarded = Some(now);
+            .is_some_and(|capacity| self.demand > GUARD_THRESHOLD * capacity);
+        if is_near_capacity && self.is_busy() {
+            self.guard_needed = Some(now);
         }
-        self.guarded
-            .is_some_and(|since| now.saturating_sub(since) < LINGER)
+        self.guard_needed
+            .is_some_and(|since| now.saturating_sub(since) < HOLD_TIME)
     }
 
     fn is_busy(&self) -> bool {
         self.controller
             .progress()
-            .is_some_and(|progress| progress > BUSY)
+            .is_some_and(|progress| progress > BUSY_THRESHOLD)
     }
 
-    fn needs_opening(&mut self, now: Duration) -> bool {
+    fn needs_off_base(&mut self, now: Duration) -> bool {
         let standings = &self.policy.plan.standings;
         if standings
             .iter()
-            .any(|standing| standing.spill > LOOSEN && !standing.ejected)
+            .any(|standing| standing.spill > OFF_BASE_THRESHOLD && !standing.ejected)
         {
-            self.loose = Some(now);
+            self.off_base_needed = Some(now);
         }
-        self.loose
-            .is_some_and(|since| now.saturating_sub(since) < LINGER)
+        self.off_base_needed
+            .is_some_and(|since| now.saturating_sub(since) < HOLD_TIME)
     }
 
-    /// Servers that are newly left alone, or not any more.
-    fn changed(&mut self) -> Vec<(u16, bool)> {
+    /// Returns the servers that have been ejected or readmitted since the last call.
+    fn take_ejection_changes(&mut self) -> Vec<(u16, bool)> {
         let standings = self.policy.plan.standings.iter();
         let changed: Vec<(usize, bool)> = standings
             .map(|standing| standing.ejected)
             .enumerate()
-            .filter(|(at, ejected)| self.down.get(*at).is_some_and(|down| down != ejected))
+            .filter(|(at, ejected)| self.ejected.get(*at).is_some_and(|was| was != ejected))
             .collect();
         changed
             .into_iter()
             .map(|(at, ejected)| {
-                self.down[at] = ejected;
+                self.ejected[at] = ejected;
                 (self.numbers[at], ejected)
             })
             .collect()
