--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -1,9 +1,10 @@
-//! The control thread's state: time and messages in, messages and views out. No sockets.
+//! The state machine of the control thread. It takes the time, messages and events, and returns
+//! messages, calls and views. It does no I/O.
 
+mod load_control;
 mod member;
 mod rejoin;
 mod status;
-mod weigh;
 
 use std::{
     net::{SocketAddr, SocketAddrV4},
@@ -45,57 +46,57 @@
 use rejoin::Rejoin;
 pub use status::ServingState;
 
-/// Shards looked through in one tick. With 16 shards and 20 ticks a second a whole pass takes
-/// 0.8 s, and no traffic thread waits for more than one shard.
-const SWEPT: usize = 1;
+/// Number of shards swept in one tick. With 16 shards and 20 ticks per second a whole pass
+/// takes 0.8 s, and traffic threads wait for one shard at most.
+const SHARDS_PER_TICK: usize = 1;
 
 /// A message for a peer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outgoing {
-    /// The peer.
+    /// The number of the peer.
     pub to: u16,
-    /// Its treatment under the byte budget.
+    /// How the message is treated by the byte budget for control traffic.
     pub class: Class,
     /// The message.
     pub message: Message,
 }
 
-/// What a tick asks to be done.
+/// Actions for the control thread to carry out after a tick.
 #[derive(Debug)]
 pub struct Outcome {
     /// Messages to send.
     pub outgoing: Vec<Outgoing>,
-    /// To whom connections are to be kept.
+    /// The peers to keep connections to, and their addresses.
     pub peers: Vec<(u16, SocketAddr)>,
     /// This balancer's incarnation.
     pub incarnation: u64,
-    /// What traffic threads are to go by; none while this balancer must not serve.
+    /// The view for the traffic threads; `None` while this balancer must not serve.
     pub view: Option<View>,
-    /// Calls to the platform.
+    /// Calls to make to the platform.
     pub platform_calls: Vec<PlatformCall>,
-    /// Whether all pins and caches are to be forgotten, once the view is published.
+    /// Whether to clear all pins and caches, once the view is published.
     pub forget: bool,
 }
 
-/// What a peer says of the pins that it has.
+/// What a peer has reported about the pins that it holds.
 #[derive(Debug, Clone, Copy)]
-struct Owner {
-    /// Its incarnation when it said so.
+struct PinReport {
+    /// The peer's incarnation at the time of the report.
     incarnation: u64,
-    /// The incarnation in which it began to collect them.
+    /// The incarnation in which the peer began to collect its pins.
     since: u64,
 }
 
-/// The state of one balancer's control.
+/// The control state of one balancer.
 #[derive(Debug)]
 pub struct Core {
     settings: Arc<Settings>,
     group: Group,
     flow: Control,
-    /// The incarnation in which this balancer began to collect the pins that it has.
-    owner: u64,
-    /// The same of each peer, as it said last.
-    owners: Map<u16, Owner>,
+    /// The incarnation in which this balancer began to collect the pins that it holds.
+    pins_since: u64,
+    /// The latest report of each peer about the pins that it holds.
+    pin_reports: Map<u16, PinReport>,
     stages: Map<u16, Stage>,
     listed: Set<u16>,
     gone: Set<u16>,
@@ -107,14 +108,15 @@
     servers: Arc<Map<(Address, u16), SocketAddrV4>>,
     platform_calls: Vec<PlatformCall>,
     outgoing: Vec<Outgoing>,
-    swept: usize,
+    /// The shard that the next sweep starts with, modulo the number of shards.
+    next_shard: usize,
     leaving: bool,
-    seen: status::Seen,
+    last_seen: status::LastSeen,
 }
 
 impl Core {
-    /// The state of a balancer that has just started. `incarnation` must be higher than that of an
-    /// earlier process with this number.
+    /// Creates the state of a balancer that has just started. `incarnation` must be higher than
+    /// that of any earlier process with the same number.
     #[must_use]
     pub fn new(settings: Arc<Settings>, incarnation: u64, now: Duration) -> Self {
         let contact = Contact {
@@ -136,8 +138,8 @@
         Core {
             flow: Control::new(node, FlowSettings::default(), millis(now)),
             group,
-            owner: incarnation,
-            owners: Map::default(),
+            pins_since: incarnation,
+            pin_reports: Map::default(),
             stages: Map::default(),
             listed: Set::default(),
             gone: Set::default(),
@@ -149,15 +151,15 @@
             servers: Arc::default(),
             platform_calls: Vec::new(),
             outgoing: Vec::new(),
-            swept: 0,
+            next_shard: 0,
             leaving: false,
-            seen: status::Seen::default(),
+            last_seen: status::LastSeen::default(),
             settings,
         }
     }
 
-    /// Takes in a message from a peer; gives the answers. The error is the code under which the
-    /// message is dropped.
+    /// Handles a message from a peer and returns the messages to send in response. The error is the
+    /// code under which the message is dropped.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -174,14 +176,14 @@
                 self.send(from, Class::Urgent, Message::Acknowledgement(answer));
             }
             Message::Acknowledgement(answer) => self.flow.receive_acknowledgement(from, answer),
-            Message::Notice(notice) => take_notice(notice, shards, millis(now)),
+            Message::Notice(notice) => apply_notice(notice, shards, millis(now)),
             Message::AskConfig => {
                 let document = self.agreement.config().cloned();
                 self.send(from, Class::Urgent, Message::Config(document));
             }
             Message::Config(document) => {
                 let outcome = self.agreement.fetched_config(now, from, document);
-                self.follow(now, outcome);
+                self.apply_outcome(now, outcome);
             }
             Message::AskTables => {
                 let text = self
@@ -192,7 +194,7 @@
             }
             Message::Tables(text) => {
                 let outcome = self.agreement.fetched_tables(now, from, text.as_deref())?;
-                self.follow(now, outcome);
+                self.apply_outcome(now, outcome);
             }
         }
         Ok(std::mem::take(&mut self.outgoing))
@@ -208,29 +210,30 @@
         self.group
             .receive(now, from, incarnation, heartbeat)
             .map_err(|refusal| refusal.code())?;
-        self.seen.heartbeat(now, from);
+        self.last_seen.heartbeat(now, from);
         let payload = Payload::decode(&heartbeat.payload);
         if let Some(payload) = &payload {
             let since = incarnation.saturating_sub(payload.kept);
-            self.owners.insert(from, Owner { incarnation, since });
+            self.pin_reports
+                .insert(from, PinReport { incarnation, since });
         }
         self.refresh_members(now);
         let payload = payload.ok_or(Code::ControlUndecodable)?;
         self.flow
-            .receive(from, self.owner_of(from, incarnation), payload.flow);
+            .receive(from, self.pins_since(from, incarnation), payload.flow);
         self.pools.merge(from, &payload.load, now);
         let version = payload
             .config
             .map(|(revision, change)| Version { revision, change });
         let outcome = self.agreement.heard(now, from, version, heartbeat.table);
-        self.follow(now, outcome);
+        self.apply_outcome(now, outcome);
         Ok(())
     }
 
-    /// Takes in what the platform said.
+    /// Handles the result of a call to the platform, or its list of VMs.
     pub fn handle_platform_event(&mut self, now: Duration, event: PlatformEvent) {
         if event.is_answer() {
-            self.seen.store(now);
+            self.last_seen.store(now);
         }
         let outcome = match event {
             PlatformEvent::Config(answer) => self.agreement.saw_config(now, answer),
@@ -239,11 +242,12 @@
             PlatformEvent::WroteTables(answer) => self.agreement.wrote_tables(now, answer),
             PlatformEvent::Machines(machines) => return self.set_machines(now, &machines),
         };
-        self.follow(now, outcome);
+        self.apply_outcome(now, outcome);
     }
 
-    /// Carries out what follows from an event of the agreement.
-    fn follow(&mut self, now: Duration, outcome: agreement::Outcome) {
+    /// Carries out the actions that result from an event of the agreement, and updates the versions
+    /// in heartbeats.
+    fn apply_outcome(&mut self, now: Duration, outcome: agreement::Outcome) {
         self.platform_calls.extend(outcome.platform_calls);
         for request in outcome.peer_requests {
             match request {
@@ -263,7 +267,7 @@
             .agreement
             .version()
             .map_or(0, |version| version.revision);
-        self.seen.revision(now, revision);
+        self.last_seen.revision(now, revision);
         self.group.set_versions(revision, self.tables.version);
     }
 
@@ -271,7 +275,8 @@
         self.outgoing.push(Outgoing { to, class, message });
     }
 
-    /// Starts the handover; see [`Core::may_leave`].
+    /// Starts a graceful departure, in which pins are handed over. [`Core::may_leave`] returns
+    /// `true` once it is complete.
     pub fn leave(&mut self) {
         if !self.leaving {
             self.leaving = true;
@@ -281,13 +286,13 @@
         }
     }
 
-    /// Whether everything is handed over.
+    /// Returns whether this balancer is leaving and has handed over everything.
     #[must_use]
     pub fn may_leave(&self) -> bool {
         self.leaving && self.flow.may_leave()
     }
 
-    /// A notice of a traffic thread, to be sent.
+    /// Returns the message that carries a traffic thread's notice.
     #[must_use]
     pub fn notice(to: u16, notice: Notice) -> Outgoing {
         Outgoing {
@@ -297,7 +302,7 @@
         }
     }
 
-    /// Brings everything up to date. `unix` is the time of day, for deadlines of drains.
+    /// Runs everything that is due. `unix` is the time of day, for the deadlines of drains.
     pub fn tick(&mut self, now: Duration, unix: Duration, shards: &Shards) -> Outcome {
         let time = millis(now);
         self.refresh_members(now);
@@ -309,19 +314,19 @@
         if self.flow.take_pending_report() {
             self.group.request_prompt_answers();
         }
-        self.agree(now, unix);
-        self.weigh(now);
-        self.speak(now);
+        self.update_agreement(now, unix);
+        self.update_load(now);
+        self.send_due(now);
         let rejoin = self.take_events(now);
         if rejoin != Rejoin::No {
-            // What was to be said and published is of the life before.
+            // The queued messages and the snapshot belong to the previous incarnation.
             self.outgoing.clear();
             snapshot = self.flow.snapshot(time);
         }
         let peers = self.peers(now);
         let traffic = peers
             .iter()
-            .filter_map(|(id, address)| Some((*id, self.traffic(*address)?)));
+            .filter_map(|(id, address)| Some((*id, self.traffic_address(*address)?)));
         let view = View {
             snapshot,
             servers: Arc::clone(&self.servers),
@@ -338,26 +343,26 @@
         }
     }
 
-    fn agree(&mut self, now: Duration, unix: Duration) {
+    fn update_agreement(&mut self, now: Duration, unix: Duration) {
         let view = self.group.view(now);
         let outcome = self.agreement.saw_view(now, &view);
-        self.follow(now, outcome);
+        self.apply_outcome(now, outcome);
         let flow = &self.flow;
         let outcome = self
             .agreement
             .tick(now, unix, &|version| flow.is_known_everywhere(version));
-        self.follow(now, outcome);
+        self.apply_outcome(now, outcome);
     }
 
-    /// Heartbeats and copies of pins that are due.
-    fn speak(&mut self, now: Duration) {
+    /// Queues the heartbeats and batches of pins that are due.
+    fn send_due(&mut self, now: Duration) {
         let time = millis(now);
         let config = self
             .agreement
             .version()
             .map(|version| (version.revision, version.change));
         let (flow, pools) = (&mut self.flow, &mut self.pools);
-        let kept = self.group.incarnation() - self.owner;
+        let kept = self.group.incarnation() - self.pins_since;
         let payload = |to| {
             Payload {
                 flow: flow.report(to, time),
@@ -377,11 +382,11 @@
     }
 
     fn sweep(&mut self, time: u64, shards: &Shards) {
-        for _ in 0..SWEPT {
-            let index = self.swept % shards.count();
+        for _ in 0..SHARDS_PER_TICK {
+            let index = self.next_shard % shards.count();
             self.flow
                 .sweep(&mut shards.at(index), index, shards.count(), time);
-            self.swept = index + 1;
+            self.next_shard = index + 1;
         }
     }
 
@@ -393,8 +398,9 @@
             .collect()
     }
 
-    /// All balancers take redirected packets on the port that this one does.
-    fn traffic(&self, control: SocketAddr) -> Option<SocketAddrV4> {
+    /// Returns the address for redirected packets of a peer with this control address. All
+    /// balancers receive them on the same port.
+    fn traffic_address(&self, control: SocketAddr) -> Option<SocketAddrV4> {
         match control {
             SocketAddr::V4(address) => Some(SocketAddrV4::new(
                 *address.ip(),
@@ -405,14 +411,14 @@
     }
 }
 
-/// Forgets all pins and caches.
+/// Clears all pins and caches.
 pub fn forget(shards: &Shards) {
     for index in 0..shards.count() {
         *shards.at(index) = Shard::new(Limits::default());
     }
 }
 
-fn take_notice(notice: Notice, shards: &Shards, time: u64) {
+fn apply_notice(notice: Notice, shards: &Shards, time: u64) {
     match notice {
         Notice::Correct { key, server } => shards.of(key.hash()).correct(&key, server),
         Notice::Hint { key, server } => shards.of(key.hash()).cache_hint(key, server, time),
--- a/crates/node/src/control/core/weigh.rs
+++ b/crates/node/src/control/core/load_control.rs
@@ -1,4 +1,5 @@
-//! Decisions under load: from counts to plans, and to what flow control has to be told.
+//! Load control: passes counts to the pools, and the resulting plans and states of servers to the
+//! traffic threads and flow control.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,13 +12,13 @@
 use crate::{clock::millis, load::Counts};
 
 impl Core {
-    /// Takes in a traffic thread's counts; gives what they mean for the burn report.
+    /// Handles a traffic thread's counts, and returns the flow counts for the burn report.
     pub fn counts(&mut self, counts: &Counts) -> Vec<(Arc<str>, Mark, Count)> {
         self.pools.counts(counts)
     }
 
-    /// Decisions under load, once a second and with each change of configuration or tables.
-    pub(super) fn weigh(&mut self, now: Duration) {
+    /// Updates the pools once a second, and after each change of the configuration or the tables.
+    pub(super) fn update_load(&mut self, now: Duration) {
         let (Some(held), Some(document)) = (self.agreement.held(), self.agreement.document())
         else {
             return;
@@ -28,7 +29,7 @@
             .renew(&held.config, revision, document, self.settings.threads);
         if renewed {
             let closing = closing(document, &held.config);
-            self.close(closing, millis(now));
+            self.set_closing(closing, millis(now));
         }
         let view = self.group.view(now);
         let heard = view
@@ -36,8 +37,8 @@
             .iter()
             .filter(|member| member.state.is_heard())
             .count();
-        let writes = view.ready().next() == Some(self.settings.id);
-        let outcome = self.pools.tick(now, heard + 1, writes);
+        let is_writer = view.ready().next() == Some(self.settings.id);
+        let outcome = self.pools.tick(now, heard + 1, is_writer);
         if renewed || outcome.is_some() {
             self.policies = Arc::new(self.pools.policies());
         }
@@ -45,8 +46,8 @@
         for (address, guarded) in outcome.guard {
             self.flow.guard(address, guarded);
         }
-        for (address, loose) in outcome.off_base {
-            self.flow.allow_off_base(address, loose, millis(now));
+        for (address, allowed) in outcome.off_base {
+            self.flow.allow_off_base(address, allowed, millis(now));
         }
         for (address, server, down) in outcome.down {
             let code = Code::ServerSilent;
@@ -61,9 +62,9 @@
         }
     }
 
-    /// Keeps new flows away from servers that a configuration drains or removes before the tables
-    /// follow it, which they can't while the store is down.
-    fn close(&mut self, closing: Vec<(Address, u16)>, time: u64) {
+    /// Keeps new flows away from servers that the configuration drains or removes, before the
+    /// tables follow it. While the store is down, they can't.
+    fn set_closing(&mut self, closing: Vec<(Address, u16)>, time: u64) {
         for (address, server) in std::mem::replace(&mut self.closing, closing) {
             if !self.closing.contains(&(address, server)) {
                 self.flow.set_down(address, server, false, time);
--- a/crates/node/src/control/core/rejoin.rs
+++ b/crates/node/src/control/core/rejoin.rs
@@ -1,4 +1,4 @@
-//! What a balancer does that has to join the group anew, and what of its flows it keeps.
+//! Rejoining the group with a new incarnation, with or without the pins held so far.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 use super::Core;
 use crate::clock::millis;
 
-/// Whether this balancer has joined the group anew since the last tick.
+/// Whether this balancer has rejoined the group since the last tick.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Rejoin {
-    /// It has not.
+    /// It has not rejoined.
     No,
-    /// It has, and is the same owner of flows.
+    /// It has rejoined, and still owns its flows.
     WithPins,
-    /// It has, and its pins and caches are to be forgotten.
+    /// It has rejoined, and its pins and caches must be cleared.
     WithoutPins,
 }
 
 impl Core {
-    /// Logs what the membership saw, and carries out what follows if this balancer joined anew.
+    /// Logs membership events, and resets flow control if this balancer rejoined without its pins.
     pub(super) fn take_events(&mut self, now: Duration) -> Rejoin {
         let mut rejoin = Rejoin::No;
         for event in self.group.take_events() {
@@ -44,19 +44,21 @@
                 } else if rejoin == Rejoin::No {
                     rejoin = Rejoin::WithPins;
                 }
-                let kept = incarnation - self.owner;
+                let kept = incarnation - self.pins_since;
                 log::info!("event=rejoined incarnation={incarnation} kept={kept}");
             }
         }
         rejoin
     }
 
-    /// After a long freeze others own the flows, and pins held here may be wrong by now: a flow sent
-    /// by one of them would break. So everything is forgotten, and taken over anew from the peers.
-    /// The view that says so is published first: a traffic thread that still took this balancer
-    /// for an owner would take a forgotten pin for none, and send its flow to the base.
+    /// Resets flow control, so that this balancer takes over pins from its peers as a new owner.
+    ///
+    /// After a long freeze other balancers own the flows, and pins held here may be out of date: a
+    /// flow forwarded by one of them would break. The view without ownership must be published
+    /// before the pins are cleared. A traffic thread that still considered this balancer an owner
+    /// would conclude from a cleared pin that the flow has none, and forward it to its base.
     fn forget_pins(&mut self, incarnation: u64, now: Duration) {
-        self.owner = incarnation;
+        self.pins_since = incarnation;
         let node = Node {
             id: self.settings.id,
             incarnation,
@@ -70,15 +72,18 @@
     }
 }
 
-/// Whether a balancer that joins anew for `cause` still owns the flows that it owned before.
+/// Returns whether a balancer that rejoins for `cause` still owns the flows that it owned before.
 ///
-/// A balancer is suspended for seconds, and the other owner of some of its flows dies meanwhile. If it
-/// forgot its pins, nobody would know these flows any more: their next packets go to their base, and
-/// the server there resets them, as soon as the platform's list no longer names the dead one. Peers
-/// place no flow off its base while an owner is out of hearing, and don't call it gone for as long
-/// as the platform lists it; so what it knew when it was suspended still holds. After
-/// [`FlowSettings::stall_timeout`] callers may have used their ports again.
+/// While a balancer is suspended for some seconds, the other owner of some of its flows may die. If
+/// the balancer cleared its pins, no balancer would know these flows any more. As soon as the
+/// platform's list no longer names the dead owner, their next packets would go to their base, where
+/// the server resets them.
+///
+/// Keeping the pins is safe, because peers place no flow off its base while an owner is unheard,
+/// and don't treat it as gone while the platform lists it. So the pins from before the suspension
+/// are still right. After [`FlowSettings::stall_timeout`] they may not be, as callers may have
+/// reused their ports.
 fn keeps_pins(cause: Cause) -> bool {
-    let lapse = Duration::from_millis(FlowSettings::default().stall_timeout);
-    matches!(cause, Cause::Suspended(jump) if jump <= lapse)
+    let limit = Duration::from_millis(FlowSettings::default().stall_timeout);
+    matches!(cause, Cause::Suspended(jump) if jump <= limit)
 }
--- a/crates/node/src/control/core/status.rs
+++ b/crates/node/src/control/core/status.rs
@@ -1,4 +1,4 @@
-//! The balancer's account of itself for operators.
+//! The balancer's status for operators.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,39 +12,40 @@
 use acacia_tables::{Situation, follow};
 use acacia_wire::collections::Map;
 
-use super::{Core, member::MACHINE};
+use super::{Core, member::VM_NAME_PREFIX};
 use crate::clock::millis;
 
-/// When things were last seen, for the ages that operators are shown.
+/// Times of the latest events, for the ages in the status.
 #[derive(Debug, Default)]
-pub(super) struct Seen {
+pub(super) struct LastSeen {
     store: Option<Duration>,
     heartbeats: Map<u16, Duration>,
     revision: Option<(u64, Duration)>,
-    followed: Option<Followed>,
+    follow_check: Option<FollowCheck>,
 }
 
-/// Whether tables follow a configuration. Making the tables that follow one takes milliseconds;
-/// done for each account it would cost control more than all else. Hence it is remembered.
+/// Cached result of whether the tables in force follow a configuration. Computing the tables that
+/// follow a configuration takes milliseconds; done for every status, it would cost the control
+/// thread more than everything else.
 #[derive(Debug, Clone, Copy)]
-struct Followed {
+struct FollowCheck {
     config: Version,
     table: u64,
     behind: bool,
 }
 
-impl Seen {
-    /// The platform's store has answered.
+impl LastSeen {
+    /// Records an answer of the platform's store.
     pub(super) fn store(&mut self, now: Duration) {
         self.store = Some(now);
     }
 
-    /// A heartbeat of a peer was accepted.
+    /// Records an accepted heartbeat of a peer.
     pub(super) fn heartbeat(&mut self, now: Duration, peer: u16) {
         self.heartbeats.insert(peer, now);
     }
 
-    /// This revision is in force; 0 for none.
+    /// Records the revision of the configuration in force; 0 for none.
     pub(super) fn revision(&mut self, now: Duration, revision: u64) {
         if revision > 0 && self.revision.is_none_or(|(before, _)| before != revision) {
             self.revision = Some((revision, now));
@@ -52,7 +53,7 @@
     }
 }
 
-/// What operators wait for; a change of it is worth a new account at once.
+/// The part of the status that operators wait for. A change of it is published at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServingState {
     phase: Phase,
@@ -61,7 +62,7 @@
 }
 
 impl Core {
-    /// What operators wait for.
+    /// Returns the part of the status that operators wait for.
     #[must_use]
     pub fn serving_state(&self) -> ServingState {
         let phase = if self.leaving {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The document of the configuration in force, encoded as in the platform's store.
+    /// Returns the configuration document in force, encoded as in the platform's store.
     #[must_use]
     pub fn document(&self) -> Option<Arc<str>> {
         self.agreement
@@ -86,7 +87,7 @@
             .map(|document| document.encode().into())
     }
 
-    /// The balancer's account of itself. `unix` is the time of day.
+    /// Returns the balancer's status. `unix` is the time of day.
     #[must_use]
     pub fn status(&mut self, now: Duration, unix: Duration, shards: &Shards) -> Status {
         let behind = self.is_behind(unix);
@@ -102,18 +103,18 @@
             revision: state.revision,
             change: self.agreement.version().map(|version| version.change),
             behind,
-            enforced_ms: self.seen.revision.map_or(0, |(_, since)| age(since)),
-            store_ms: self.seen.store.map(age),
+            enforced_ms: self.last_seen.revision.map_or(0, |(_, since)| age(since)),
+            store_ms: self.last_seen.store.map(age),
             peers: peers
                 .filter_map(|member| {
-                    let heard = self.seen.heartbeats.get(&member.id).copied();
+                    let heard = self.last_seen.heartbeats.get(&member.id).copied();
                     self.peer(member, heard.map(age))
                 })
                 .collect(),
             services: self.services(),
-            // Flows of single backend servers are not counted here.
+            // This daemon doesn't count flows per backend server.
             servers: Vec::new(),
-            // Data centres are evacuated on the users' platform alone.
+            // Data centres can only be evacuated on the users' platform.
             evacuations: Vec::new(),
             pins: (0..shards.count())
                 .map(|index| shards.at(index).len() as u64)
@@ -121,21 +122,21 @@
         }
     }
 
-    /// Whether the tables in force don't follow the configuration in force yet. Once they have, they
-    /// do: later tables only bring weights and the ends of drains.
+    /// Returns whether the tables in force don't follow the configuration in force yet. Once tables
+    /// follow it, all later ones do, as they only change weights and end drains.
     fn is_behind(&mut self, unix: Duration) -> bool {
         let Some(config) = self.agreement.version() else {
             return false;
         };
         let table = self.tables.version;
-        if let Some(known) = self.seen.followed
+        if let Some(known) = self.last_seen.follow_check
             && known.config == config
             && (!known.behind || known.table == table)
         {
             return known.behind;
         }
-        let behind = self.makes_other_tables(unix);
-        self.seen.followed = Some(Followed {
+        let behind = self.would_change_tables(unix);
+        self.last_seen.follow_check = Some(FollowCheck {
             config,
             table,
             behind,
@@ -143,12 +144,12 @@
         behind
     }
 
-    fn makes_other_tables(&self, unix: Duration) -> bool {
+    fn would_change_tables(&self, unix: Duration) -> bool {
         let (Some(config), Some(document)) = (self.agreement.config(), self.agreement.document())
         else {
             return true;
         };
-        // What a change brings at once: bases move later, when all know of it.
+        // Only the immediate part of a change counts: bases move later, when all balancers know it.
         let situation = Situation {
             now: unix.as_secs(),
             is_known: &|_| false,
@@ -157,8 +158,9 @@
         !matches!(follow(Some(document), config, &situation), Ok(None))
     }
 
-    /// Whether operators have to ask the member whether a change is in force there: all but those
-    /// that are dead or have left. One that is only unheard may be cut off and still serve.
+    /// Returns whether operators must ask this member if a change is in force there. That holds for
+    /// all members except those that are dead or have left: one that is merely unheard may be cut
+    /// off from this balancer and still serve.
     fn is_live(&self, member: &Member) -> bool {
         let heard = member.state.is_heard();
         let left = self.stages.get(&member.id) == Some(&Stage::Leaving) && !heard;
@@ -166,7 +168,7 @@
         member.state != State::Dead && !left && !stopped
     }
 
-    /// All balancers answer operators on the port that this one does.
+    /// Returns a peer's entry in the status. All balancers serve operators on the same port.
     fn peer(&self, member: &Member, heard_ms: Option<u64>) -> Option<Peer> {
         let admin = SocketAddr::new(member.address?.ip(), self.settings.admin.port());
         Some(Peer {
@@ -192,7 +194,7 @@
     }
 }
 
-/// The name that a balancer's VM has in the platform's list.
+/// Returns the name of a balancer's VM in the platform's list.
 fn name(id: u16) -> Arc<str> {
-    format!("{MACHINE}{id}").into()
+    format!("{VM_NAME_PREFIX}{id}").into()
 }
