--- a/crates/node/tests/it/admin.rs
+++ b/crates/node/tests/it/admin.rs
@@ -1,4 +1,4 @@
-//! What is answered over the network.
+//! The admin endpoint, queried over the network.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -12,16 +12,16 @@
 
 const DEADLINE: Duration = Duration::from_secs(5);
 
-/// The control thread hangs: it shows no new account, and the operators' age of the store must go
-/// on all the same, or the balancer looks well for good.
+/// When the control thread hangs, it publishes no new snapshot. The age of the store's last answer
+/// must keep growing nevertheless, or the balancer would look healthy for ever.
 #[test]
-fn ages_go_on_while_control_hangs_and_the_ledger_is_given() {
+fn ages_grow_while_the_control_thread_hangs_and_the_ledger_is_served() {
     let published = Published::default();
     let status = Status {
         store_ms: Some(7),
         ..Status::default()
     };
-    // Made at the machine's start, long ago.
+    // Its default `at` is the machine's boot, long ago.
     published.store(Arc::new(StatusSnapshot {
         status,
         document: Some("text".into()),
--- a/crates/node/tests/it/main.rs
+++ b/crates/node/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the daemon's library.
+//! Integration tests of the daemon's library.
 
 mod admin;
 mod cookie;
