--- a/crates/node/tests/it/freeze.rs
+++ b/crates/node/tests/it/freeze.rs
@@ -1,4 +1,4 @@
-//! Balancers' control cores without sockets, one of which is suspended.
+//! Control cores of several balancers without I/O, of which one is suspended.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -11,13 +11,13 @@
 use acacia_wire::control::Envelope;
 use rstest::rstest;
 
-use crate::status::{config, grown, stored, tables};
+use crate::status::{config_event, tables, tables_event, with_server_added};
 
 const START: Duration = Duration::from_secs(100);
 const TICK: Duration = Duration::from_millis(50);
-/// Longer than balancers that start together take to own flows.
-const SETTLED: Duration = Duration::from_secs(10);
-/// Incarnation of all balancers at the start.
+/// Longer than balancers that start together need to become owners of flows.
+const SETTLE_TIME: Duration = Duration::from_secs(10);
+/// The first incarnation of all balancers.
 const FIRST: u64 = 7;
 
 struct Balancer {
@@ -27,17 +27,17 @@
     incarnation: u64,
     sequence: u64,
     view: Option<View>,
-    /// How often all pins were to be forgotten.
-    forgot: usize,
-    until: Duration,
+    /// How often the core asked for all pins to be cleared.
+    pins_cleared: usize,
+    suspended_until: Duration,
 }
 
 impl Balancer {
     fn start(id: u16, of: u16) -> Self {
         let mut core = Core::new(Arc::new(settings(id, of)), FIRST, START);
-        let first = grown(None);
-        core.handle_platform_event(START, config(&first));
-        core.handle_platform_event(START, stored(&tables(None, &first)));
+        let first = with_server_added(None);
+        core.handle_platform_event(START, config_event(&first));
+        core.handle_platform_event(START, tables_event(&tables(None, &first)));
         Balancer {
             id,
             core,
@@ -45,8 +45,8 @@
             incarnation: FIRST,
             sequence: 0,
             view: None,
-            forgot: 0,
-            until: Duration::ZERO,
+            pins_cleared: 0,
+            suspended_until: Duration::ZERO,
         }
     }
 
@@ -60,7 +60,7 @@
         } = self.core.tick(now, Duration::ZERO, &self.shards);
         self.incarnation = incarnation;
         self.view = view;
-        self.forgot += usize::from(forget);
+        self.pins_cleared += usize::from(forget);
         outgoing
     }
 
@@ -68,7 +68,7 @@
         self.view.as_ref().is_some_and(|view| view.snapshot.owner)
     }
 
-    /// The balancers that this one takes for the holders of all pins.
+    /// Returns the balancers that this one considers to hold all pins.
     fn settled(&self) -> Vec<Node> {
         let view = self.view.as_ref().expect("a view");
         view.snapshot.settled.to_vec()
@@ -104,7 +104,7 @@
             now: START,
             balancers: balancers.collect(),
         };
-        fleet.run(SETTLED);
+        fleet.run(SETTLE_TIME);
         assert!(fleet.balancers.iter().all(Balancer::owns));
         fleet
     }
@@ -117,17 +117,17 @@
         }
     }
 
-    /// Ticks every balancer that runs and delivers what it says; what is said to one that is
-    /// suspended is lost.
+    /// Ticks every running balancer and delivers its messages. Messages to a suspended balancer are
+    /// lost.
     fn step(&mut self) {
-        let mut posts = VecDeque::new();
+        let mut queue = VecDeque::new();
         for balancer in &mut self.balancers {
-            if self.now >= balancer.until {
+            if self.now >= balancer.suspended_until {
                 let from = (balancer.id, balancer.tick(self.now), balancer.incarnation);
-                posts.push_back(from);
+                queue.push_back(from);
             }
         }
-        while let Some((sender, messages, incarnation)) = posts.pop_front() {
+        while let Some((sender, messages, incarnation)) = queue.pop_front() {
             for Outgoing { to, message, .. } in messages {
                 let from = &mut self.balancers[usize::from(sender) - 1];
                 from.sequence += 1;
@@ -137,17 +137,17 @@
                     sequence: from.sequence,
                 };
                 let to = &mut self.balancers[usize::from(to) - 1];
-                if self.now < to.until {
+                if self.now < to.suspended_until {
                     continue;
                 }
                 let answers = to.core.receive(self.now, &envelope, message, &to.shards);
-                posts.push_back((to.id, answers.unwrap_or_default(), to.incarnation));
+                queue.push_back((to.id, answers.unwrap_or_default(), to.incarnation));
             }
         }
     }
 
     fn suspend(&mut self, id: u16, time: Duration) {
-        self.balancers[usize::from(id) - 1].until = self.now + time;
+        self.balancers[usize::from(id) - 1].suspended_until = self.now + time;
     }
 }
 
@@ -155,42 +155,42 @@
     Node { id, incarnation }
 }
 
-/// A VM is paused for some seconds, and meanwhile the only other balancer that knows some flows
-/// dies. The paused one joins the group as a new member, but it must still be the owner that holds
-/// these flows: if the others took what it knew for lost, they would send the flows' packets to
-/// their base servers, which reset them, and callers' feeds end.
+/// A balancer's VM is paused for some seconds, and the only other owner of some of its flows dies
+/// meanwhile. The balancer rejoins as a new member, but must still count as the owner of these
+/// flows. If the others considered its pins lost, they would forward the flows' packets to their
+/// base servers, which reset them, and the callers' feeds would end.
 #[rstest]
-#[case::not_noticed_as_dead(Duration::from_secs(3))]
-#[case::taken_for_dead(Duration::from_secs(8))]
+#[case::not_considered_dead(Duration::from_secs(3))]
+#[case::considered_dead(Duration::from_secs(8))]
 #[case::just_short_of_the_limit(Duration::from_millis(14_900))]
 fn a_suspended_balancer_stays_the_owner_of_its_flows(#[case] time: Duration) {
     let mut fleet = Fleet::settled(3);
 
     fleet.suspend(3, time);
-    fleet.run(time + SETTLED);
+    fleet.run(time + SETTLE_TIME);
 
     let owners = [node(1, FIRST), node(2, FIRST), node(3, FIRST)];
     assert_eq!(fleet.balancers[2].incarnation, FIRST + 1, "a new member");
-    assert_eq!(fleet.balancers[2].forgot, 0);
+    assert_eq!(fleet.balancers[2].pins_cleared, 0);
     for balancer in &fleet.balancers {
         assert_eq!(balancer.settled(), owners, "at {}", balancer.id);
         assert!(balancer.owns(), "{}", balancer.id);
     }
 }
 
-/// The same twice in a row, with a third pause that is too long. Callers may have closed flows and
-/// used their ports again by then, so that its pins are worth nothing; it must be known as an owner
-/// that has begun anew.
+/// Two short suspensions, then one beyond the limit. By then callers may have closed flows and
+/// reused their ports, so the pins may be wrong. The balancer must clear them, and the others must
+/// know it as a new owner.
 #[test]
-fn a_balancer_suspended_for_long_forgets_what_it_knew() {
+fn a_balancer_suspended_for_too_long_clears_its_pins() {
     let mut fleet = Fleet::settled(3);
     for secs in [2, 4, 16] {
         fleet.suspend(2, Duration::from_secs(secs));
-        fleet.run(Duration::from_secs(secs) + SETTLED * 2);
+        fleet.run(Duration::from_secs(secs) + SETTLE_TIME * 2);
     }
 
     let owners = [node(1, FIRST), node(2, FIRST + 3), node(3, FIRST)];
-    assert_eq!(fleet.balancers[1].forgot, 1);
+    assert_eq!(fleet.balancers[1].pins_cleared, 1);
     for balancer in &fleet.balancers {
         assert_eq!(balancer.settled(), owners, "at {}", balancer.id);
     }
--- a/crates/node/tests/it/status.rs
+++ b/crates/node/tests/it/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told.
+//! The status that operators are shown.
 
 use std::{sync::Arc, time::Duration};
 
@@ -28,8 +28,8 @@
     core.status(START, Duration::ZERO, &Shards::new(4, Limits::default()))
 }
 
-/// What follows `before` when one more server is added.
-pub fn grown(before: Option<&Document>) -> Document {
+/// Returns the configuration document that follows `before`, with one more server.
+pub fn with_server_added(before: Option<&Document>) -> Document {
     let mut config = Config::default();
     config.add_service(Service::new("live", [10, 77, 0, 1], 443, 70));
     for host in 0..=before.map_or(0, |document| document.revision) as u8 {
@@ -51,7 +51,7 @@
     Document::follow(before, &draft).unwrap()
 }
 
-pub fn config(document: &Document) -> PlatformEvent {
+pub fn config_event(document: &Document) -> PlatformEvent {
     PlatformEvent::Config(Some(Answer {
         revision: document.revision,
         document: Some(Arc::new(document.clone())),
@@ -67,7 +67,7 @@
     follow(before, of, &situation).unwrap().unwrap()
 }
 
-pub fn stored(tables: &acacia_tables::Document) -> PlatformEvent {
+pub fn tables_event(tables: &acacia_tables::Document) -> PlatformEvent {
     PlatformEvent::Tables(Some(Entry {
         revision: tables.version,
         value: Some(tables.encode().unwrap().into()),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_balancer_that_has_just_started_says_so_and_names_its_peers() {
+fn a_balancer_that_has_just_started_reports_that_and_its_peers() {
     let status = status(&mut core());
 
     assert_eq!(status.phase, Phase::Starting);
@@ -89,18 +89,27 @@
     assert_eq!(peers, [(4, "127.0.0.2:6082".parse().unwrap(), None)]);
 }
 
-/// A change reaches a balancer a moment before the tables that follow it. An operator who is told
-/// too early that a server was drained stops it while it still gets new flows, and they break.
+/// A configuration change reaches a balancer shortly before the tables that follow it. If operators
+/// were told too early that a server is drained, they would stop it while it still gets new flows,
+/// which would break.
 #[test]
 fn a_revision_is_shown_as_behind_until_the_tables_follow_it() {
     let mut core = core();
-    let (first, second) = (grown(None), grown(Some(&grown(None))));
+    let (first, second) = (
+        with_server_added(None),
+        with_server_added(Some(&with_server_added(None))),
+    );
     let old = tables(None, &first);
     let new = tables(Some(&old), &second);
     let mut shown = Vec::new();
 
-    for news in [config(&first), stored(&old), config(&second), stored(&new)] {
-        core.handle_platform_event(START, news);
+    for event in [
+        config_event(&first),
+        tables_event(&old),
+        config_event(&second),
+        tables_event(&new),
+    ] {
+        core.handle_platform_event(START, event);
         let status = status(&mut core);
         let table = status.services.first().map(|service| service.table);
         shown.push((status.revision, table, status.behind));
