--- a/crates/node/tests/it/metrics.rs
+++ b/crates/node/tests/it/metrics.rs
@@ -1,4 +1,4 @@
-//! What is sent to statsd.
+//! Reports to a statsd server.
 
 use std::{
     net::{SocketAddr, SocketAddrV4, UdpSocket},
@@ -25,7 +25,7 @@
     }
 }
 
-/// All lines up to the last gauge: a report may take several datagrams.
+/// Receives all lines of a report, up to its last gauge. A report may consist of several datagrams.
 fn receive(socket: &UdpSocket) -> Vec<String> {
     let mut lines: Vec<String> = Vec::new();
     while !lines.iter().any(|line| line.contains("control_received")) {
