--- a/crates/node/tests/it/platform.rs
+++ b/crates/node/tests/it/platform.rs
@@ -1,4 +1,4 @@
-//! The thread that calls the platform.
+//! The thread that makes calls to the platform.
 
 use std::{
     net::SocketAddr,
@@ -20,36 +20,36 @@
 
 use crate::settings::valid;
 
-/// Far longer than any call may take.
-const LONG: Duration = Duration::from_secs(10);
+/// Far longer than any call takes.
+const DEADLINE: Duration = Duration::from_secs(10);
 
 fn settings(platform: SocketAddr) -> Settings {
     let text = valid().replace("127.0.0.1:6083", &platform.to_string());
     Settings::parse(&text).expect("settings")
 }
 
-/// The control thread stands still while its queue fills up. An answer that was dropped then leaves it
-/// waiting, and this balancer writes no tables any more.
+/// The control thread stalls while its queue is full. If results were dropped then, it would wait
+/// for them for ever, and this balancer would never write tables again.
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_wait_for_a_control_thread_that_stands_still() {
+async fn results_wait_for_a_control_thread_that_stalls() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let stand = Stand::start(any, any).await.expect("a platform");
     let settings = settings(stand.address());
-    let (told, news) = bounded(1);
-    let (orders, mut received) = mpsc::channel(8);
-    told.send(PlatformEvent::Machines(vec![])).expect("room");
+    let (sender, events) = bounded(1);
+    let (calls, mut received) = mpsc::channel(8);
+    sender.send(PlatformEvent::Machines(vec![])).expect("room");
     for _ in 0..2 {
-        orders.try_send(PlatformCall::ReadTables).expect("room");
+        calls.try_send(PlatformCall::ReadTables).expect("room");
     }
     let stop = AtomicBool::new(false);
 
     let answers = thread::scope(|scope| {
-        scope.spawn(|| platform::run(&settings, &mut received, &told, &stop));
-        // By then the store has answered all.
+        scope.spawn(|| platform::run(&settings, &mut received, &sender, &stop));
+        // By then the store has answered both calls.
         thread::sleep(Duration::from_secs(2));
-        let is_read = |news: &PlatformEvent| matches!(news, PlatformEvent::ReadTables(Some(_)));
-        let end = Instant::now() + LONG;
-        let answers = std::iter::from_fn(|| news.recv_deadline(end).ok());
+        let is_read = |event: &PlatformEvent| matches!(event, PlatformEvent::ReadTables(Some(_)));
+        let end = Instant::now() + DEADLINE;
+        let answers = std::iter::from_fn(|| events.recv_deadline(end).ok());
         let answers = answers.filter(is_read).take(2).count();
         stop.store(true, Ordering::Relaxed);
         answers
