--- a/crates/node/tests/it/settings.rs
+++ b/crates/node/tests/it/settings.rs
@@ -1,3 +1,5 @@
+//! Parsing and validation of the settings, and their documentation.
+
 use acacia_code::Code;
 use acacia_node::settings::{KEYS, PEER_KEYS, Settings};
 use proptest::prelude::*;
@@ -15,7 +17,7 @@
 }
 
 #[test]
-fn valid_settings_are_read_whole() {
+fn valid_settings_are_parsed() {
     let settings = Settings::parse(&valid()).unwrap();
 
     assert_eq!(settings.id, 3);
@@ -26,7 +28,7 @@
 }
 
 #[test]
-fn peers_are_told_to_use_the_advertised_address_or_else_the_control_socket_s() {
+fn the_advertised_address_is_that_of_the_control_socket_unless_set() {
     let translated = valid().replace("id = 3", "id = 3\nadvertise = 127.0.0.9");
 
     let plain = Settings::parse(&valid()).unwrap();
@@ -36,8 +38,8 @@
     assert_eq!(translated.advertise.to_string(), "127.0.0.9");
 }
 
-/// An operator mends one mistake, starts again, meets the next: a roll-out by night takes an hour.
-/// All are listed at once.
+/// All problems must be listed at once. An operator who can only fix one mistake per start loses an
+/// hour during a nightly roll-out.
 #[test]
 fn every_problem_is_listed_with_section_key_found_and_expected() {
     let text = valid()
@@ -77,7 +79,7 @@
 }
 
 #[test]
-fn the_page_on_settings_names_every_key() {
+fn every_key_is_documented() {
     let page = include_str!("../../../../docs/SETTINGS.md");
     let of_peers = ("peer.N", PEER_KEYS);
 
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn the_example_on_the_page_is_valid() {
+fn the_documented_example_is_valid() {
     let page = include_str!("../../../../docs/SETTINGS.md");
     let (_, rest) = page.split_once("```ini\n").unwrap();
     let (example, _) = rest.split_once("```").unwrap();
