--- a/crates/node/tests/it/traffic/batch.rs
+++ b/crates/node/tests/it/traffic/batch.rs
@@ -1,3 +1,5 @@
+//! Batched sending and receiving of datagrams on loopback sockets.
+
 use std::{
     net::{Ipv4Addr, SocketAddrV4, UdpSocket},
     time::Duration,
@@ -17,29 +19,32 @@
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)
 }
 
-/// The first byte of each datagram that comes in, until `count` are there.
-fn take(socket: &UdpSocket, count: usize) -> Vec<u8> {
-    let (mut received, mut taken) = (Received::default(), Vec::new());
-    while taken.len() < count {
+/// Receives `count` datagrams and returns the first byte of each.
+fn receive(socket: &UdpSocket, count: usize) -> Vec<u8> {
+    let (mut received, mut first_bytes) = (Received::default(), Vec::new());
+    while first_bytes.len() < count {
         received.fill(socket).expect("a socket that reads");
-        assert!(!received.is_empty(), "only {taken:?} of {count} came");
-        taken.extend((0..received.len()).map(|index| received.get(index)[0]));
+        assert!(
+            !received.is_empty(),
+            "received only {first_bytes:?} of {count}"
+        );
+        first_bytes.extend((0..received.len()).map(|index| received.get(index)[0]));
     }
-    taken
+    first_bytes
 }
 
-/// One backend server has an address that the kernel can't send to: its network is gone, a rule of
-/// the firewall forbids it, or the datagram is too large. In the same batch stand packets of other
-/// flows for healthy servers. Would they be given up with it, callers of all services would notice
-/// stalls that come and go with the one server's traffic.
+/// The kernel rejects a datagram for one backend server: its network is unreachable, a firewall
+/// rule forbids it, or the datagram is too large. The same batch contains packets of other flows to
+/// healthy servers. If they were dropped too, callers of all services would see stalls that come
+/// and go with the traffic of that one server.
 #[test]
-fn a_datagram_that_the_kernel_refuses_costs_no_other() {
+fn a_datagram_that_the_kernel_rejects_loses_no_other() {
     let (from, to) = (socket(), socket());
-    let refused = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
+    let rejected = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
     let (received, mut batch) = (Received::default(), ToSend::default());
     for number in 0..10 {
         let at = if number % 3 == 1 {
-            refused
+            rejected
         } else {
             address(&to)
         };
@@ -47,11 +52,11 @@
     }
     let lost = batch.flush(&from, &received);
     assert_eq!(lost, 3);
-    assert_eq!(take(&to, 7), [0, 2, 3, 5, 6, 8, 9]);
+    assert_eq!(receive(&to, 7), [0, 2, 3, 5, 6, 8, 9]);
 }
 
 #[test]
-fn buffers_used_again_hold_nothing_of_the_batch_before() {
+fn reused_buffers_hold_no_bytes_of_the_previous_batch() {
     let (from, to) = (socket(), socket());
     let (received, mut batch) = (Received::default(), ToSend::default());
     batch.build(address(&to), |out| out.extend([1; 100]));
@@ -62,14 +67,14 @@
     let mut lengths = Vec::new();
     while lengths.len() < 2 {
         first.fill(&to).expect("a socket that reads");
-        assert!(!first.is_empty(), "only {lengths:?} came");
+        assert!(!first.is_empty(), "received only {lengths:?}");
         lengths.extend((0..first.len()).map(|index| first.get(index).len()));
     }
     assert_eq!(lengths, [100, 1]);
 }
 
 #[test]
-fn more_than_one_batch_goes_out_in_order() {
+fn more_datagrams_than_one_system_call_takes_are_sent_in_order() {
     let (from, to) = (socket(), socket());
     let (received, mut batch) = (Received::default(), ToSend::default());
     let count = 2 * SIZE as u8 + 1;
@@ -77,5 +82,5 @@
         batch.build(address(&to), |out| out.push(number));
     }
     assert_eq!(batch.flush(&from, &received), 0);
-    assert_eq!(take(&to, count.into()), (0..count).collect::<Vec<u8>>());
+    assert_eq!(receive(&to, count.into()), (0..count).collect::<Vec<u8>>());
 }
