--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -97,12 +97,16 @@
     pins_since: u64,
     /// The latest report of each peer about the pins that it holds.
     pin_reports: Map<u16, PinReport>,
+    /// The last stage of each member while it was heard.
     stages: Map<u16, Stage>,
+    /// Balancers in the platform's list of VMs.
     listed: Set<u16>,
+    /// Balancers that have disappeared from that list.
     gone: Set<u16>,
     agreement: Agreement,
     pools: Pools,
     policies: Arc<Policies>,
+    /// Servers that the configuration drains or removes, but the tables don't yet.
     closing: Vec<(Address, u16)>,
     tables: Tables,
     servers: Arc<Map<(Address, u16), SocketAddrV4>>,
