--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -65,8 +65,7 @@
         }
     }
 
-    /// Publishes a new snapshot if [`INTERVAL`] has passed, or at once if the serving state
-    /// has changed.
+    /// Publishes a new snapshot once a second, or at once if the serving state has changed.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -110,7 +109,7 @@
     }
 }
 
-/// Binds the admin listener. Retries for [`BIND_TIMEOUT`], as the address may still be in use.
+/// Binds the admin listener. Retries for two seconds, as the address may still be in use.
 pub fn listen(address: SocketAddrV4) -> std::io::Result<std::net::TcpListener> {
     let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
