--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -229,8 +229,7 @@
         tracker.observe(packet, server, class, now, gate.tally());
     }
 
-    /// Returns the counts since the previous report, or nothing until [`DRAIN_INTERVAL`] has
-    /// passed.
+    /// Returns the counts since the previous report, or nothing if none is due yet.
     pub fn drain(&mut self, now: Duration) -> Vec<Counts> {
         if now.saturating_sub(self.drained) < DRAIN_INTERVAL {
             return Vec::new();
