--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -8,7 +8,7 @@
 const CODE_COUNT: usize = 512;
 
 /// An event that is counted without a code: what became of a packet that was not dropped, or a
-/// message that was lost inside the process.
+/// message that was lost on its way between threads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// A packet received from the fabric.
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -129,7 +129,7 @@
         }
     });
     let outcome = kernel.wait();
-    // If a service died, no signal has arrived: this ends the loop of the waiting thread.
+    // If a service died without a signal, the waiting thread still runs. This ends its loop.
     shared.left.store(true, Ordering::Relaxed);
     waiter
         .join()
