--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -17,9 +17,9 @@
     Forwarded,
     /// A packet redirected to another balancer.
     Redirected,
-    /// A new flow refused under load; the caller is told when to retry.
+    /// A packet answered with a refusal, which tells the caller that no server has processed it.
     Refused,
-    /// A flow ended with a reset to both ends.
+    /// A flow that the balancer ended with a reset.
     Ended,
     /// A datagram that the kernel did not accept for sending.
     Unsent,
