--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,8 +1,9 @@
-//! Control: one thread holds all state that isn't a flow's, and publishes views for traffic.
+//! The control thread, which owns all state except that of flows, and publishes views for the
+//! traffic threads.
 
 pub mod agreement;
 pub mod core;
 pub mod load;
 pub mod platform;
 pub mod service;
-pub mod spread;
+pub mod table_fetch;
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the services of the process together, and ends them in order.
+//! Starts the services of the process, and stops them in order of their dependencies.
 
 use std::{
     net::{SocketAddrV4, UdpSocket},
@@ -25,8 +25,8 @@
     admin,
     control::{
         self,
-        agreement::Order,
-        platform::{self, News},
+        agreement::PlatformCall,
+        platform::{self, PlatformEvent},
     },
     counter::Counter,
     journal,
@@ -38,27 +38,28 @@
     view::Published,
 };
 
-/// The longest that a traffic thread waits for packets before it looks whether to stop.
-const LOOK: Duration = Duration::from_millis(50);
-/// Receive buffer of a traffic socket, in bytes: a burst of some 3,000 full packets.
-const BUFFER: usize = 4 << 20;
+/// Read timeout of a traffic socket: how often an idle traffic thread checks whether to stop.
+const READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// Receive buffer of a traffic socket, in bytes: holds a burst of some 3,000 full-sized packets.
+const RECEIVE_BUFFER: usize = 4 << 20;
 
-/// Pins and caches are spread over so many locks: a traffic thread holds one for the time of a
-/// decision, the control thread for a look through one shard.
+/// Number of shards that pins and caches are spread over, each behind its own lock. A traffic
+/// thread holds one lock while it decides on a packet, the control thread while it sweeps one
+/// shard.
 const SHARDS: usize = 16;
-/// Messages that wait for the control thread. More than the traffic threads can have to say
-/// between two turns of it, within the budget for hints.
+/// Capacity of the channels to and from the control thread. The hint budget keeps the traffic
+/// threads below this between two iterations of the control thread.
 const QUEUE: usize = 1_024;
-/// Between two looks at how far a graceful shutdown has come.
-const STEP: Duration = Duration::from_millis(20);
+/// Interval at which signals and the progress of a graceful shutdown are polled.
+const SIGNAL_POLL: Duration = Duration::from_millis(20);
 
-/// What the services of the process share.
+/// State shared by the services of the process.
 struct Shared {
     settings: Arc<Settings>,
     published: Published,
     shards: Arc<Shards>,
     counter: Arc<Counter>,
-    account: admin::Published,
+    status: admin::Published,
     ledger: Arc<Ledger>,
     leave: Arc<AtomicBool>,
     left: Arc<AtomicBool>,
@@ -66,8 +67,8 @@
 
 /// The platform thread's ends of its channels.
 struct Platform {
-    news: Receiver<News>,
-    orders: mpsc::Sender<Order>,
+    events: Receiver<PlatformEvent>,
+    calls: mpsc::Sender<PlatformCall>,
 }
 
 /// The control thread's ends of its channels.
@@ -76,13 +77,15 @@
     counts: Sender<Counts>,
 }
 
-/// Runs the balancer until it is asked to end or a service of it dies.
+/// Runs the balancer until it is told to stop by a signal or one of its services dies.
+///
+/// The first signal starts a graceful shutdown, a second one forces the exit.
 pub fn run(settings: Settings) -> anyhow::Result<Code> {
     let _journal = journal::start(settings.log)?;
     let shared = Arc::new(Shared {
         ledger: Arc::new(Ledger::new(settings.id)),
         settings: Arc::new(settings),
-        account: admin::Published::default(),
+        status: admin::Published::default(),
         published: Published::default(),
         shards: Arc::new(Shards::new(SHARDS, Limits::default())),
         counter: Arc::default(),
@@ -105,28 +108,28 @@
         settings.id,
         settings.traffic
     );
-    let ending = Arc::clone(&shared);
+    let signalled = Arc::clone(&shared);
     let waiter = std::thread::spawn(move || {
-        let mut asked = 0;
+        let mut received = 0;
         while !handle.is_closed() {
-            asked += signals.pending().count();
-            match asked {
+            received += signals.pending().count();
+            match received {
                 0 => {}
-                1 => ending.leave.store(true, Ordering::Relaxed),
+                1 => signalled.leave.store(true, Ordering::Relaxed),
                 _ => {
                     log::error!("event=forced code={}", Code::Forced);
                     journal::exit(Code::Forced.exit_status());
                 }
             }
-            if ending.left.load(Ordering::Relaxed) {
+            if signalled.left.load(Ordering::Relaxed) {
                 stopper.stop();
                 return;
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(SIGNAL_POLL);
         }
     });
     let outcome = kernel.wait();
-    // After a death nobody asked to end: the waiter must still be let go.
+    // If a service died without a signal, the waiting thread still runs. This ends its loop.
     shared.left.store(true, Ordering::Relaxed);
     waiter
         .join()
@@ -144,8 +147,8 @@
 
 fn platform_service(shared: Arc<Shared>) -> Service {
     Service::new("platform", [], move |context| {
-        let (sender, news) = bounded::<News>(QUEUE);
-        let (orders, mut received) = mpsc::channel::<Order>(QUEUE);
+        let (sender, events) = bounded::<PlatformEvent>(QUEUE);
+        let (calls, mut received) = mpsc::channel::<PlatformCall>(QUEUE);
         let stop = Arc::new(AtomicBool::new(false));
         let flag = Arc::clone(&stop);
         context.spawn(move || {
@@ -157,7 +160,7 @@
             )?)
         })?;
         context.on_stop(move || stop.store(true, Ordering::Relaxed));
-        Ok(Platform { news, orders })
+        Ok(Platform { events, calls })
     })
 }
 
@@ -169,11 +172,11 @@
         let stop = Arc::new(AtomicBool::new(false));
         let control = control::service::Context {
             settings: Arc::clone(&shared.settings),
-            news: platform.news.clone(),
-            orders: platform.orders.clone(),
+            platform_events: platform.events.clone(),
+            platform_calls: platform.calls.clone(),
             notices,
             counts,
-            account: Arc::clone(&shared.account),
+            status: Arc::clone(&shared.status),
             ledger: Arc::clone(&shared.ledger),
             published: Arc::clone(&shared.published),
             shards: Arc::clone(&shared.shards),
@@ -220,7 +223,7 @@
         let listener = admin::listen(shared.settings.admin)?;
         let stop = CancellationToken::new();
         let token = stop.clone();
-        context.spawn(move || admin::run(listener, token, &shared.account, &shared.ledger))?;
+        context.spawn(move || admin::run(listener, token, &shared.status, &shared.ledger))?;
         context.on_stop(move || stop.cancel());
         Ok(())
     })
@@ -233,22 +236,22 @@
         };
         let (running, stop) = bounded::<()>(0);
         context.spawn(move || {
-            let (id, account) = (shared.settings.id, &shared.account);
-            metrics::run(to, id, account, &shared.counter, &stop)
+            let (id, status) = (shared.settings.id, &shared.status);
+            metrics::run(to, id, status, &shared.counter, &stop)
         })?;
         context.on_stop(move || drop(running));
         Ok(())
     })
 }
 
-/// A socket of its own for each traffic thread, on one address: the kernel spreads datagrams over
-/// them by their outer addresses.
+/// Binds the socket of one traffic thread. All traffic threads bind the same address with
+/// `SO_REUSEPORT`, and the kernel distributes datagrams among them by their outer addresses.
 pub(crate) fn bind(address: SocketAddrV4) -> std::io::Result<UdpSocket> {
     let socket = Socket::new(Domain::IPV4, Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_reuse_port(true)?;
-    // The system may grant less; then bursts are cut sooner.
-    let _ = socket.set_recv_buffer_size(BUFFER);
+    // The kernel may grant less; then shorter bursts already lose packets.
+    let _ = socket.set_recv_buffer_size(RECEIVE_BUFFER);
     socket.bind(&address.into())?;
-    socket.set_read_timeout(Some(LOOK))?;
+    socket.set_read_timeout(Some(READ_TIMEOUT))?;
     Ok(socket.into())
 }
--- a/crates/node/tests/it/admin.rs
+++ b/crates/node/tests/it/admin.rs
@@ -1,31 +1,31 @@
-//! What is answered over the network.
+//! The admin endpoint, queried over the network.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
 use acacia_api::Status;
 use acacia_burn::{Count, Mark};
 use acacia_node::{
-    admin::{self, Account, Published},
+    admin::{self, Published, StatusSnapshot},
     ledger::Ledger,
 };
 use tokio_util::sync::CancellationToken;
 
 const DEADLINE: Duration = Duration::from_secs(5);
 
-/// The control thread hangs: it shows no new account, and the operators' age of the store must go
-/// on all the same, or the balancer looks well for good.
+/// When the control thread hangs, it publishes no new snapshot. The age of the store's last answer
+/// must keep growing nevertheless, or the balancer would look healthy for ever.
 #[test]
-fn ages_go_on_while_control_hangs_and_the_ledger_is_given() {
+fn ages_grow_while_the_control_thread_hangs_and_the_ledger_is_served() {
     let published = Published::default();
     let status = Status {
         store_ms: Some(7),
         ..Status::default()
     };
-    // Made at the machine's start, long ago.
-    published.store(Arc::new(Account {
+    // Its default `at` is the machine's boot, long ago.
+    published.store(Arc::new(StatusSnapshot {
         status,
         document: Some("text".into()),
-        ..Account::default()
+        ..StatusSnapshot::default()
     }));
     let ledger = Arc::new(Ledger::new(3));
     let good = Count {
