--- a/crates/bench/src/control/store.rs
+++ b/crates/bench/src/control/store.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    fn swap(&mut self, expected: u64, text: Arc<str>) -> writer::StoreEntry {
+    fn swap(&mut self, expected: u64, text: Arc<str>) -> writer::Answer {
         if expected != self.tables.revision {
             return writer::Answer::Conflict;
         }
