--- a/crates/node/src/cookie/control.rs
+++ b/crates/node/src/cookie/control.rs
@@ -40,7 +40,7 @@
     /// Wakes the task that publishes.
     pub(super) changed: Notify,
     /// Wakes the task that probes.
-    pub(super) doubt: Notify,
+    pub(super) examination_due: Notify,
 }
 
 impl Control {
@@ -70,7 +70,7 @@
             fetching: Arc::default(),
             wake: Notify::new(),
             changed: Notify::new(),
-            doubt: Notify::new(),
+            examination_due: Notify::new(),
         })
     }
 
@@ -80,13 +80,13 @@
     }
 
     /// Tells the core and does what follows.
-    pub async fn take(&self, with: impl FnOnce(&mut Core, Duration) -> Outcome) {
+    pub async fn apply(&self, with: impl FnOnce(&mut Core, Duration) -> Outcome) {
         let outcome = self.core(with);
         if outcome.changed {
             self.changed.notify_one();
         }
         if outcome.examine {
-            self.doubt.notify_one();
+            self.examination_due.notify_one();
         }
         self.advance();
         self.send(outcome.parcels).await;
--- a/crates/node/src/cookie/examine.rs
+++ b/crates/node/src/cookie/examine.rs
@@ -126,10 +126,10 @@
         match notice {
             Notice::Unanswered(server) => {
                 if control.core(|core, now| core.unanswered(&server, now)) {
-                    control.doubt.notify_one();
+                    control.examination_due.notify_one();
                 }
             }
-            Notice::Seen(seen) => control.take(|core, now| core.seen(seen, now)).await,
+            Notice::Seen(seen) => control.apply(|core, now| core.seen(seen, now)).await,
         }
     }
     Ok(())
@@ -151,7 +151,9 @@
                 let control = Arc::clone(&control);
                 examinations.spawn(async move {
                     let findings = run(examination).await;
-                    control.take(|core, now| core.examined(findings, now)).await;
+                    control
+                        .apply(|core, now| core.examined(findings, now))
+                        .await;
                 });
             }
             next.map(|at| at.saturating_sub(clock::now()))
@@ -159,7 +161,7 @@
             None
         };
         tokio::select! {
-            () = control.doubt.notified() => {}
+            () = control.examination_due.notified() => {}
             () = time::sleep(next.unwrap_or(IDLE).max(SHORTEST)) => {}
             Some(ended) = examinations.join_next() => note_end(ended),
         }
--- a/crates/node/src/cookie/follow.rs
+++ b/crates/node/src/cookie/follow.rs
@@ -76,7 +76,7 @@
         Ok((items, revision)) => {
             let changes: Vec<Change> = items.iter().filter_map(entry::item).collect();
             control
-                .take(|core, now| core.prime(changes, revision, now))
+                .apply(|core, now| core.prime(changes, revision, now))
                 .await;
         }
         Err(error) => control.core(|core, now| core.failed(&error, now)),
@@ -88,7 +88,7 @@
     let (items, revision) = client.range(&prefix, Consistency::Linearizable).await?;
     let changes: Vec<Change> = items.iter().filter_map(entry::item).collect();
     control
-        .take(|core, now| core.read(changes, revision, sent, now))
+        .apply(|core, now| core.read(changes, revision, sent, now))
         .await;
     Ok(())
 }
@@ -112,7 +112,7 @@
     };
     let fresh = fresh.min(clock::now());
     control
-        .take(|core, now| core.changed(changes, answer.revision, fresh, now))
+        .apply(|core, now| core.changed(changes, answer.revision, fresh, now))
         .await;
     Ok(())
 }
--- a/crates/node/src/cookie/receive.rs
+++ b/crates/node/src/cookie/receive.rs
@@ -75,7 +75,7 @@
     let source = control.core(|core, _| core.source(&message));
     let mut missing = false;
     control
-        .take(|core, now| {
+        .apply(|core, now| {
             let outcome = core.hear(message, now);
             missing = outcome.fetch;
             outcome
@@ -91,7 +91,7 @@
         match exchange::fetch(from, revision).await {
             Ok(difference) => {
                 control
-                    .take(|core, now| core.fetched(difference, &source, now))
+                    .apply(|core, now| core.fetched(difference, &source, now))
                     .await;
             }
             Err(error) => log::info!("event=fetch-failed peer={from} error=\"{error}\""),
