--- a/crates/node/src/cookie/checks.rs
+++ b/crates/node/src/cookie/checks.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Without a check for so long, the routers are lost. They ask twice a second.
-const LOST: Duration = Duration::from_secs(3);
+const LOST_AFTER: Duration = Duration::from_secs(3);
 
 /// When checks came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -32,20 +32,20 @@
     /// use acacia_node::cookie::checks::{Change, Checks};
     /// let second = Duration::from_secs;
     /// let mut checks = Checks::default();
-    /// assert_eq!(checks.came(second(1)), None);
-    /// assert_eq!(checks.look(second(5)), Some(Change::Lost(second(4))));
-    /// assert_eq!(checks.came(second(9)), Some(Change::Regained(second(8))));
+    /// assert_eq!(checks.record(second(1)), None);
+    /// assert_eq!(checks.detect_loss(second(5)), Some(Change::Lost(second(4))));
+    /// assert_eq!(checks.record(second(9)), Some(Change::Regained(second(8))));
     /// ```
-    pub fn came(&mut self, now: Duration) -> Option<Change> {
+    pub fn record(&mut self, now: Duration) -> Option<Change> {
         let silence = now.saturating_sub(self.last.unwrap_or(now));
         self.last = Some(now);
         std::mem::take(&mut self.lost).then_some(Change::Regained(silence))
     }
 
     /// Looks whether the routers are lost; says so once. Before the first check nothing is expected.
-    pub fn look(&mut self, now: Duration) -> Option<Change> {
+    pub fn detect_loss(&mut self, now: Duration) -> Option<Change> {
         let silence = now.saturating_sub(self.last?);
-        let lost = silence >= LOST && !self.lost;
+        let lost = silence >= LOST_AFTER && !self.lost;
         self.lost |= lost;
         lost.then_some(Change::Lost(silence))
     }
--- a/crates/node/src/cookie/control.rs
+++ b/crates/node/src/cookie/control.rs
@@ -106,15 +106,15 @@
 
     /// Answers a router's check.
     pub fn check(&self) -> bool {
-        if let Some(change) = lock(&self.checks).came(clock::now()) {
+        if let Some(change) = lock(&self.checks).record(clock::now()) {
             change.log();
         }
         self.is_ready()
     }
 
     /// Looks whether the routers still ask.
-    pub(super) fn look_for_checks(&self) {
-        if let Some(change) = lock(&self.checks).look(clock::now()) {
+    pub(super) fn detect_lost_routers(&self) {
+        if let Some(change) = lock(&self.checks).detect_loss(clock::now()) {
             change.log();
         }
     }
--- a/crates/node/src/cookie/receive.rs
+++ b/crates/node/src/cookie/receive.rs
@@ -28,7 +28,7 @@
 pub async fn gossip(control: Arc<Control>) -> Result<(), BoxError> {
     loop {
         let (parcels, weighed) = control.core(|core, now| (core.gossip(now), core.judge(now)));
-        control.look_for_checks();
+        control.detect_lost_routers();
         if weighed {
             control.changed.notify_one();
         }
