--- a/crates/node/src/cookie/follow.rs
+++ b/crates/node/src/cookie/follow.rs
@@ -51,7 +51,7 @@
             false => watch(control, client, wait, sent).await,
         };
         let kind = if whole { Call::Range } else { Call::Watch };
-        control.meters.called(kind, done.as_ref().err());
+        control.meters.record_call(kind, done.as_ref().err());
         match done {
             Ok(()) => whole = false,
             Err(Error::HistoryGone) => {
@@ -71,7 +71,7 @@
 async fn prime(control: &Control, client: &Client) {
     let prefix: Arc<str> = entry::PREFIX.into();
     let read = client.range(&prefix, Consistency::Serializable).await;
-    control.meters.called(Call::Range, read.as_ref().err());
+    control.meters.record_call(Call::Range, read.as_ref().err());
     match read {
         Ok((items, revision)) => {
             let changes: Vec<Change> = items.iter().filter_map(entry::item).collect();
--- a/crates/node/src/cookie/meters.rs
+++ b/crates/node/src/cookie/meters.rs
@@ -28,27 +28,27 @@
 
 /// What a time belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Place {
+struct ServerLabels {
     service: String,
     server: String,
 }
 
 /// A call of the store and how it ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct CallLabels {
     call: Call,
     outcome: String,
 }
 
 /// A kind of event.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Event {
+struct KindLabel {
     kind: String,
 }
 
 /// A listener and why it closed connections.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Closed {
+struct ClosedLabels {
     port: String,
     how: String,
 }
@@ -69,14 +69,14 @@
     Histogram::new(exponential_buckets(0.001, 2.0, BUCKETS))
 }
 
-type Times = Family<Place, Histogram, fn() -> Histogram>;
+type Histograms = Family<ServerLabels, Histogram, fn() -> Histogram>;
 
 /// What is measured here and nowhere else.
 #[derive(Debug)]
 pub struct Meters {
-    opening: Times,
-    answer: Times,
-    calls: Family<Ended, Metric>,
+    opening: Histograms,
+    answer: Histograms,
+    calls: Family<CallLabels, Metric>,
     start: Instant,
     ready: OnceLock<Duration>,
 }
@@ -95,25 +95,27 @@
 
 impl Meters {
     /// Takes in a time that packets have shown.
-    pub fn time(&self, timing: &Timing, snapshot: &Snapshot) {
+    pub fn observe(&self, timing: &Timing, snapshot: &Snapshot) {
         let (times, server, took) = match timing {
             Timing::Opening { server, took } => (&self.opening, server, took),
             Timing::Answer { server, took } => (&self.answer, server, took),
         };
         let found = snapshot.server(Cookie::of(server, 0));
-        let place = Place {
+        let labels = ServerLabels {
             service: found.map_or_else(String::new, |server| server.service.to_string()),
             server: server.to_string(),
         };
-        times.get_or_create(&place).observe(took.as_secs_f64());
+        times.get_or_create(&labels).observe(took.as_secs_f64());
     }
 
     /// A call of the store has ended.
-    pub fn called(&self, call: Call, error: Option<&Error>) {
+    pub fn record_call(&self, call: Call, error: Option<&Error>) {
         let outcome = error
             .map_or("answered", |error| error.code().label())
             .to_owned();
-        self.calls.get_or_create(&Ended { call, outcome }).inc();
+        self.calls
+            .get_or_create(&CallLabels { call, outcome })
+            .inc();
     }
 
     /// The balancer has become ready; gives how long after its start.
@@ -210,11 +212,11 @@
     }
 }
 
-fn connections(listeners: &[&Limiter]) -> Family<Closed, Metric<u64, AtomicU64>> {
-    let family = Family::<Closed, Metric<u64, AtomicU64>>::default();
+fn connections(listeners: &[&Limiter]) -> Family<ClosedLabels, Metric<u64, AtomicU64>> {
+    let family = Family::<ClosedLabels, Metric<u64, AtomicU64>>::default();
     for listener in listeners {
         for (name, count) in listener.stats().closed() {
-            let closed = Closed {
+            let closed = ClosedLabels {
                 port: listener.name().to_owned(),
                 how: name.to_owned(),
             };
@@ -224,10 +226,10 @@
     family
 }
 
-fn packets(counter: &Counter) -> Family<Event, Metric<u64, AtomicU64>> {
-    let family = Family::<Event, Metric<u64, AtomicU64>>::default();
+fn packets(counter: &Counter) -> Family<KindLabel, Metric<u64, AtomicU64>> {
+    let family = Family::<KindLabel, Metric<u64, AtomicU64>>::default();
     for (kind, name) in KINDS {
-        let event = Event {
+        let event = KindLabel {
             kind: (*name).to_owned(),
         };
         family.get_or_create(&event).inc_by(counter.of(*kind));
@@ -235,10 +237,10 @@
     family
 }
 
-fn codes(counter: &Counter) -> Family<Event, Metric<u64, AtomicU64>> {
-    let family = Family::<Event, Metric<u64, AtomicU64>>::default();
+fn codes(counter: &Counter) -> Family<KindLabel, Metric<u64, AtomicU64>> {
+    let family = Family::<KindLabel, Metric<u64, AtomicU64>>::default();
     for (code, count) in counter.codes() {
-        let event = Event {
+        let event = KindLabel {
             kind: code.label().to_owned(),
         };
         family.get_or_create(&event).inc_by(count);
--- a/crates/node/src/cookie/traffic.rs
+++ b/crates/node/src/cookie/traffic.rs
@@ -71,7 +71,7 @@
         }
         batch(&mut resolver, &snapshot, context, received, to_send);
         for timing in resolver.take_timings() {
-            context.meters.time(&timing, &snapshot);
+            context.meters.observe(&timing, &snapshot);
             burn::opened(&context.ledger, &timing, &snapshot);
         }
         for notice in resolver.take_notices(clock::now()) {
