--- a/crates/node/src/cookie/answer.rs
+++ b/crates/node/src/cookie/answer.rs
@@ -48,7 +48,7 @@
             pending: PENDING,
             active: DIFFERENCES,
             pending_for: FIRST_REQUEST,
-            active_for: exchange::FETCH,
+            active_for: exchange::FETCH_TIMEOUT,
             stalled: DIFFERENCE_STALLED,
         };
         Limiters {
--- a/crates/node/src/cookie/daemon.rs
+++ b/crates/node/src/cookie/daemon.rs
@@ -159,7 +159,7 @@
     tasks.spawn(receive::receive(own()));
     tasks.spawn(publish::run(own()));
     tasks.spawn(examine::examine_servers(own()));
-    tasks.spawn(examine::take_notices(own(), notices));
+    tasks.spawn(examine::handle_notices(own(), notices));
     tasks.spawn(reload::run(own(), shared.path.clone()));
     tasks.spawn(leave::run(own(), stopper));
     let ended = loop {
--- a/crates/node/src/cookie/examine.rs
+++ b/crates/node/src/cookie/examine.rs
@@ -118,7 +118,7 @@
 ///
 /// # Errors
 /// When a socket or a signal fails.
-pub async fn take_notices(
+pub async fn handle_notices(
     control: Arc<Control>,
     mut notices: mpsc::Receiver<Notice>,
 ) -> Result<(), BoxError> {
--- a/crates/node/src/cookie/exchange.rs
+++ b/crates/node/src/cookie/exchange.rs
@@ -23,14 +23,14 @@
 
 /// How long a peer has to accept a connection. With a round trip of 20 ms and a starved processor,
 /// this is ample; one that is gone keeps nobody waiting for longer.
-const ACCEPT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long it has to give a difference, from the start. It answers from memory, but 3,000 routes take a
 /// link of 2 Mbit/s 350 ms, and three ask for them at a time. With no more time than for the
 /// connection, each transfer was broken off and begun anew, and the new routes were in force nowhere.
-pub const FETCH: Duration = Duration::from_millis(2_000);
+pub const FETCH_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Longest question in bytes, several times a legal one.
-const LONGEST_QUESTION: usize = 1_024;
+const MAX_REQUEST_BYTES: usize = 1_024;
 
 /// What a balancer is asked by its peers.
 #[tarpc::service]
@@ -76,8 +76,8 @@
 /// # Errors
 /// When it does not answer in time.
 pub async fn fetch(address: SocketAddrV4, revision: u64) -> anyhow::Result<Difference> {
-    let deadline = Instant::now() + FETCH;
-    let stream = time::timeout(ACCEPT, TcpStream::connect(address)).await??;
+    let deadline = Instant::now() + FETCH_TIMEOUT;
+    let stream = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     let transport = Transport::from((stream, MessagePack::default()));
     let new = PeerClient::new(client::Config::default(), transport);
     let mut ctx = context::current();
@@ -96,7 +96,7 @@
     let answers = Answers { difference };
     let handle = move |ctx, request| answers.clone().serve().serve(ctx, request);
     let codec = MessagePack::default();
-    server::connection_as(stream, codec, LONGEST_QUESTION, handle, idle).await;
+    server::connection_as(stream, codec, MAX_REQUEST_BYTES, handle, idle).await;
 }
 
 /// The answers as a tarpc service.
--- a/crates/node/src/cookie/rotation.rs
+++ b/crates/node/src/cookie/rotation.rs
@@ -5,7 +5,7 @@
 /// How long packets still come after the routers are told to send none: they ask twice a second
 /// and take a balancer out after two misses, so up to 1 s and the way of the last packets. Without
 /// this wait, what is in flight when a balancer ends is lost with it.
-pub const NOTICE: Duration = Duration::from_millis(1_400);
+pub const DRAIN_TIME: Duration = Duration::from_millis(1_400);
 
 /// Where a balancer stands between its start and its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,14 +39,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_node::cookie::rotation::{NOTICE, Phase};
+    /// use acacia_node::cookie::rotation::{DRAIN_TIME, Phase};
     /// let leaving = Phase::Leaving { since: Duration::from_secs(5) };
-    /// assert_eq!(leaving.end(Duration::from_secs(6)), Some(Duration::from_secs(5) + NOTICE));
+    /// assert_eq!(leaving.end(Duration::from_secs(6)), Some(Duration::from_secs(5) + DRAIN_TIME));
     /// ```
     #[must_use]
     pub fn end(self, grace: Duration) -> Option<Duration> {
         match self {
-            Phase::Leaving { since } => Some(since + NOTICE.min(grace / 2)),
+            Phase::Leaving { since } => Some(since + DRAIN_TIME.min(grace / 2)),
             Phase::Starting | Phase::Serving => None,
         }
     }
