--- a/crates/node/src/cookie/answer.rs
+++ b/crates/node/src/cookie/answer.rs
@@ -1,4 +1,4 @@
-//! What routers, peers and scrapers are answered over TCP.
+//! TCP listeners for routers, peers, scrapers and operators, and their connection limits.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -11,22 +11,27 @@
 use super::{control::Control, exchange, scrape, status};
 use crate::ledger::Ledger;
 
-/// Connections of routers or scrapers that ask. They keep theirs open between two requests.
-const CLIENTS: usize = 64;
-/// How long a router or scraper may go without a request. Who asks more rarely connects anew.
-const CLIENT_IDLE: Duration = Duration::from_secs(10);
-/// After this long without a request, a client makes room for another.
-const CLIENT_STALLED: Duration = Duration::from_secs(2);
-/// Differences that are being sent at a time; each is in memory until it is.
-const DIFFERENCES: usize = 32;
-/// After this long, a difference that a peer doesn't take makes room for another.
-const DIFFERENCE_STALLED: Duration = Duration::from_millis(500);
-/// Connections on which nothing valid has been asked yet, at a time.
-const PENDING: usize = 256;
-/// How long one has to ask something.
-const FIRST_REQUEST: Duration = Duration::from_secs(2);
+/// Maximum number of active connections of routers, and of scrapers. They keep a connection open
+/// between requests.
+const MAX_CLIENTS: usize = 64;
+/// Idle time after which the connection of a router or scraper is closed. A client with longer
+/// intervals between its requests reconnects for each.
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Idle time after which the connection of a router or scraper may be closed in favour of another
+/// one, if [`MAX_CLIENTS`] are active.
+const CLIENT_STALL_TIME: Duration = Duration::from_secs(2);
+/// Maximum number of differences sent to peers at the same time. Each is held in memory until it
+/// has been sent.
+const MAX_DIFFERENCES: usize = 32;
+/// Time after which an unfinished transfer of a difference may be aborted in favour of another one, if
+/// [`MAX_DIFFERENCES`] are under way. Its peer may have stopped reading.
+const DIFFERENCE_STALL_TIME: Duration = Duration::from_millis(500);
+/// Maximum number of connections per listener that have not carried a valid request yet.
+const MAX_PENDING: usize = 256;
+/// Time within which a new connection must carry a valid request.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The limits of the listeners.
+/// The connection limiter of each listener.
 #[derive(Debug)]
 pub struct Limiters {
     routers: Arc<Limiter>,
@@ -38,18 +43,18 @@
 impl Default for Limiters {
     fn default() -> Self {
         let clients = Limits {
-            pending: PENDING,
-            active: CLIENTS,
-            pending_for: FIRST_REQUEST,
-            active_for: CLIENT_IDLE,
-            stalled: CLIENT_STALLED,
+            pending: MAX_PENDING,
+            active: MAX_CLIENTS,
+            pending_for: FIRST_REQUEST_TIMEOUT,
+            active_for: CLIENT_IDLE_TIMEOUT,
+            stalled: CLIENT_STALL_TIME,
         };
         let peers = Limits {
-            pending: PENDING,
-            active: DIFFERENCES,
-            pending_for: FIRST_REQUEST,
+            pending: MAX_PENDING,
+            active: MAX_DIFFERENCES,
+            pending_for: FIRST_REQUEST_TIMEOUT,
             active_for: exchange::FETCH_TIMEOUT,
-            stalled: DIFFERENCE_STALLED,
+            stalled: DIFFERENCE_STALL_TIME,
         };
         Limiters {
             routers: Arc::new(Limiter::new("routers", clients)),
@@ -61,16 +66,16 @@
 }
 
 impl Limiters {
-    /// All of them.
+    /// Returns all limiters, for the metrics.
     pub fn all(&self) -> [&Limiter; 4] {
         [&self.routers, &self.peers, &self.scrapers, &self.operators]
     }
 }
 
-/// Answers the routers' checks until told to stop.
+/// Answers the routers' readiness checks until `stop` is cancelled.
 ///
 /// # Errors
-/// None; it has the form of the other tasks.
+/// Never; the result type is that of the other tasks.
 pub async fn routers(
     control: Arc<Control>,
     listener: TcpListener,
@@ -89,10 +94,10 @@
     Ok(())
 }
 
-/// Answers peers until told to stop.
+/// Answers peers' requests for differences until `stop` is cancelled.
 ///
 /// # Errors
-/// None; it has the form of the other tasks.
+/// Never; the result type is that of the other tasks.
 pub async fn peers(
     control: Arc<Control>,
     listener: TcpListener,
@@ -101,9 +106,9 @@
     let limiter = Arc::clone(&control.limiters.peers);
     listen(listener, stop, limiter, |stream, slot| {
         let control = Arc::clone(&control);
-        let asked = Arc::clone(&slot);
+        let peer_slot = Arc::clone(&slot);
         let difference = move |revision| {
-            asked.activate();
+            peer_slot.activate();
             control.core(|core, now| core.difference(revision, now))
         };
         exchange::serve(stream, difference, move || slot.finish())
@@ -112,10 +117,10 @@
     Ok(())
 }
 
-/// Answers scrapers until told to stop.
+/// Serves metrics to scrapers until `stop` is cancelled.
 ///
 /// # Errors
-/// None; it has the form of the other tasks.
+/// Never; the result type is that of the other tasks.
 pub async fn scrapes(
     control: Arc<Control>,
     listener: TcpListener,
@@ -134,11 +139,12 @@
     Ok(())
 }
 
-/// Answers operators at `address` until told to stop. There is no document to show: the operators
-/// write the configuration to the platform themselves, in its form.
+/// Answers operators at `address` until `stop` is cancelled. There is no configuration document to
+/// return: operators write the configuration to the platform's store themselves, in the platform's
+/// format.
 ///
 /// # Errors
-/// None; it has the form of the other tasks.
+/// Never; the result type is that of the other tasks.
 pub async fn operators(
     control: Arc<Control>,
     ledger: Arc<Ledger>,
