--- a/crates/node/src/cookie/burn.rs
+++ b/crates/node/src/cookie/burn.rs
@@ -1,6 +1,6 @@
-//! How flows ended, for the report on service-level burn.
+//! Counts the outcomes of flows by service, for the report on service-level burn.
 //!
-//! The platform's configuration marks nobody as trial, so all count as paying.
+//! The platform's configuration doesn't mark callers as on trial, so all flows count as paying.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,15 +11,16 @@
 
 use crate::ledger::Ledger;
 
-/// An opening that took longer needed a second copy of the caller's packet, which comes after 200 ms.
-const SLOW: Duration = Duration::from_millis(200);
+/// Opening time from which a flow counts as slow: its opening packet was retransmitted, which callers
+/// do after 200 ms.
+const SLOW_OPENING: Duration = Duration::from_millis(200);
 
-/// A flow has opened.
-pub fn opened(ledger: &Ledger, timing: &Timing, snapshot: &Snapshot) {
+/// Counts a flow that was opened. Other timings are ignored.
+pub fn count_opened(ledger: &Ledger, timing: &Timing, snapshot: &Snapshot) {
     let Timing::Opening { server, took } = timing else {
         return;
     };
-    let slow = u64::from(*took >= SLOW);
+    let slow = u64::from(*took >= SLOW_OPENING);
     let count = Count {
         good: 1 - slow,
         slow,
@@ -28,8 +29,8 @@
     add(ledger, server, count, snapshot);
 }
 
-/// A flow was ended as its server is lost.
-pub fn ended(ledger: &Ledger, ended: &Reset, snapshot: &Snapshot) {
+/// Counts a flow that was ended because its server is gone.
+pub fn count_ended(ledger: &Ledger, ended: &Reset, snapshot: &Snapshot) {
     let count = Count {
         broken: 1,
         ..Count::default()
@@ -37,8 +38,8 @@
     add(ledger, &ended.server, count, snapshot);
 }
 
-/// An opening was refused as no server takes it.
-pub fn refused(ledger: &Ledger, key: &Key, snapshot: &Snapshot) {
+/// Counts an opening that was refused because no server can accept it.
+pub fn count_refused(ledger: &Ledger, key: &Key, snapshot: &Snapshot) {
     let front = Front {
         address: key.service,
         port: key.service_port,
--- a/crates/node/src/cookie/traffic.rs
+++ b/crates/node/src/cookie/traffic.rs
@@ -1,4 +1,4 @@
-//! What a traffic thread does with packets that carry a cookie.
+//! The work of a traffic thread: resolves packets that carry a cookie and forwards them.
 
 use std::{
     net::{SocketAddrV4, UdpSocket},
@@ -28,54 +28,54 @@
     },
 };
 
-/// The latest routes and servers; none until they are known.
+/// The latest snapshot of routes and servers; `None` until they are known.
 pub type Published = Arc<ArcSwapOption<Snapshot>>;
 
-/// What a traffic thread shares with the rest of the process.
+/// State that a traffic thread shares with the rest of the process.
 #[derive(Debug, Clone)]
 pub struct Context {
-    /// Routes and servers.
+    /// The latest snapshot of routes and servers.
     pub published: Published,
-    /// Counts.
+    /// Counts of packets and events.
     pub counter: Arc<Counter>,
-    /// The port at which callers take packets.
+    /// UDP port on which callers receive packets.
     pub port: u16,
-    /// What the control thread is told.
+    /// Notices to the control thread.
     pub notices: mpsc::Sender<Notice>,
-    /// Histograms of what packets show.
+    /// Response times measured on flows.
     pub meters: Arc<Meters>,
-    /// How flows ended, for the report on service-level burn.
+    /// Outcomes of flows, for the report on service-level burn.
     pub ledger: Arc<Ledger>,
 }
 
-/// Resolves and passes on packets until `stop` is raised.
+/// Receives, resolves and forwards packets until `stop` is set.
 ///
 /// # Errors
-/// When the socket fails.
+/// If the socket fails.
 pub fn run(socket: &UdpSocket, context: &Context, stop: &AtomicBool) -> std::io::Result<()> {
     let mut resolver = Resolver::default();
-    let mut before: Option<Arc<Snapshot>> = None;
+    let mut last_snapshot: Option<Arc<Snapshot>> = None;
     worker::repeat(socket, &context.counter, stop, |received, to_send| {
         let Some(snapshot) = context.published.load_full() else {
             return;
         };
-        if before
+        if last_snapshot
             .as_ref()
-            .is_none_or(|before| !Arc::ptr_eq(before, &snapshot))
+            .is_none_or(|last_snapshot| !Arc::ptr_eq(last_snapshot, &snapshot))
         {
             for ended in resolver.end_flows_of_gone_servers(&snapshot) {
-                end(&ended, &snapshot, context, to_send);
+                end_flow(&ended, &snapshot, context, to_send);
             }
             resolver.retain_known(&snapshot);
-            before = Some(Arc::clone(&snapshot));
+            last_snapshot = Some(Arc::clone(&snapshot));
         }
-        batch(&mut resolver, &snapshot, context, received, to_send);
+        process_batch(&mut resolver, &snapshot, context, received, to_send);
         for timing in resolver.take_timings() {
             context.meters.observe(&timing, &snapshot);
-            burn::opened(&context.ledger, &timing, &snapshot);
+            burn::count_opened(&context.ledger, &timing, &snapshot);
         }
         for notice in resolver.take_notices(clock::now()) {
-            // A full queue loses the notice; the next copy of the packet makes another.
+            // If the queue is full, the notice is lost; the next retransmission of the packet creates another.
             if context.notices.try_send(notice).is_err() {
                 context.counter.kind(Kind::Untold, 1);
             }
@@ -83,7 +83,8 @@
     })
 }
 
-fn batch(
+/// Resolves a batch of received packets and carries out the decisions.
+fn process_batch(
     resolver: &mut Resolver,
     snapshot: &Snapshot,
     context: &Context,
@@ -97,7 +98,7 @@
         let frame = match packet::decode(bytes) {
             Ok(frame) => frame,
             Err(error) => {
-                context.counter.code(code(error));
+                context.counter.code(packet_code(error));
                 continue;
             }
         };
@@ -121,7 +122,7 @@
             let opens = matches!(frame.packet.kind, PacketKind::Opening { .. });
             let written = opens.then_some(cookie.bits());
             if opens {
-                opened(frame, server, cookie, snapshot);
+                log_opened(frame, server, cookie, snapshot);
             }
             context.counter.kind(Kind::Forwarded, 1);
             to_send.build(server.address, |out| {
@@ -130,7 +131,7 @@
         }
         Action::Reset { code } => {
             let cookie = frame.cookie;
-            say(
+            log_decision(
                 "flow-reset",
                 &frame.packet.key,
                 snapshot,
@@ -139,9 +140,9 @@
             context.counter.kind(Kind::Refused, 1);
             context.counter.code(code);
             if code == Code::ServerNone {
-                burn::refused(&context.ledger, &frame.packet.key, snapshot);
+                burn::count_refused(&context.ledger, &frame.packet.key, snapshot);
             }
-            reset(
+            send_reset(
                 &frame.packet.key,
                 frame.packet.acknowledgement,
                 context,
@@ -149,16 +150,16 @@
             );
         }
         Action::Refuse { refusal } => {
-            refused(frame, &refusal, snapshot);
+            log_refused(frame, &refusal, snapshot);
             context.counter.kind(Kind::Refused, 1);
             context.counter.code(refusal.code);
-            burn::refused(&context.ledger, &frame.packet.key, snapshot);
+            burn::count_refused(&context.ledger, &frame.packet.key, snapshot);
             let acknowledged = frame.packet.acknowledgement;
-            reset(&frame.packet.key, acknowledged, context, to_send);
+            send_reset(&frame.packet.key, acknowledged, context, to_send);
         }
         Action::Drop { code } => {
             let cookie = frame.cookie;
-            say(
+            log_decision(
                 "packet-dropped",
                 &frame.packet.key,
                 snapshot,
@@ -169,30 +170,30 @@
     }
 }
 
-/// Tells of an opening that was sent on. A caller's complaint leads here by the caller's address and
-/// port, and from here by the cookie to all that happened to the flow's server.
-fn opened(frame: &Frame, server: &Server, cookie: Cookie, snapshot: &Snapshot) {
+/// Logs an opening packet that was forwarded. If a caller reports a problem, its address and port lead to
+/// this line, and the cookie in it leads to all events of the flow's server.
+fn log_opened(frame: &Frame, server: &Server, cookie: Cookie, snapshot: &Snapshot) {
     let (id, bits, copies) = (&server.id, cookie.bits(), frame.copies);
-    let what = format_args!("server={id} cookie={bits:08x} copies={copies}");
-    say("flow-opened", &frame.packet.key, snapshot, what);
+    let details = format_args!("server={id} cookie={bits:08x} copies={copies}");
+    log_decision("flow-opened", &frame.packet.key, snapshot, details);
 }
 
-/// Tells of an opening that was refused under load, and by what.
-fn refused(frame: &Frame, refusal: &Refusal, snapshot: &Snapshot) {
+/// Logs an opening that was refused under load, with the estimates that led to the decision.
+fn log_refused(frame: &Frame, refusal: &Refusal, snapshot: &Snapshot) {
     let (code, server) = (refusal.code, &snapshot.servers[refusal.server as usize]);
     let (expected, limit) = (refusal.expected.as_millis(), refusal.limit.as_millis());
     let (id, copies) = (&server.id, frame.copies);
-    let what = format_args!(
+    let details = format_args!(
         "code={code} first={id} expected_ms={expected} limit_ms={limit} copies={copies}"
     );
-    say("flow-refused", &frame.packet.key, snapshot, what);
+    log_decision("flow-refused", &frame.packet.key, snapshot, details);
 }
 
-/// Tells the caller of a lost server that its flow has ended.
-fn end(ended: &Reset, snapshot: &Snapshot, context: &Context, to_send: &mut ToSend) {
+/// Resets the flow of a server that is gone towards its caller, and logs and counts it.
+fn end_flow(ended: &Reset, snapshot: &Snapshot, context: &Context, to_send: &mut ToSend) {
     let (code, server) = (Code::FlowServerGone, &ended.server);
-    burn::ended(&context.ledger, ended, snapshot);
-    say(
+    burn::count_ended(&context.ledger, ended, snapshot);
+    log_decision(
         "flow-ended",
         &ended.key,
         snapshot,
@@ -200,14 +201,14 @@
     );
     context.counter.kind(Kind::Ended, 1);
     context.counter.code(code);
-    reset(&ended.key, ended.acknowledged, context, to_send);
+    send_reset(&ended.key, ended.acknowledged, context, to_send);
 }
 
-/// A line on a decision: the flow, what was decided, and the age of what it rests on.
-fn say(event: &str, key: &Key, snapshot: &Snapshot, what: std::fmt::Arguments<'_>) {
+/// Logs a decision on a flow, with the version and revision of the snapshot that it is based on.
+fn log_decision(event: &str, key: &Key, snapshot: &Snapshot, details: std::fmt::Arguments<'_>) {
     let (version, revision) = (snapshot.version, snapshot.revision);
     log::info!(
-        "event={event} caller={}:{} to={}:{} {what} version={version} revision={revision}",
+        "event={event} caller={}:{} to={}:{} {details} version={version} revision={revision}",
         key.client,
         key.client_port,
         key.service,
@@ -215,11 +216,12 @@
     );
 }
 
-fn reset(key: &Key, acknowledged: u32, context: &Context, to_send: &mut ToSend) {
+/// Sends a reset of the flow to its caller.
+fn send_reset(key: &Key, acknowledged: u32, context: &Context, to_send: &mut ToSend) {
     let caller = SocketAddrV4::new(key.client, context.port);
     to_send.build(caller, |out| out.extend(packet::reset(key, acknowledged)));
 }
 
-fn code(error: Error) -> Code {
+fn packet_code(error: Error) -> Code {
     worker::packet_code(error)
 }
