--- a/crates/node/src/cookie/checks.rs
+++ b/crates/node/src/cookie/checks.rs
@@ -1,31 +1,31 @@
-//! Whether the routers still ask if this balancer is ready.
+//! Detects that the routers no longer check whether this balancer is ready.
 //!
-//! What goes wrong: a router, or the line to it, is lost, and callers' packets stop coming. Without
-//! a line in the log, a balancer without traffic looks like one that nobody needs.
+//! If a router or the link to it fails, callers' packets stop arriving. Without a log line, the
+//! balancer could not be told from one that has no callers.
 
 use std::time::Duration;
 
-/// Without a check for so long, the routers are lost. They ask twice a second.
+/// Time without a check after which the routers are considered lost. They check twice a second.
 const LOST_AFTER: Duration = Duration::from_secs(3);
 
-/// When checks came.
+/// When the last check arrived, and whether the routers are considered lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Checks {
     last: Option<Duration>,
     lost: bool,
 }
 
-/// A change worth a line.
+/// A change to be logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// No check has come for so long.
+    /// No check has arrived for this long.
     Lost(Duration),
-    /// A check came after a silence of so long.
+    /// A check arrived after this long without one.
     Regained(Duration),
 }
 
 impl Checks {
-    /// A check has come.
+    /// Records a check that arrived at `now`. Returns a change if the routers were considered lost.
     ///
     /// ```
     /// use std::time::Duration;
@@ -42,7 +42,7 @@
         std::mem::take(&mut self.lost).then_some(Change::Regained(silence))
     }
 
-    /// Looks whether the routers are lost; says so once. Before the first check nothing is expected.
+    /// Returns a change once when the routers have become lost. Before the first check, none is expected.
     pub fn detect_loss(&mut self, now: Duration) -> Option<Change> {
         let silence = now.saturating_sub(self.last?);
         let lost = silence >= LOST_AFTER && !self.lost;
@@ -52,7 +52,7 @@
 }
 
 impl Change {
-    /// Writes the line.
+    /// Logs the change.
     pub fn log(self) {
         match self {
             Change::Lost(silence) => {
