--- a/crates/node/src/cookie/control.rs
+++ b/crates/node/src/cookie/control.rs
@@ -1,4 +1,4 @@
-//! The control thread's state, shared by its tasks.
+//! State shared by the tasks of the control thread.
 
 use std::{
     net::UdpSocket,
@@ -22,7 +22,7 @@
 };
 use crate::{clock, counter::Counter};
 
-/// What the tasks of the control thread share.
+/// State shared by the tasks of the control thread.
 pub struct Control {
     core: Mutex<Core>,
     pub(super) phase: Mutex<Phase>,
@@ -35,19 +35,19 @@
     pub meters: Arc<Meters>,
     pub(super) limiters: Limiters,
     pub(super) fetching: Arc<AtomicBool>,
-    /// Wakes the task that follows the store.
+    /// Wakes the task that reads and watches the store.
     pub wake: Notify,
-    /// Wakes the task that publishes.
+    /// Wakes the task that publishes snapshots to the traffic threads.
     pub(super) changed: Notify,
-    /// Wakes the task that probes.
+    /// Wakes the task that examines servers.
     pub(super) examination_due: Notify,
 }
 
 impl Control {
-    /// The state of a balancer that has just started.
+    /// Creates the state of a balancer that has just started, and binds its control socket.
     ///
     /// # Errors
-    /// When its control address is taken.
+    /// If the control address can't be bound.
     pub fn new(
         settings: Settings,
         published: Published,
@@ -74,12 +74,13 @@
         })
     }
 
-    /// Asks or tells the core.
+    /// Calls `with` on the locked core, with the current time.
     pub fn core<T>(&self, with: impl FnOnce(&mut Core, Duration) -> T) -> T {
         with(&mut lock(&self.core), clock::now())
     }
 
-    /// Tells the core and does what follows.
+    /// Calls `with` on the core and carries out the outcome: wakes the tasks concerned and sends the
+    /// messages.
     pub async fn apply(&self, with: impl FnOnce(&mut Core, Duration) -> Outcome) {
         let outcome = self.core(with);
         if outcome.changed {
@@ -88,23 +89,23 @@
         if outcome.examine {
             self.examination_due.notify_one();
         }
-        self.advance();
+        self.advance_phase();
         self.send(outcome.parcels).await;
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the exposition format.
     pub fn text(&self) -> String {
         let standing = self.core(|core, now| core.standing(now));
         let listeners = self.limiters.all();
         self.meters.text(&self.counter, &standing, &listeners)
     }
 
-    /// Whether the routers should send packets here.
+    /// Whether the routers should send packets to this balancer.
     pub fn is_ready(&self) -> bool {
         lock(&self.phase).is_ready() && !lock(&self.core).is_isolated()
     }
 
-    /// Answers a router's check.
+    /// Records a router's check and returns whether this balancer is ready.
     pub fn check(&self) -> bool {
         if let Some(change) = lock(&self.checks).record(clock::now()) {
             change.log();
@@ -112,7 +113,7 @@
         self.is_ready()
     }
 
-    /// Looks whether the routers still ask.
+    /// Logs if the routers have stopped checking this balancer.
     pub(super) fn detect_lost_routers(&self) {
         if let Some(change) = lock(&self.checks).detect_loss(clock::now()) {
             change.log();
@@ -128,8 +129,8 @@
         exchange::send(&self.socket, parcels, &secret).await;
     }
 
-    /// Takes its place in rotation once it knows enough.
-    fn advance(&self) {
+    /// Enters the serving phase once the core knows enough to serve.
+    fn advance_phase(&self) {
         let mut phase = lock(&self.phase);
         let core = lock(&self.core);
         if *phase == Phase::Starting && core.is_informed() {
@@ -146,7 +147,8 @@
     }
 }
 
-/// A poisoned lock is taken as it is: each change under it is a single step.
+/// Locks `mutex` even if it is poisoned: each change under it is a single step, so a panic leaves no
+/// change half done.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
