--- a/crates/node/src/cookie/daemon.rs
+++ b/crates/node/src/cookie/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the services of the process together, and ends them in order.
+//! Starts the services of the process and stops them in order.
 
 use std::{
     path::PathBuf,
@@ -29,11 +29,12 @@
 };
 use crate::{counter::Counter, daemon, journal, ledger::Ledger};
 
-/// Notices of the traffic threads that wait. One a server and 100 ms is made, so this is room for a
-/// second of a whole fleet of servers; one that is lost is made again.
-const NOTICES: usize = 1_024;
+/// Capacity of the queue of notices from the traffic threads. One notice is created per server every
+/// 100 ms, so the queue holds those of a whole fleet of servers for a second. A notice that is lost
+/// is created again later.
+const NOTICE_QUEUE_CAPACITY: usize = 1_024;
 
-/// What the services of the process share.
+/// State shared by the services of the process.
 struct Shared {
     settings: Settings,
     path: PathBuf,
@@ -43,11 +44,11 @@
     ledger: Arc<Ledger>,
 }
 
-/// Runs the balancer until it is asked to end or a service of it dies. The settings are read again
-/// from `path` whenever they change.
+/// Runs the balancer until it is asked to stop or one of its services fails. The settings are
+/// reloaded from `path` when the file changes.
 ///
 /// # Errors
-/// When a service can't start.
+/// If a service can't start.
 pub fn run(settings: Settings, path: PathBuf) -> anyhow::Result<Code> {
     let _journal = journal::start(settings.log)?;
     log::info!(
@@ -56,7 +57,9 @@
         settings.traffic,
         settings.control
     );
-    // Counts are told apart by balancer and start; addresses are unique, numbers are not given.
+    // The ledger's counts are identified by balancer and start time. These balancers have no configured
+    // number, so the id is a hash of the advertised address, which is
+    // unique.
     let id = acacia_cookie::cookie::hash(&settings.advertised.to_string()) as u16;
     let shared = Arc::new(Shared {
         settings,
@@ -66,14 +69,14 @@
         meters: Arc::default(),
         ledger: Arc::new(Ledger::new(id)),
     });
-    let (hand, stopper) = oneshot::channel();
-    let (sender, notices) = mpsc::channel(NOTICES);
+    let (stopper_sender, stopper) = oneshot::channel();
+    let (sender, notices) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
     let mut registry = Registry::default();
     registry.add(traffic_service(Arc::clone(&shared), sender));
     registry.add(control_service(Arc::clone(&shared), stopper, notices));
     let kernel = registry.start()?;
-    // Refused only if the control thread has died, which the kernel then tells.
-    let _ = hand.send(kernel.stopper());
+    // Fails only if the control thread has died, which the kernel reports.
+    let _ = stopper_sender.send(kernel.stopper());
     let outcome = kernel.wait();
     let counts = shared.counter.line();
     log::info!("event=ended name={} {counts}", shared.settings.name);
@@ -111,7 +114,7 @@
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()?;
-            // The client's futures stay on this thread: nothing here gains from others.
+            // The store client's futures stay on this thread: more threads would gain nothing.
             LocalSet::new().block_on(&runtime, serve(&shared, stopper, notices, token))
         })?;
         context.on_stop(move || stop.cancel());
@@ -119,7 +122,7 @@
     })
 }
 
-/// The control thread: until it is stopped, or one of its tasks fails.
+/// Runs the tasks of the control thread until `stop` is cancelled or one of them fails.
 async fn serve(
     shared: &Shared,
     stopper: oneshot::Receiver<Stopper>,
@@ -133,35 +136,35 @@
         Arc::clone(&shared.counter),
         Arc::clone(&shared.meters),
     )?);
-    let own = || Arc::clone(&control);
+    let shared_control = || Arc::clone(&control);
     let mut tasks: JoinSet<Result<(), BoxError>> = JoinSet::new();
     let routers = TcpListener::bind(settings.ready).await?;
-    tasks.spawn(answer::routers(own(), routers, stop.clone()));
+    tasks.spawn(answer::routers(shared_control(), routers, stop.clone()));
     let peers = TcpListener::bind(settings.control).await?;
-    tasks.spawn(answer::peers(own(), peers, stop.clone()));
+    tasks.spawn(answer::peers(shared_control(), peers, stop.clone()));
     if let Some(address) = settings.metrics {
         let scrapers = TcpListener::bind(address).await?;
-        tasks.spawn(answer::scrapes(own(), scrapers, stop.clone()));
+        tasks.spawn(answer::scrapes(shared_control(), scrapers, stop.clone()));
     }
     if let Some(address) = settings.admin {
         let operators = TcpListener::bind(address).await?;
         let ledger = Arc::clone(&shared.ledger);
         tasks.spawn(answer::operators(
-            own(),
+            shared_control(),
             ledger,
             address,
             operators,
             stop.clone(),
         ));
     }
-    tasks.spawn_local(follow::run(own(), settings.platform));
-    tasks.spawn(receive::gossip(own()));
-    tasks.spawn(receive::receive(own()));
-    tasks.spawn(publish::run(own()));
-    tasks.spawn(examine::examine_servers(own()));
-    tasks.spawn(examine::handle_notices(own(), notices));
-    tasks.spawn(reload::run(own(), shared.path.clone()));
-    tasks.spawn(leave::run(own(), stopper));
+    tasks.spawn_local(follow::run(shared_control(), settings.platform));
+    tasks.spawn(receive::gossip(shared_control()));
+    tasks.spawn(receive::receive(shared_control()));
+    tasks.spawn(publish::run(shared_control()));
+    tasks.spawn(examine::examine_servers(shared_control()));
+    tasks.spawn(examine::handle_notices(shared_control(), notices));
+    tasks.spawn(reload::run(shared_control(), shared.path.clone()));
+    tasks.spawn(leave::run(shared_control(), stopper));
     let ended = loop {
         tokio::select! {
             () = stop.cancelled() => break Ok(()),
