--- a/crates/node/src/cookie/examine.rs
+++ b/crates/node/src/cookie/examine.rs
@@ -1,4 +1,4 @@
-//! Examination of servers under suspicion.
+//! Examines suspected servers by probing them.
 
 use std::{io::ErrorKind, net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -21,30 +21,30 @@
 };
 use crate::clock;
 
-/// Between two looks for servers to examine where none is due.
-const IDLE: Duration = Duration::from_millis(500);
-/// Least wait between two looks for servers to examine, against a busy loop.
-const SHORTEST: Duration = Duration::from_millis(1);
-/// Examinations at a time, of up to [`MAX_EXAMINED`](acacia_cookie::silence::MAX_EXAMINED) servers
-/// each: with at most six probes a server and four of the control under way, 1,552 descriptors, half
-/// of what a small VM has.
-const EXAMINATIONS: usize = 4;
+/// Interval at which the core is asked for servers to examine if none is due.
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum delay before the core is asked again, which prevents a busy loop.
+const MIN_INTERVAL: Duration = Duration::from_millis(1);
+/// Maximum number of concurrent examinations, each of up to
+/// [`MAX_EXAMINED`](acacia_cookie::silence::MAX_EXAMINED) servers. With at most six probes per server
+/// and four of the control in flight, they use 1,552 file descriptors, half of what a small VM has.
+const MAX_EXAMINATIONS: usize = 4;
 
-/// Examines servers together and gives what was found of each.
+/// Examines suspected servers together, probes silent ones, and returns the findings.
 pub async fn run(examination: Examination) -> Vec<(Arc<str>, Finding)> {
     let Examination {
         targets,
         silent,
         control,
     } = examination;
-    let (mut findings, back) = tokio::join!(examine(targets, control), probe_again(silent));
-    findings.extend(back);
+    let (mut findings, returned) = tokio::join!(examine(targets, control), probe_silent(silent));
+    findings.extend(returned);
     findings
 }
 
-/// Probes silent servers once each; gives those that answer. Without an answer they stay silent, and
-/// nothing is to be controlled.
-async fn probe_again(silent: Vec<Target>) -> Vec<(Arc<str>, Finding)> {
+/// Probes each silent server once and returns those that answer. The others stay silent, so no control
+/// is needed.
+async fn probe_silent(silent: Vec<Target>) -> Vec<(Arc<str>, Finding)> {
     let mut probes = JoinSet::new();
     for Target { server, address } in silent {
         probes.spawn(async move { (server, probe::reach(address, WAIT).await.is_ok()) });
@@ -58,7 +58,7 @@
 async fn examine(targets: Vec<Target>, control: Option<SocketAddrV4>) -> Vec<(Arc<str>, Finding)> {
     let begun = clock::now();
     let mut sequence = Sequence::new(targets.len(), control.is_some(), begun);
-    // Probes that the outcome no longer waits for end with this set.
+    // Dropping this set aborts probes that can't change the findings any more.
     let mut probes = JoinSet::new();
     while !sequence.is_over() {
         for probe in sequence.due(clock::now()) {
@@ -66,7 +66,7 @@
                 Probe::Server(index) => Some(targets[index].address),
                 Probe::Control => control,
             };
-            probes.spawn(async move { (probe, ask(address).await) });
+            probes.spawn(async move { (probe, probe_address(address).await) });
         }
         let next = sequence
             .next_due()
@@ -76,7 +76,7 @@
             Some(joined) = probes.join_next() => match joined {
                 Ok((probe, answer)) => sequence.record(probe, answer),
                 Err(error) => {
-                    // Without this probe's end the sequence would wait for ever.
+                    // Without a result of this probe, the sequence would never be over.
                     log::error!("event=examination-failed error=\"{error}\"");
                     break;
                 }
@@ -84,14 +84,14 @@
         }
     }
     let findings = sequence.findings();
-    log_doubtful(&findings, clock::now().saturating_sub(begun));
+    log_unless_all_answered(&findings, clock::now().saturating_sub(begun));
     let servers = targets.into_iter().map(|target| target.server);
     servers.zip(findings).collect()
 }
 
-/// Tells of an examination that did not find all servers alive: with it goes the question, after a
-/// verdict, whether others were in doubt at the same time.
-fn log_doubtful(findings: &[Finding], took: Duration) {
+/// Logs an examination in which not all servers answered. The line shows whether other servers were
+/// in doubt at the time of a verdict.
+fn log_unless_all_answered(findings: &[Finding], took: Duration) {
     let count = |wanted: Finding| findings.iter().filter(|found| **found == wanted).count();
     let (silent, unknown) = (count(Finding::Silent), count(Finding::Unknown));
     if silent + unknown > 0 {
@@ -102,8 +102,8 @@
     }
 }
 
-/// How a probe of `address` ends.
-async fn ask(address: Option<SocketAddrV4>) -> Answer {
+/// Probes `address` and returns the result.
+async fn probe_address(address: Option<SocketAddrV4>) -> Answer {
     let Some(address) = address else {
         return Answer::Missing;
     };
@@ -114,10 +114,10 @@
     }
 }
 
-/// Tells the core what the traffic threads have noticed and counted.
+/// Passes the traffic threads' notices to the core.
 ///
 /// # Errors
-/// When a socket or a signal fails.
+/// Never; the result type is that of the other tasks.
 pub async fn handle_notices(
     control: Arc<Control>,
     mut notices: mpsc::Receiver<Notice>,
@@ -135,17 +135,17 @@
     Ok(())
 }
 
-/// Examines servers under suspicion, and silent ones until they are back.
+/// Examines suspected servers, and probes silent ones until they answer again.
 ///
 /// # Errors
-/// When a socket or a signal fails.
+/// Never; the result type is that of the other tasks.
 pub async fn examine_servers(control: Arc<Control>) -> Result<(), BoxError> {
     let mut examinations = JoinSet::new();
     loop {
         while let Some(ended) = examinations.try_join_next() {
-            note_end(ended);
+            log_panic(ended);
         }
-        let next = if examinations.len() < EXAMINATIONS {
+        let next = if examinations.len() < MAX_EXAMINATIONS {
             let (examination, next) = control.core(Core::examination);
             if !examination.is_empty() {
                 let control = Arc::clone(&control);
@@ -162,14 +162,14 @@
         };
         tokio::select! {
             () = control.examination_due.notified() => {}
-            () = time::sleep(next.unwrap_or(IDLE).max(SHORTEST)) => {}
-            Some(ended) = examinations.join_next() => note_end(ended),
+            () = time::sleep(next.unwrap_or(IDLE_INTERVAL).max(MIN_INTERVAL)) => {}
+            Some(ended) = examinations.join_next() => log_panic(ended),
         }
     }
 }
 
-/// The servers of an examination without an end may be suspected again after a while.
-fn note_end(ended: Result<(), JoinError>) {
+/// Logs an examination that panicked. Its servers can be suspected again after a timeout.
+fn log_panic(ended: Result<(), JoinError>) {
     if let Err(error) = ended {
         log::error!("event=examination-panicked error=\"{error}\"");
     }
