--- a/crates/node/src/cookie/exchange.rs
+++ b/crates/node/src/cookie/exchange.rs
@@ -1,12 +1,13 @@
-//! Messages between balancers: news and gossip by UDP, whole differences by TCP.
+//! Messages between balancers: changes and gossip over UDP, complete differences over TCP.
 //!
-//! Datagrams rather than lasting connections: one that is lost is made good by the next within a
-//! second, none can go silent for good, and a balancer that has just started is answered at once,
-//! where a connection would wait for its next attempt. Differences are fetched over a connection
-//! of their own that ends with the answer, for the same reason.
+//! Gossip uses datagrams instead of long-lived connections. A lost datagram is made up for by the next
+//! one within a second, there is no connection that could fail unnoticed, and a balancer that has just
+//! started is answered at once, where a connection would wait for the next attempt to open it. For the
+//! same reason, each difference is fetched over a connection of its own, which is closed after the
+//! answer.
 //!
-//! Differences travel as MessagePack, without the names of fields. As JSON, thousands of new routes are
-//! four times as long, and callers' packets wait behind them on small links.
+//! Differences are encoded as MessagePack without field names. As JSON, thousands of new routes are four
+//! times as long, and callers' packets are queued behind them on slow links.
 
 use std::{io, net::SocketAddrV4, time::Duration};
 
@@ -21,29 +22,30 @@
 
 use super::message::{Difference, Message, Parcel};
 
-/// How long a peer has to accept a connection. With a round trip of 20 ms and a starved processor,
-/// this is ample; one that is gone keeps nobody waiting for longer.
+/// Timeout for a connection to a peer. It is ample for a round trip of 20 ms and a peer that is short of
+/// processor time, and it limits the delay caused by a peer that is gone.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long it has to give a difference, from the start. It answers from memory, but 3,000 routes take a
-/// link of 2 Mbit/s 350 ms, and three ask for them at a time. With no more time than for the
-/// connection, each transfer was broken off and begun anew, and the new routes were in force nowhere.
+/// Timeout for a whole fetch, including the connection. A peer answers from memory, but 3,000 routes
+/// take 350 ms over a link of 2 Mbit/s, and three peers fetch them at the same time. With a timeout as
+/// short as that of the connection, every transfer was aborted and restarted, and the new routes came
+/// into force on no balancer.
 pub const FETCH_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Longest question in bytes, several times a legal one.
+/// Maximum length of a request in bytes, several times that of a valid one.
 const MAX_REQUEST_BYTES: usize = 1_024;
 
-/// What a balancer is asked by its peers.
+/// RPC interface between balancers.
 #[tarpc::service]
 pub trait Peer {
-    /// All that changed after a revision.
+    /// Returns all changes after a revision.
     async fn difference(revision: u64) -> Difference;
 }
 
-/// Sends parcels. One that can't be sent is lost, as any datagram may be.
+/// Sends parcels to their receivers. One that can't be sent is lost, as any datagram may be.
 pub async fn send(socket: &UdpSocket, parcels: Vec<Parcel>, secret: &Secret) {
     for Parcel { to, message } in parcels.into_iter().filter(|parcel| !parcel.to.is_empty()) {
         let envelope = Envelope {
-            // Addresses tell these balancers apart, not numbers.
+            // These balancers are identified by address, not by number.
             sender: 0,
             incarnation: message.from.incarnation,
             sequence: message.from.beat,
@@ -57,10 +59,11 @@
     }
 }
 
-/// Takes the next message.
+/// Receives a datagram and decodes its message. The inner result is an error if the datagram is not a
+/// valid message.
 ///
 /// # Errors
-/// When the socket fails. A datagram that is no message gives nothing.
+/// If the socket fails.
 pub async fn receive(
     socket: &UdpSocket,
     buffer: &mut [u8],
@@ -71,41 +74,41 @@
     Ok(opened.map(|(_, message)| message))
 }
 
-/// Fetches from the peer at `address` all that changed after `revision`.
+/// Fetches all changes after `revision` from the peer at `address`.
 ///
 /// # Errors
-/// When it does not answer in time.
+/// If the connection or the call fails, or the peer doesn't answer in time.
 pub async fn fetch(address: SocketAddrV4, revision: u64) -> anyhow::Result<Difference> {
     let deadline = Instant::now() + FETCH_TIMEOUT;
     let stream = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     let transport = Transport::from((stream, MessagePack::default()));
-    let new = PeerClient::new(client::Config::default(), transport);
+    let new_client = PeerClient::new(client::Config::default(), transport);
     let mut ctx = context::current();
     ctx.deadline = deadline.into_std();
-    // The connection is served here and not by a task of its own: it ends with this call.
-    let call = time::timeout_at(deadline, new.client.difference(ctx, revision));
-    Ok(answer::of(call, new.dispatch).await??)
+    // The connection is driven here and not by a task of its own, so it is closed at the end of this call.
+    let call = time::timeout_at(deadline, new_client.client.difference(ctx, revision));
+    Ok(answer::of(call, new_client.dispatch).await??)
 }
 
-/// Answers a peer on one connection until it ends. `idle` is called whenever all that was asked has been
-/// answered.
+/// Answers a peer's requests on one connection until it is closed. `difference` returns all changes after
+/// a revision; `idle` is called whenever all requests so far have been answered.
 pub async fn serve<D>(stream: TcpStream, difference: D, idle: impl Fn())
 where
     D: Fn(u64) -> Difference + Clone + Send + Sync + 'static,
 {
-    let answers = Answers { difference };
-    let handle = move |ctx, request| answers.clone().serve().serve(ctx, request);
+    let peer_server = PeerServer { difference };
+    let handle = move |ctx, request| peer_server.clone().serve().serve(ctx, request);
     let codec = MessagePack::default();
     server::connection_as(stream, codec, MAX_REQUEST_BYTES, handle, idle).await;
 }
 
-/// The answers as a tarpc service.
+/// Implements [`Peer`] by a closure.
 #[derive(Clone)]
-struct Answers<D> {
+struct PeerServer<D> {
     difference: D,
 }
 
-impl<D: Fn(u64) -> Difference + Send> Peer for Answers<D> {
+impl<D: Fn(u64) -> Difference + Send> Peer for PeerServer<D> {
     async fn difference(self, _: context::Context, revision: u64) -> Difference {
         (self.difference)(revision)
     }
