--- a/crates/node/src/cookie/follow.rs
+++ b/crates/node/src/cookie/follow.rs
@@ -1,4 +1,4 @@
-//! Reading of the store, when the core says so.
+//! Reads and watches the store at the times that the core chooses.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -11,13 +11,14 @@
 use super::{control::Control, meters::Call};
 use crate::clock;
 
-/// How long a watch waits that is only to answer at once. The store takes whole milliseconds.
-const AT_ONCE: Duration = Duration::from_millis(1);
+/// Timeout of a watch that serves as a poll and is to return at once. The store accepts whole
+/// milliseconds only.
+const POLL_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// Follows the store at `address` until the task is dropped.
+/// Keeps the core up to date with the store at `address` until the task is dropped.
 ///
 /// # Errors
-/// None; it has the form of the other tasks.
+/// Never; the result type is that of the other tasks.
 pub async fn run(control: Arc<Control>, address: SocketAddrV4) -> Result<(), BoxError> {
     let options = Options {
         seed: control.core(|core, _| core.own().incarnation),
@@ -30,7 +31,7 @@
 
 async fn follow(control: &Control, client: &Client) {
     prime(control, client).await;
-    let mut whole = false;
+    let mut needs_full_read = false;
     loop {
         let turn = control.core(|core, now| core.turn(now));
         let wait = match turn {
@@ -42,32 +43,37 @@
                 continue;
             }
             spread::Action::Watch => control.core(|core, _| core.pace().watch_timeout),
-            spread::Action::Poll => AT_ONCE,
+            spread::Action::Poll => POLL_TIMEOUT,
         };
         let sent = clock::now();
-        whole |= control.core(|core, _| core.revision()) == 0;
-        let done = match whole {
-            true => read(control, client, sent).await,
+        needs_full_read |= control.core(|core, _| core.revision()) == 0;
+        let result = match needs_full_read {
+            true => read_all(control, client, sent).await,
             false => watch(control, client, wait, sent).await,
         };
-        let kind = if whole { Call::Range } else { Call::Watch };
-        control.meters.record_call(kind, done.as_ref().err());
-        match done {
-            Ok(()) => whole = false,
+        let kind = if needs_full_read {
+            Call::Range
+        } else {
+            Call::Watch
+        };
+        control.meters.record_call(kind, result.as_ref().err());
+        match result {
+            Ok(()) => needs_full_read = false,
             Err(Error::HistoryGone) => {
                 log::info!(
                     "event=store-history-gone code={}",
                     Error::HistoryGone.code()
                 );
-                whole = true;
+                needs_full_read = true;
             }
             Err(error) => control.core(|core, now| core.failed(&error, now)),
         }
     }
 }
 
-/// Reads the store once with what it can give at a fraction of the cost. A fleet that starts at once reads
-/// the whole store with every member; peers confirm or complete it within a round of gossip.
+/// Reads the store once with a serializable read, which costs the store a fraction of a linearizable
+/// one but may return old data. If a whole fleet starts at the same time, every balancer reads the whole
+/// store; peers confirm or complete the result within a gossip round.
 async fn prime(control: &Control, client: &Client) {
     let prefix: Arc<str> = entry::PREFIX.into();
     let read = client.range(&prefix, Consistency::Serializable).await;
@@ -83,7 +89,7 @@
     }
 }
 
-async fn read(control: &Control, client: &Client, sent: Duration) -> Result<(), Error> {
+async fn read_all(control: &Control, client: &Client, sent: Duration) -> Result<(), Error> {
     let prefix: Arc<str> = entry::PREFIX.into();
     let (items, revision) = client.range(&prefix, Consistency::Linearizable).await?;
     let changes: Vec<Change> = items.iter().filter_map(entry::item).collect();
@@ -103,8 +109,9 @@
     let after = control.core(|core, _| core.revision());
     let answer = client.changes(&prefix, after, wait).await?;
     let changes: Vec<Change> = answer.events.iter().filter_map(entry::event).collect();
-    // The store answers a watch when it ends or something happens, so its answer is as new as the
-    // moment before it came; half the time of a call that is answered at once is on the safe side.
+    // The store answers a watch at its timeout or at an event, so the answer was current just before it
+    // was sent. Without events that was at `sent + wait` plus the time that the request took to arrive;
+    // leaving that time out errs on the safe side.
     let fresh = if answer.events.is_empty() {
         sent + wait
     } else {
