--- a/crates/node/src/cookie/leave.rs
+++ b/crates/node/src/cookie/leave.rs
@@ -1,4 +1,4 @@
-//! The end of the process, asked for by a signal.
+//! Graceful shutdown on a signal.
 
 use std::sync::Arc;
 
@@ -16,11 +16,11 @@
 };
 use crate::{clock, journal};
 
-/// Waits for the request to end, leaves the rotation, and stops the process once the routers have
-/// noticed. A second request ends it at once.
+/// Waits for a termination signal, makes the routers' checks fail, tells the peers, and stops the process
+/// once the routers have reacted. A second signal stops it at once.
 ///
 /// # Errors
-/// When a socket or a signal fails.
+/// If a signal handler can't be installed, or the process can't be stopped.
 pub async fn run(
     control: Arc<Control>,
     stopper: oneshot::Receiver<Stopper>,
@@ -43,13 +43,13 @@
     let end = phase.end(grace).unwrap_or_default();
     tokio::select! {
         () = time::sleep(end.saturating_sub(clock::now())) => stopper.await?.stop(),
-        _ = terms.recv() => force(),
-        _ = interrupts.recv() => force(),
+        _ = terms.recv() => force_exit(),
+        _ = interrupts.recv() => force_exit(),
     }
     Ok(())
 }
 
-fn force() {
+fn force_exit() {
     log::error!("event=forced code={}", Code::Forced);
     journal::exit(Code::Forced.exit_status());
 }
