--- a/crates/node/src/cookie/meters.rs
+++ b/crates/node/src/cookie/meters.rs
@@ -1,5 +1,5 @@
-//! Metrics in the usual exposition format. Packets are counted once, by [`Counter`]; what it holds
-//! is read when somebody asks. Names are listed in docs/METRICS.md.
+//! Metrics in the OpenMetrics text format. Packets are counted only by [`Counter`], whose values are
+//! read at each scrape. docs/METRICS.md lists the names.
 
 use std::{
     sync::{
@@ -26,52 +26,53 @@
 use super::core::Standing;
 use crate::counter::{Counter, KINDS};
 
-/// What a time belongs to.
+/// Labels of a response time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ServerLabels {
     service: String,
     server: String,
 }
 
-/// A call of the store and how it ended.
+/// Labels of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct CallLabels {
     call: Call,
     outcome: String,
 }
 
-/// A kind of event.
+/// Label of a count by kind or by numbered code.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct KindLabel {
+struct KindLabels {
     kind: String,
 }
 
-/// A listener and why it closed connections.
+/// Labels of the connections that a listener closed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ClosedLabels {
     port: String,
     how: String,
 }
 
-/// A call of the store.
+/// Type of a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Call {
-    /// A whole reading.
+    /// A read of the whole store.
     Range,
-    /// A watch, or a look at what has changed.
+    /// A watch, or a poll for changes.
     Watch,
 }
 
-/// Buckets of a histogram: 1 ms, doubling, to 2 s, which is longer than callers wait.
-const BUCKETS: u16 = 12;
+/// Number of buckets of a histogram. Their bounds double from 1 ms to 2 s, which is longer than callers
+/// wait.
+const BUCKET_COUNT: u16 = 12;
 
 fn histogram() -> Histogram {
-    Histogram::new(exponential_buckets(0.001, 2.0, BUCKETS))
+    Histogram::new(exponential_buckets(0.001, 2.0, BUCKET_COUNT))
 }
 
 type Histograms = Family<ServerLabels, Histogram, fn() -> Histogram>;
 
-/// What is measured here and nowhere else.
+/// Measurements that are kept for the metrics only.
 #[derive(Debug)]
 pub struct Meters {
     opening: Histograms,
@@ -94,7 +95,7 @@
 }
 
 impl Meters {
-    /// Takes in a time that packets have shown.
+    /// Records a response time measured on a flow.
     pub fn observe(&self, timing: &Timing, snapshot: &Snapshot) {
         let (times, server, took) = match timing {
             Timing::Opening { server, took } => (&self.opening, server, took),
@@ -108,7 +109,7 @@
         times.get_or_create(&labels).observe(took.as_secs_f64());
     }
 
-    /// A call of the store has ended.
+    /// Counts a call to the store that has ended, with `error` if it failed.
     pub fn record_call(&self, call: Call, error: Option<&Error>) {
         let outcome = error
             .map_or("answered", |error| error.code().label())
@@ -118,12 +119,13 @@
             .inc();
     }
 
-    /// The balancer has become ready; gives how long after its start.
+    /// Records that the balancer has become ready, and returns how long after the start that was for the
+    /// first time.
     pub fn became_ready(&self) -> Duration {
         *self.ready.get_or_init(|| self.start.elapsed())
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the text format.
     ///
     /// ```
     /// use acacia_node::{cookie::{core::Standing, meters::Meters}, counter::Counter};
@@ -161,7 +163,7 @@
             registry.register(name, help, gauge);
         }
         let mut text = String::new();
-        // Writing into a string fails only where a metric's own encoder does.
+        // Writing to a string can't fail, so an error comes from a metric's own encoder.
         if let Err(error) = encode(&mut text, &registry) {
             log::error!("event=metrics-unencoded error=\"{error}\"");
         }
@@ -216,34 +218,34 @@
     let family = Family::<ClosedLabels, Metric<u64, AtomicU64>>::default();
     for listener in listeners {
         for (name, count) in listener.stats().closed() {
-            let closed = ClosedLabels {
+            let labels = ClosedLabels {
                 port: listener.name().to_owned(),
                 how: name.to_owned(),
             };
-            family.get_or_create(&closed).inc_by(count);
+            family.get_or_create(&labels).inc_by(count);
         }
     }
     family
 }
 
-fn packets(counter: &Counter) -> Family<KindLabel, Metric<u64, AtomicU64>> {
-    let family = Family::<KindLabel, Metric<u64, AtomicU64>>::default();
+fn packets(counter: &Counter) -> Family<KindLabels, Metric<u64, AtomicU64>> {
+    let family = Family::<KindLabels, Metric<u64, AtomicU64>>::default();
     for (kind, name) in KINDS {
-        let event = KindLabel {
+        let labels = KindLabels {
             kind: (*name).to_owned(),
         };
-        family.get_or_create(&event).inc_by(counter.of(*kind));
+        family.get_or_create(&labels).inc_by(counter.of(*kind));
     }
     family
 }
 
-fn codes(counter: &Counter) -> Family<KindLabel, Metric<u64, AtomicU64>> {
-    let family = Family::<KindLabel, Metric<u64, AtomicU64>>::default();
+fn codes(counter: &Counter) -> Family<KindLabels, Metric<u64, AtomicU64>> {
+    let family = Family::<KindLabels, Metric<u64, AtomicU64>>::default();
     for (code, count) in counter.codes() {
-        let event = KindLabel {
+        let labels = KindLabels {
             kind: code.label().to_owned(),
         };
-        family.get_or_create(&event).inc_by(count);
+        family.get_or_create(&labels).inc_by(count);
     }
     family
 }
