--- a/crates/node/src/cookie/receive.rs
+++ b/crates/node/src/cookie/receive.rs
@@ -1,4 +1,4 @@
-//! Gossip and news: what is sent to peers in rounds, and what comes from them.
+//! Sends gossip to peers in rounds, and handles the messages received from them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,33 +16,35 @@
     turn::Turn,
 };
 
-/// Between two rounds of gossip. 500 ms: a balancer that is lost is noticed within six.
-const ROUND: Duration = Duration::from_millis(500);
-/// Longest message taken, in bytes.
-const LARGEST: usize = 9_000;
+/// Interval between two gossip rounds. The loss of a balancer is detected within six rounds.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum length of a received message in bytes.
+const MAX_MESSAGE_BYTES: usize = 9_000;
 
-/// Sends a round of gossip now and then.
+/// Sends a gossip round at regular intervals, evaluates the servers' speeds and monitors the routers'
+/// checks.
 ///
 /// # Errors
-/// When a socket or a signal fails.
+/// Never; the result type is that of the other tasks.
 pub async fn gossip(control: Arc<Control>) -> Result<(), BoxError> {
     loop {
-        let (parcels, weighed) = control.core(|core, now| (core.gossip(now), core.judge(now)));
+        let (parcels, weights_changed) =
+            control.core(|core, now| (core.gossip(now), core.judge(now)));
         control.detect_lost_routers();
-        if weighed {
+        if weights_changed {
             control.changed.notify_one();
         }
         control.send(parcels).await;
-        time::sleep(ROUND).await;
+        time::sleep(GOSSIP_INTERVAL).await;
     }
 }
 
-/// Takes in what peers send.
+/// Receives messages from peers and fetches the changes that are missing here.
 ///
 /// # Errors
-/// When a socket or a signal fails.
+/// If the socket fails.
 pub async fn receive(control: Arc<Control>) -> Result<(), BoxError> {
-    let mut buffer = vec![0; LARGEST];
+    let mut buffer = vec![0; MAX_MESSAGE_BYTES];
     let mut fetches = JoinSet::new();
     loop {
         let secret = lock(&control.settings).secret.clone();
@@ -52,22 +54,23 @@
                 control.counter.code(control_code(error));
                 continue;
             }
-            // An earlier datagram met a closed port; the socket is as good as before.
+            // The port that an earlier datagram was sent to is closed. The socket remains usable.
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => continue,
             Err(error) => return Err(error.into()),
         };
         while let Some(ended) = fetches.try_join_next() {
-            note_end(ended);
+            log_panic(ended);
         }
-        if let Some(fetch) = hear(&control, message).await {
+        if let Some(fetch) = handle_message(&control, message).await {
             fetches.spawn(fetch);
         }
         control.wake.notify_one();
     }
 }
 
-/// Takes a message in; gives the fetch of what is missing here, unless one is under way.
-async fn hear(
+/// Passes a message to the core. Returns a future that fetches the missing changes from the sender, if
+/// there are any and no other fetch is under way.
+async fn handle_message(
     control: &Arc<Control>,
     message: Message,
 ) -> Option<impl Future<Output = ()> + use<>> {
@@ -101,7 +104,7 @@
     })
 }
 
-fn note_end(ended: Result<(), JoinError>) {
+fn log_panic(ended: Result<(), JoinError>) {
     if let Err(error) = ended {
         log::error!("event=fetch-panicked error=\"{error}\"");
     }
