--- a/crates/node/src/cookie/reload.rs
+++ b/crates/node/src/cookie/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the process runs.
+//! Reloads the settings while the process runs.
 
 use std::{
     path::{Path, PathBuf},
@@ -18,28 +18,28 @@
     settings::Settings,
 };
 
-/// Between two looks at the settings file, which may change without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is checked for changes, which may come without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Rereads the settings when they change, with a signal or without. A file with a problem changes
-/// nothing.
+/// Reloads the settings from `path` when the file has changed, which is checked at regular intervals and
+/// on `SIGHUP`. An unreadable or invalid file changes nothing.
 ///
 /// # Errors
-/// When a socket or a signal fails.
+/// If the signal handler can't be installed.
 pub async fn run(control: Arc<Control>, path: PathBuf) -> Result<(), BoxError> {
     let mut hangups = signal(SignalKind::hangup())?;
-    let mut before = std::fs::read_to_string(&path).ok();
+    let mut last_text = std::fs::read_to_string(&path).ok();
     loop {
         tokio::select! {
             _ = hangups.recv() => log::info!("event=hangup"),
-            () = time::sleep(LOOK) => {}
+            () = time::sleep(CHECK_INTERVAL) => {}
         }
         let text = read(&path);
-        if text.is_none() || text == before {
+        if text.is_none() || text == last_text {
             continue;
         }
-        before = text;
-        match Settings::parse(before.as_deref().unwrap_or_default()) {
+        last_text = text;
+        match Settings::parse(last_text.as_deref().unwrap_or_default()) {
             Ok(settings) => {
                 control.core(|core, _| core.renew(&settings));
                 *lock(&control.settings) = settings;
