--- a/crates/node/src/cookie/rotation.rs
+++ b/crates/node/src/cookie/rotation.rs
@@ -1,28 +1,28 @@
-//! Whether this balancer is in the routers' rotation.
+//! Whether the routers are to send packets to this balancer.
 
 use std::time::Duration;
 
-/// How long packets still come after the routers are told to send none: they ask twice a second
-/// and take a balancer out after two misses, so up to 1 s and the way of the last packets. Without
-/// this wait, what is in flight when a balancer ends is lost with it.
+/// How long packets may still arrive after the routers' checks have begun to fail. The routers check
+/// twice a second and remove a balancer after two failed checks, so this is up to 1 s plus the transit
+/// time of the last packets. If the process exited sooner, packets in flight would be lost.
 pub const DRAIN_TIME: Duration = Duration::from_millis(1_400);
 
-/// Where a balancer stands between its start and its end.
+/// Phase of a balancer's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It does not know enough to serve.
+    /// It doesn't know enough of the routes and servers to serve yet.
     Starting,
-    /// It serves.
+    /// It serves, and the routers' checks succeed unless it is cut off from the servers.
     Serving,
-    /// It was asked to end at that time, and forwards what still comes.
+    /// It was asked to stop: the routers' checks fail, and it forwards the packets that still arrive.
     Leaving {
-        /// When.
+        /// When it was asked to stop.
         since: Duration,
     },
 }
 
 impl Phase {
-    /// Whether the routers should send packets here.
+    /// Whether the routers should send packets to this balancer.
     ///
     /// ```
     /// use acacia_node::cookie::rotation::Phase;
@@ -34,8 +34,8 @@
         matches!(self, Phase::Serving)
     }
 
-    /// When the process may end, if it was asked to: when the routers have noticed, and in any case
-    /// well within the `grace` that it is given.
+    /// Returns when a process that was asked to stop may exit: once the routers have reacted, but no later
+    /// than half of the grace period `grace` after the request. `None` if it was not asked to stop.
     ///
     /// ```
     /// use std::time::Duration;
