--- a/crates/node/src/cookie/settings.rs
+++ b/crates/node/src/cookie/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings where packets carry a cookie.
+//! Settings of the daemon when packets carry a cookie.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -6,48 +6,49 @@
 
 use crate::settings::{self, ADDRESS, Error, Reader, Transport};
 
-/// Everything a balancer learns from its settings.
+/// Settings of a balancer.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// This balancer's name, for logs.
     pub name: Arc<str>,
     /// The data centre it runs in.
     pub data_centre: Arc<str>,
-    /// Where callers' packets come in. Packets for a caller go to the caller's address on the same
-    /// port.
+    /// Address on which callers' packets are received. Packets to a caller are sent to the caller's
+    /// address and the same port.
     pub traffic: SocketAddrV4,
-    /// Where other balancers' messages come in, by UDP and TCP.
+    /// Address on which messages of other balancers are received, over UDP and TCP.
     pub control: SocketAddrV4,
-    /// Where the other balancers reach that: this balancer's identity.
+    /// Control address as reached by the other balancers. It identifies this balancer.
     pub advertised: SocketAddrV4,
-    /// Keys of the messages between balancers.
+    /// Keys that authenticate messages between balancers.
     pub secret: Secret,
-    /// Control addresses of a few balancers to begin with. They may be out of date.
+    /// Control addresses of a few balancers to contact after the start. They may be out of date.
     pub seeds: Vec<SocketAddrV4>,
-    /// Where the routers ask whether to send packets here.
+    /// Address on which the routers' readiness checks are answered.
     pub ready: SocketAddrV4,
-    /// Where the platform's store answers.
+    /// Address of the platform's store.
     pub platform: SocketAddrV4,
-    /// How soon after the store's answer a change must be in force: the shorter of the bounds on
-    /// configurations and on evacuations.
+    /// Time within which a change must be in force after the store's answer: the shorter of the bounds
+    /// on configurations and on evacuations.
     pub in_force: Duration,
-    /// Factor on the requests a second that a server bears after its start.
+    /// Factor on the configured requests per second that a server can handle after its start.
     pub cold_overshoot: f64,
-    /// Requests a second that such a server bears beyond them.
+    /// Requests per second that such a server can handle in addition to the configured ones times
+    /// `cold_overshoot`.
     pub cold_slack: f64,
-    /// The longest life of a flow.
+    /// Maximum lifetime of a flow.
     pub flow: Duration,
-    /// How long after a request to end the process may live.
+    /// Time within which the process must exit after it was asked to stop.
     pub grace: Duration,
-    /// Where metrics are served, if anywhere.
+    /// Address on which metrics are served, if any.
     pub metrics: Option<SocketAddrV4>,
-    /// Where operators' requests come in, if anywhere.
+    /// Address on which operators' requests are received, if any.
     pub admin: Option<SocketAddrV4>,
-    /// Level of logs.
+    /// Maximum level of the log.
     pub log: log::LevelFilter,
 }
 
-/// Every key that may stand in a section.
+/// The sections of the settings with all their keys.
 pub const KEYS: &[(&str, &[&str])] = &[
     ("balancer", &["name", "data_centre"]),
     ("traffic", &["transport", "listen"]),
@@ -73,20 +74,21 @@
     ("log", &["level"]),
 ];
 
-/// Shortest bound on a change being in force, in milliseconds: pauses between calls follow from it.
-const SHORTEST_BOUND_MS: u64 = 500;
-/// Largest figure of what a server bears after its start. More is no limit.
-const MOST_COLD: f64 = 1e6;
-/// What such a figure must be.
-const NUMBER: &str = "a number from 0 to 1000000";
-/// What a bound on a change must be.
-const BOUND: &str = "whole milliseconds, 500 or more";
+/// Minimum of the bounds on when a change is in force, in milliseconds. The intervals between calls to the
+/// store are derived from them.
+const MIN_BOUND_MS: u64 = 500;
+/// Maximum of `cold_overshoot` and `cold_slack`. A larger value would be no limit.
+const MAX_COLD: f64 = 1e6;
+/// Expected value of `cold_overshoot` and `cold_slack`, for error messages.
+const EXPECTED_COLD: &str = "a number from 0 to 1000000";
+/// Expected value of a bound on when a change is in force, for error messages.
+const EXPECTED_BOUND: &str = "whole milliseconds, 500 or more";
 
 impl Settings {
-    /// Reads and checks `text`.
+    /// Parses and checks `text`.
     ///
     /// # Errors
-    /// All problems at once, unknown keys among them.
+    /// If there are problems, such as unknown keys. The error lists all of them.
     ///
     /// ```
     /// use acacia_node::cookie::Settings;
@@ -94,12 +96,12 @@
     /// assert!(error.to_string().contains("[ready] listen: found x"));
     /// ```
     pub fn parse(text: &str) -> Result<Self, Error> {
-        settings::read(text, KEYS, take)
+        settings::read(text, KEYS, read_all)
     }
 }
 
-fn take(reader: &mut Reader<'_>) -> Option<Settings> {
-    // Each value is read before any is missed, so that all problems are listed at once.
+fn read_all(reader: &mut Reader<'_>) -> Option<Settings> {
+    // All values are read before a missing one ends the function, so that all problems are reported.
     let name = reader.required::<String>("balancer", "name", "a name");
     let data_centre = reader.required::<String>("balancer", "data_centre", "a name");
     reader.optional::<Transport>("traffic", "transport", "ip or cookie");
@@ -111,11 +113,11 @@
     let seeds = seeds(reader);
     let ready = reader.required("ready", "listen", ADDRESS);
     let platform = reader.required("platform", "address", ADDRESS);
-    let in_force = reader.required("bounds", "in_force_ms", BOUND);
-    let evacuation = reader.optional("bounds", "evacuation_ms", BOUND);
+    let in_force = reader.required("bounds", "in_force_ms", EXPECTED_BOUND);
+    let evacuation = reader.optional("bounds", "evacuation_ms", EXPECTED_BOUND);
     for (key, value) in [("in_force_ms", in_force), ("evacuation_ms", evacuation)] {
-        if value.is_some_and(|ms: u64| ms < SHORTEST_BOUND_MS) {
-            reader.problem("bounds", key, BOUND);
+        if value.is_some_and(|ms: u64| ms < MIN_BOUND_MS) {
+            reader.problem("bounds", key, EXPECTED_BOUND);
         }
     }
     let flow = reader.required("bounds", "flow_s", "seconds");
@@ -125,11 +127,11 @@
             reader.problem("bounds", key, "seconds");
         }
     }
-    let overshoot = reader.optional("bounds", "cold_overshoot", NUMBER);
-    let slack = reader.optional("bounds", "cold_slack", NUMBER);
+    let overshoot = reader.optional("bounds", "cold_overshoot", EXPECTED_COLD);
+    let slack = reader.optional("bounds", "cold_slack", EXPECTED_COLD);
     for (key, value) in [("cold_overshoot", overshoot), ("cold_slack", slack)] {
-        if value.is_some_and(|value: f64| !(0.0..=MOST_COLD).contains(&value)) {
-            reader.problem("bounds", key, NUMBER);
+        if value.is_some_and(|value: f64| !(0.0..=MAX_COLD).contains(&value)) {
+            reader.problem("bounds", key, EXPECTED_COLD);
         }
     }
     let metrics = reader.optional("metrics", "listen", ADDRESS);
@@ -156,7 +158,7 @@
     })
 }
 
-/// Addresses joined by commas; none where nothing stands.
+/// Reads a comma-separated list of addresses, which may be empty.
 fn seeds(reader: &mut Reader<'_>) -> Option<Vec<SocketAddrV4>> {
     let expected = "addresses joined by commas";
     let text = reader.text("control", "seeds");
