--- a/crates/node/tests/it/cookie/exchange.rs
+++ b/crates/node/tests/it/cookie/exchange.rs
@@ -1,4 +1,4 @@
-//! Differences as they are fetched from a peer, over real connections.
+//! Fetches of differences from a peer, over real connections.
 
 use std::{
     net::{SocketAddr, SocketAddrV4},
@@ -19,10 +19,10 @@
 
 use super::fixture::{config, removed, server};
 
-/// Balancers that one passes a large configuration on to.
-const BRANCHES: u64 = 3;
-/// What a link of 10 Mbit/s carries in the 200 ms after which callers send a packet again.
-const UNNOTICED: u64 = 250_000;
+/// Number of balancers to which each balancer passes on a large configuration.
+const FANOUT: u64 = 3;
+/// Number of bytes that a link of 10 Mbit/s carries in the 200 ms after which callers retransmit a packet.
+const MAX_BYTES: u64 = 250_000;
 
 async fn listener() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -32,39 +32,41 @@
     }
 }
 
-/// Bytes that a slow link hands over at a time, and the pause after them: 240 kbit/s, a part of 2 Mbit/s
-/// that is left beside others and callers.
+/// Number of bytes that a slow link transfers at a time. With [`PAUSE`] this is 240 kbit/s, the part of a
+/// link of 2 Mbit/s that other transfers and callers leave.
 const CHUNK: usize = 3_000;
+/// Pause of a slow link after each chunk.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Fetches a difference over a connection that counts; gives what came in and the bytes that it took.
+/// Fetches a difference through a proxy that pauses after each chunk. Returns what was fetched and the
+/// number of bytes of the response.
 async fn fetch(difference: Difference, pause: Duration) -> (Difference, u64) {
-    let (served, to) = listener().await;
-    let (counted, at) = listener().await;
+    let (peer_listener, peer_address) = listener().await;
+    let (proxy_listener, proxy_address) = listener().await;
     let serve = async {
-        let (stream, _) = served.accept().await.expect("a connection");
+        let (stream, _) = peer_listener.accept().await.expect("a connection");
         exchange::serve(stream, move |_| difference.clone(), || {}).await;
     };
-    let count = async {
-        let (near, _) = counted.accept().await.expect("a connection");
-        let far = TcpStream::connect(to).await.expect("a peer");
-        let (mut from_near, mut to_near) = near.into_split();
-        let (mut from_far, mut to_far) = far.into_split();
-        let asked = async {
-            let copied = tokio::io::copy(&mut from_near, &mut to_far).await;
-            copied.expect("a question");
-            to_far.shutdown().await.expect("an open connection");
+    let proxy = async {
+        let (client, _) = proxy_listener.accept().await.expect("a connection");
+        let peer = TcpStream::connect(peer_address).await.expect("a peer");
+        let (mut from_client, mut to_client) = client.into_split();
+        let (mut from_peer, mut to_peer) = peer.into_split();
+        let request = async {
+            let copied = tokio::io::copy(&mut from_client, &mut to_peer).await;
+            copied.expect("a request");
+            to_peer.shutdown().await.expect("an open connection");
         };
-        let answered = copy_slowly(&mut from_far, &mut to_near, pause);
-        tokio::join!(asked, answered).1
+        let response = copy_slowly(&mut from_peer, &mut to_client, pause);
+        tokio::join!(request, response).1
     };
 
-    let (fetched, bytes, ()) = tokio::join!(exchange::fetch(at, 0), count, serve);
+    let (fetched, bytes, ()) = tokio::join!(exchange::fetch(proxy_address, 0), proxy, serve);
 
     (fetched.expect("an answer"), bytes)
 }
 
-/// Copies until the sender closes; gives the bytes.
+/// Copies with a pause after each chunk until either end is closed. Returns the number of bytes copied.
 async fn copy_slowly(
     from: &mut (impl AsyncRead + Unpin),
     to: &mut (impl AsyncWrite + Unpin),
@@ -93,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn what_a_peer_knows_is_fetched_as_it_is() {
+async fn a_fetch_returns_the_peers_difference_unchanged() {
     let sent = difference(vec![config(5, 3), server("i-1", 7), removed("i-2", 9)]);
 
     let (fetched, _) = fetch(sent.clone(), Duration::ZERO).await;
@@ -101,23 +103,23 @@
     assert_eq!(fetched, sent);
 }
 
-/// Operators add 1,400 routes. Each balancer passes them on to three others over a link of 10 Mbit/s,
-/// and callers' packets wait behind that. What takes longer than callers wait for an answer makes
-/// them send again and puts living servers under suspicion; as JSON it took 380 ms.
+/// Operators add 1,400 routes, and each balancer passes them on to three others over a link of 10 Mbit/s.
+/// Callers' packets are queued behind these transfers. If they take longer than the callers'
+/// retransmission delay, callers retransmit and live servers are suspected. As JSON, they took 380 ms.
 #[tokio::test]
-async fn a_large_configuration_leaves_callers_packets_room_on_a_small_link() {
+async fn passing_on_a_large_configuration_takes_less_than_the_retransmission_delay() {
     let sent = difference(vec![config(5, 1_400)]);
 
     let (_, bytes) = fetch(sent, Duration::ZERO).await;
 
-    assert!(BRANCHES * bytes <= UNNOTICED, "{bytes} bytes each");
+    assert!(FANOUT * bytes <= MAX_BYTES, "{bytes} bytes each");
 }
 
-/// The same over a link of which little is left. What comes slowly must come all the same: broken off
-/// after half a second and begun anew, it filled the link for good (713 times `event=fetch-failed`), and
-/// the new routes were in force nowhere within their bound.
+/// The same over a link with little bandwidth left. A slow transfer must complete: with a timeout of half
+/// a second, transfers were aborted and restarted over and over and saturated the link (713 times
+/// `event=fetch-failed`), and the new routes came into force on no balancer within their bound.
 #[tokio::test]
-async fn a_large_configuration_comes_in_over_a_slow_link() {
+async fn a_large_configuration_is_fetched_over_a_slow_link() {
     let sent = difference(vec![config(5, 1_400)]);
 
     let (fetched, _) = fetch(sent.clone(), PAUSE).await;
@@ -125,10 +127,10 @@
     assert_eq!(fetched, sent);
 }
 
-/// A peer ends just after it has answered. An answer that has come must not be given up because the
-/// connection ends in the same moment.
+/// A peer closes the connection right after its answer. An answer that has arrived must not be discarded
+/// because the connection is closed at the same moment.
 #[tokio::test]
-async fn an_answer_counts_though_the_connection_ends_with_it() {
+async fn an_answer_is_kept_if_the_connection_closes_right_after_it() {
     const FETCHES: usize = 200;
     let (listener, address) = listener().await;
     let sent = difference(vec![config(5, 3)]);
--- a/crates/node/tests/it/cookie/refused.rs
+++ b/crates/node/tests/it/cookie/refused.rs
@@ -1,4 +1,4 @@
-//! All servers of a data centre refuse connections at once.
+//! All servers of a data centre refuse connections at the same time.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -11,9 +11,9 @@
 
 use super::fixture::{Fleet, ms, server};
 
-const CENTRES: [&str; 3] = ["a", "b", "c"];
+const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
 const SERVERS: u64 = 150;
-/// What an examination takes that ends by refusals.
+/// Duration of an examination that is decided by refused connections.
 const EXAMINATION_MS: u64 = 35;
 
 fn name(number: u64) -> Arc<str> {
@@ -29,9 +29,9 @@
     number.is_multiple_of(3)
 }
 
-/// 67 balancers that know 50 servers in each of three data centres.
+/// Creates 67 balancers that know 50 servers in each of three data centres.
 fn fleet() -> Fleet {
-    let mut fleet = Fleet::new(67, &CENTRES);
+    let mut fleet = Fleet::new(67, &DATA_CENTRES);
     let now = fleet.now;
     let known = (1..=SERVERS).map(|number| {
         let mut change = server(&name(number), number);
@@ -41,7 +41,7 @@
         } = &mut change
         {
             let server = Arc::make_mut(server);
-            server.data_centre = CENTRES[(number % 3) as usize].into();
+            server.data_centre = DATA_CENTRES[(number % 3) as usize].into();
             server.address = address(number);
         }
         change
@@ -54,7 +54,8 @@
     fleet
 }
 
-/// Lets every balancer make one examination; without a control that answers it shows nothing.
+/// Runs one examination on every balancer and returns the number of examined servers. Without a control
+/// that answers, an examination can't find a server silent.
 fn examine(fleet: &mut Fleet) -> usize {
     let now = fleet.now;
     let end = now + ms(EXAMINATION_MS);
@@ -83,7 +84,7 @@
     examined
 }
 
-/// How many servers the balancers take for silent: those of a data centre, or all.
+/// Returns how many servers each balancer considers silent, for the balancers of one data centre or all.
 fn silent(fleet: &Fleet, centre: Option<&str>) -> Vec<usize> {
     let now = fleet.now;
     let cores = fleet.cores.values();
@@ -91,12 +92,15 @@
     cores.map(|core| core.standing(now).silent).collect()
 }
 
-/// Callers of a data centre are turned away for as long as its servers are down, although two others
-/// stand free: its balancers' examinations have one another's doubted neighbour as their control.
+/// Guards against examinations whose control is itself down. If the balancers of a data centre took their
+/// controls only from that data centre, all of whose servers refuse connections, no server would be found
+/// silent, and callers would be refused although two other data centres have free servers.
 #[rstest]
 #[case::noticed_there("a")]
 #[case::noticed_elsewhere("b")]
-fn all_servers_of_a_data_centre_that_refuse_are_found_from_one_opening(#[case] centre: &str) {
+fn all_refusing_servers_of_a_data_centre_are_found_silent_after_one_unanswered_packet(
+    #[case] centre: &str,
+) {
     let mut fleet = fleet();
     let now = fleet.now;
     let mut near = fleet.cores.values_mut();
--- a/crates/node/tests/it/cookie/settings.rs
+++ b/crates/node/tests/it/cookie/settings.rs
@@ -9,7 +9,7 @@
 use super::fixture::text;
 
 #[test]
-fn valid_settings_are_read_whole() {
+fn valid_settings_are_parsed() {
     let settings = Settings::parse(&text(3, "hervanta")).unwrap();
 
     assert_eq!(transport(&text(3, "hervanta")), Transport::Cookie);
@@ -29,7 +29,7 @@
 #[case::shorter("evacuation_ms = 2000", 2_000)]
 #[case::longer("evacuation_ms = 5000", 3_000)]
 #[case::none("", 3_000)]
-fn the_shorter_bound_sets_the_pace(#[case] line: &str, #[case] expected_ms: u128) {
+fn in_force_is_the_shorter_of_the_two_bounds(#[case] line: &str, #[case] expected_ms: u128) {
     let text = text(3, "a").replace("[bounds]", &format!("[bounds]\n{line}"));
 
     let settings = Settings::parse(&text).unwrap();
@@ -37,9 +37,9 @@
     assert_eq!(settings.in_force.as_millis(), expected_ms);
 }
 
-/// A balancer that is the first of all has nobody to ask.
+/// The first balancer of a fleet has no peers to contact.
 #[test]
-fn there_may_be_no_seeds() {
+fn seeds_may_be_empty() {
     let text = text(3, "a").replace("seeds = 10.0.0.1:8101,10.0.0.2:8101", "seeds =");
 
     assert_eq!(Settings::parse(&text).unwrap().seeds, []);
@@ -73,17 +73,17 @@
     "[bounds]\ncold_overshoot = -0.5",
     "[bounds] cold_overshoot: found -0.5"
 )]
-#[case::endless_slack(
+#[case::infinite_slack(
     "[bounds]",
     "[bounds]\ncold_slack = inf",
     "[bounds] cold_slack: found inf"
 )]
-#[case::slack_in_words(
+#[case::non_numeric_slack(
     "[bounds]",
     "[bounds]\ncold_slack = five",
     "[bounds] cold_slack: found five"
 )]
-fn a_bad_value_is_named(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+fn an_invalid_value_is_reported(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let error = Settings::parse(&text(3, "a").replace(from, to)).unwrap_err();
 
     assert_eq!(error.code, Code::SettingsInvalid);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_page_on_settings_names_every_key() {
+fn the_settings_page_documents_every_key() {
     let page = include_str!("../../../../../docs/SETTINGS.md");
 
     for (section, keys) in KEYS {
