--- a/crates/node/src/cookie/mod.rs
+++ b/crates/node/src/cookie/mod.rs
@@ -13,6 +13,7 @@
 pub mod leave;
 pub mod message;
 pub mod meters;
+pub mod permit;
 pub mod publish;
 pub mod receive;
 pub mod reload;
@@ -21,6 +22,5 @@
 pub mod settings;
 mod status;
 pub mod traffic;
-pub mod turn;
 
 pub use settings::Settings;
--- a/crates/node/src/cookie/receive.rs
+++ b/crates/node/src/cookie/receive.rs
@@ -13,7 +13,7 @@
     control::{Control, lock},
     exchange,
     message::Message,
-    turn::Turn,
+    permit::Permit,
 };
 
 /// Between two rounds of gossip. 500 ms: a balancer that is lost is noticed within six.
@@ -84,7 +84,7 @@
     if !missing {
         return None;
     }
-    let turn = Turn::take(&control.fetching)?;
+    let permit = Permit::try_acquire(&control.fetching)?;
     let control = Arc::clone(control);
     Some(async move {
         let revision = control.core(|core, _| core.wanted());
@@ -96,7 +96,7 @@
             }
             Err(error) => log::info!("event=fetch-failed peer={from} error=\"{error}\""),
         }
-        drop(turn);
+        drop(permit);
         control.wake.notify_one();
     })
 }
--- a/crates/node/tests/it/cookie/mod.rs
+++ b/crates/node/tests/it/cookie/mod.rs
@@ -7,7 +7,7 @@
 mod exchange;
 mod failing;
 mod fixture;
+mod permit;
 mod refused;
 mod settings;
 mod speed;
-mod turn;
