--- a/crates/node/src/cookie/control.rs
+++ b/crates/node/src/cookie/control.rs
@@ -14,7 +14,7 @@
     checks::Checks,
     core::{Core, Outcome},
     exchange,
-    message::Parcel,
+    message::Outgoing,
     meters::Meters,
     rotation::Phase,
     settings::Settings,
@@ -89,7 +89,7 @@
             self.doubt.notify_one();
         }
         self.advance();
-        self.send(outcome.parcels).await;
+        self.send(outcome.outgoing).await;
     }
 
     /// All metrics as text.
@@ -120,12 +120,12 @@
     }
 
     /// Sends messages to peers.
-    pub async fn send(&self, parcels: Vec<Parcel>) {
-        if parcels.is_empty() {
+    pub async fn send(&self, outgoing: Vec<Outgoing>) {
+        if outgoing.is_empty() {
             return;
         }
         let secret = lock(&self.settings).secret.clone();
-        exchange::send(&self.socket, parcels, &secret).await;
+        exchange::send(&self.socket, outgoing, &secret).await;
     }
 
     /// Takes its place in rotation once it knows enough.
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -29,7 +29,7 @@
 pub use standing::{Evacuation, Standing};
 
 use super::{
-    message::{Known, Message, Parcel},
+    message::{Known, Message, Outgoing},
     settings::Settings,
 };
 
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Outcome {
     /// What to send.
-    pub parcels: Vec<Parcel>,
+    pub outgoing: Vec<Outgoing>,
     /// Whether to fetch from the sender what is missing here.
     pub fetch: bool,
     /// Whether servers are to be examined.
@@ -362,17 +362,17 @@
         outcome.changed |= self.mark_failing(&failing, now);
         let observed = self.observe(&failures, now);
         outcome.changed |= observed.changed;
-        outcome.parcels.extend(observed.parcels);
+        outcome.outgoing.extend(observed.outgoing);
         if wants || !unknown.is_empty() {
             let message = self.introduction(&unknown, wants, now);
             let to = vec![sender];
-            outcome.parcels.push(Parcel { to, message });
+            outcome.outgoing.push(Outgoing { to, message });
         }
         if !strangers.is_empty() {
             let mut message = self.message(now);
             message.unknown = strangers;
             let to = vec![sender];
-            outcome.parcels.push(Parcel { to, message });
+            outcome.outgoing.push(Outgoing { to, message });
         }
         outcome
     }
--- a/crates/node/src/cookie/core/examine.rs
+++ b/crates/node/src/cookie/core/examine.rs
@@ -13,7 +13,7 @@
 use rand::seq::IteratorRandom as _;
 
 use super::{Core, Outcome};
-use crate::cookie::message::{Message, Parcel};
+use crate::cookie::message::{Message, Outgoing};
 
 /// How long a server that has answered a probe here is left alone where a packet went unanswered here: at
 /// a loss of packets that goes on, each copy would else start an examination.
@@ -190,10 +190,10 @@
                 }
             }
         }
-        let mut parcels = self.tell_centre(&silent, now, |message, named| message.silent = named);
-        parcels.extend(self.tell_centre(&back, now, |message, named| message.back = named));
+        let mut outgoing = self.tell_centre(&silent, now, |message, named| message.silent = named);
+        outgoing.extend(self.tell_centre(&back, now, |message, named| message.back = named));
         Outcome {
-            parcels,
+            outgoing,
             examine: self.examine_neighbours(&silent, now),
             changed: !silent.is_empty() || !back.is_empty(),
             ..Outcome::default()
@@ -226,18 +226,18 @@
         servers: &[Arc<str>],
         now: Duration,
         put: impl Fn(&mut Message, Vec<Arc<str>>),
-    ) -> Vec<Parcel> {
+    ) -> Vec<Outgoing> {
         let own = self
             .list
             .iter()
             .filter(|member| member.data_centre == self.own.data_centre);
         let to: Vec<SocketAddrV4> = own.map(|member| member.address).collect();
-        let parcel = |named: &[Arc<str>]| {
+        let outgoing = |named: &[Arc<str>]| {
             let mut message = self.message(now);
             put(&mut message, named.to_vec());
             let to = to.clone();
-            Parcel { to, message }
+            Outgoing { to, message }
         };
-        servers.chunks(NAMED).map(parcel).collect()
+        servers.chunks(NAMED).map(outgoing).collect()
     }
 }
--- a/crates/node/src/cookie/core/failing.rs
+++ b/crates/node/src/cookie/core/failing.rs
@@ -6,7 +6,7 @@
 use acacia_cookie::{Snapshot, cookie, failing, speed};
 
 use super::{Core, Outcome};
-use crate::cookie::message::{Failure, Parcel};
+use crate::cookie::message::{Failure, Outgoing};
 
 /// Observers of a server, in its own data centre. Two, so that one may die or be cut off.
 const OBSERVERS: usize = 2;
@@ -41,7 +41,7 @@
                 let mut message = self.message(now);
                 message.failures = failures.to_vec();
                 let to = vec![observer];
-                outcome.parcels.push(Parcel { to, message });
+                outcome.outgoing.push(Outgoing { to, message });
             }
         }
         outcome
@@ -62,10 +62,10 @@
                 failing.push(Arc::clone(server));
             }
         }
-        let parcels = self.tell_centre(&failing, now, |message, named| message.failing = named);
+        let outgoing = self.tell_centre(&failing, now, |message, named| message.failing = named);
         let changed = self.mark_failing(&failing, now);
         Outcome {
-            parcels,
+            outgoing,
             changed,
             ..Outcome::default()
         }
--- a/crates/node/src/cookie/core/gossip.rs
+++ b/crates/node/src/cookie/core/gossip.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt as _, seq::IndexedRandom as _};
 
 use super::{Core, examine};
-use crate::cookie::message::{Message, Parcel};
+use crate::cookie::message::{Message, Outgoing};
 
 /// Other balancers described in one message: with 40 bytes each, it stays below an Ethernet frame.
 const DESCRIBED: usize = 24;
@@ -27,7 +27,7 @@
     }
 
     /// A round of gossip.
-    pub fn gossip(&mut self, now: Duration) -> Vec<Parcel> {
+    pub fn gossip(&mut self, now: Duration) -> Vec<Outgoing> {
         self.own.beat += 1;
         self.forget_removed(now);
         for lost in self.list.expire(now) {
@@ -46,7 +46,7 @@
             _ => to.extend(strangers.nth(self.own.beat as usize % self.seeds.len().max(1))),
         }
         let message = self.gossip_message(others.is_empty(), now);
-        let round = Parcel { to, message };
+        let round = Outgoing { to, message };
         [Some(round), self.question(now), self.tell_seen(now)]
             .into_iter()
             .flatten()
@@ -56,7 +56,7 @@
     /// A balancer that has no configuration yet asks the one that knew more when it started, now that
     /// the store has had its time. Left to chance, it would wait for long where most of those that it
     /// has heard of are paused.
-    fn question(&self, now: Duration) -> Option<Parcel> {
+    fn question(&self, now: Duration) -> Option<Outgoing> {
         if self.is_informed() || self.is_reading_first(now) {
             return None;
         }
@@ -66,11 +66,11 @@
             ..self.message(now)
         };
         let to = vec![self.informant?];
-        Some(Parcel { to, message })
+        Some(Outgoing { to, message })
     }
 
     /// Tells all of the own data centre that this balancer leaves.
-    pub fn leave(&mut self, now: Duration) -> Vec<Parcel> {
+    pub fn leave(&mut self, now: Duration) -> Vec<Outgoing> {
         self.own.leaving = true;
         self.own.beat += 1;
         let message = self.message(now);
@@ -79,7 +79,7 @@
             .iter()
             .filter(|member| member.data_centre == self.own.data_centre);
         let to = near.map(|member| member.address).collect();
-        vec![Parcel { to, message }]
+        vec![Outgoing { to, message }]
     }
 
     /// Takes in that some balancers live; gives those that are unknown here.
--- a/crates/node/src/cookie/core/news.rs
+++ b/crates/node/src/cookie/core/news.rs
@@ -8,7 +8,7 @@
 };
 
 use super::{Core, Outcome, Source, describe};
-use crate::cookie::message::{Difference, Known, LONGEST, Parcel};
+use crate::cookie::message::{Difference, Known, MAX_CHANGES_BYTES, Outgoing};
 
 impl Core {
     /// What was fetched from a peer has come in.
@@ -95,7 +95,7 @@
         let changes = self.catalog.since(base);
         let size = postcard::experimental::serialized_size(&changes);
         let complete = base >= self.catalog.forgotten();
-        let fits = complete && size.is_ok_and(|size| size <= LONGEST);
+        let fits = complete && size.is_ok_and(|size| size <= MAX_CHANGES_BYTES);
         let to = match fits {
             true => recipients(&self.own, &self.list, centre),
             false => fetch_children(&self.own, &self.list, root, centre),
@@ -106,7 +106,7 @@
             (message.base, message.changes) = (base, changes);
         }
         Outcome {
-            parcels: vec![Parcel { to, message }],
+            outgoing: vec![Outgoing { to, message }],
             changed,
             ..Outcome::default()
         }
--- a/crates/node/src/cookie/core/speed.rs
+++ b/crates/node/src/cookie/core/speed.rs
@@ -6,7 +6,7 @@
 use rand::seq::IndexedRandom as _;
 
 use super::{Core, Outcome};
-use crate::cookie::message::{self, Message, Parcel};
+use crate::cookie::message::{self, Message, Outgoing};
 
 /// Servers named in one message: with 30 bytes each, it stays below an Ethernet frame.
 const NAMED: usize = 32;
@@ -58,7 +58,7 @@
     }
 
     /// Tells some peers what was seen here since the last time. Servers that don't fit come next.
-    pub(super) fn tell_seen(&mut self, now: Duration) -> Option<Parcel> {
+    pub(super) fn tell_seen(&mut self, now: Duration) -> Option<Outgoing> {
         let count = self.untold.len().min(NAMED);
         if count == 0 {
             return None;
@@ -70,7 +70,7 @@
             seen,
             ..self.message(now)
         };
-        Some(Parcel { to, message })
+        Some(Outgoing { to, message })
     }
 }
 
--- a/crates/node/src/cookie/exchange.rs
+++ b/crates/node/src/cookie/exchange.rs
@@ -19,7 +19,7 @@
 };
 use tokio_serde::formats::MessagePack;
 
-use super::message::{Difference, Message, Parcel};
+use super::message::{Difference, Message, Outgoing};
 
 /// How long a peer has to accept a connection. With a round trip of 20 ms and a starved processor,
 /// this is ample; one that is gone keeps nobody waiting for longer.
@@ -39,9 +39,9 @@
     async fn difference(revision: u64) -> Difference;
 }
 
-/// Sends parcels. One that can't be sent is lost, as any datagram may be.
-pub async fn send(socket: &UdpSocket, parcels: Vec<Parcel>, secret: &Secret) {
-    for Parcel { to, message } in parcels.into_iter().filter(|parcel| !parcel.to.is_empty()) {
+/// Sends messages. One that can't be sent is lost, as any datagram may be.
+pub async fn send(socket: &UdpSocket, outgoing: Vec<Outgoing>, secret: &Secret) {
+    for Outgoing { to, message } in outgoing.into_iter().filter(|one| !one.to.is_empty()) {
         let envelope = Envelope {
             // Addresses tell these balancers apart, not numbers.
             sender: 0,
--- a/crates/node/src/cookie/leave.rs
+++ b/crates/node/src/cookie/leave.rs
@@ -35,10 +35,10 @@
         since: clock::now(),
     };
     *lock(&control.phase) = phase;
-    let (parcels, standing) = control.core(|core, now| (core.leave(now), core.standing(now)));
+    let (outgoing, standing) = control.core(|core, now| (core.leave(now), core.standing(now)));
     let (version, revision, peers) = (standing.version, standing.revision, standing.peers);
     log::info!("event=leaving signal={cause} version={version} revision={revision} peers={peers}");
-    control.send(parcels).await;
+    control.send(outgoing).await;
     let grace = lock(&control.settings).grace;
     let end = phase.end(grace).unwrap_or_default();
     tokio::select! {
--- a/crates/node/src/cookie/message.rs
+++ b/crates/node/src/cookie/message.rs
@@ -129,13 +129,13 @@
     }
 }
 
-/// Most bytes of changes that travel in a datagram; with the envelope it stays below an Ethernet
-/// frame. What is longer is fetched over TCP.
-pub const LONGEST: usize = 1_000;
+/// Maximum size of the changes in a datagram, in bytes. With the envelope, the datagram still fits into
+/// one Ethernet frame. Larger sets of changes are fetched over TCP.
+pub const MAX_CHANGES_BYTES: usize = 1_000;
 
-/// A message and where it goes.
+/// A message to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Parcel {
+pub struct Outgoing {
     /// The receivers' control addresses.
     pub to: Vec<SocketAddrV4>,
     /// What they are told.
--- a/crates/node/src/cookie/receive.rs
+++ b/crates/node/src/cookie/receive.rs
@@ -27,12 +27,12 @@
 /// When a socket or a signal fails.
 pub async fn gossip(control: Arc<Control>) -> Result<(), BoxError> {
     loop {
-        let (parcels, weighed) = control.core(|core, now| (core.gossip(now), core.judge(now)));
+        let (outgoing, weighed) = control.core(|core, now| (core.gossip(now), core.judge(now)));
         control.look_for_checks();
         if weighed {
             control.changed.notify_one();
         }
-        control.send(parcels).await;
+        control.send(outgoing).await;
         time::sleep(ROUND).await;
     }
 }
--- a/crates/node/tests/it/cookie/core.rs
+++ b/crates/node/tests/it/cookie/core.rs
@@ -429,15 +429,15 @@
     let outcome = core.examined(findings.collect(), ms(100));
 
     let told = outcome
-        .parcels
+        .outgoing
         .iter()
-        .flat_map(|parcel| &parcel.message.silent);
+        .flat_map(|outgoing| &outgoing.message.silent);
     assert_eq!(told.count(), 50);
     assert!(
         outcome
-            .parcels
+            .outgoing
             .iter()
-            .all(|parcel| parcel.message.silent.len() <= 20)
+            .all(|outgoing| outgoing.message.silent.len() <= 20)
     );
 }
 
--- a/crates/node/tests/it/cookie/cut.rs
+++ b/crates/node/tests/it/cookie/cut.rs
@@ -52,7 +52,7 @@
     let (mut examined, mut probed) = (0, 0);
     loop {
         let now = fleet.now;
-        let mut parcels = Vec::new();
+        let mut outgoing = Vec::new();
         let mut any = false;
         for core in fleet.cores.values_mut() {
             let (examination, _) = core.examination(now);
@@ -71,9 +71,9 @@
             let back = examination.silent.iter().filter(|_| !is_cut);
             let back = back.map(|target| (Arc::clone(&target.server), Finding::Answered));
             let findings = targets.chain(back).collect();
-            parcels.extend(core.examined(findings, now + ms(90)).parcels);
+            outgoing.extend(core.examined(findings, now + ms(90)).outgoing);
         }
-        fleet.deliver(parcels);
+        fleet.deliver(outgoing);
         if !any {
             return (examined, probed);
         }
@@ -121,8 +121,8 @@
     core.examination(now);
     let findings = (1..=60).map(|number| (name(number).into(), Finding::Silent));
 
-    let parcels = core.examined(findings.collect(), now).parcels;
-    fleet.deliver(parcels);
+    let outgoing = core.examined(findings.collect(), now).outgoing;
+    fleet.deliver(outgoing);
     examine(&mut fleet, false);
 
     let wrong = silent(&fleet).into_iter().filter(|silent| *silent > 0);
--- a/crates/node/tests/it/cookie/evacuation.rs
+++ b/crates/node/tests/it/cookie/evacuation.rs
@@ -98,7 +98,7 @@
 
     let core = fleet.cores.get_mut(&first).expect("a balancer");
     let outcome = core.read(reading, 9, now, now);
-    fleet.deliver(outcome.parcels);
+    fleet.deliver(outcome.outgoing);
 
     assert!(all_are(&mut fleet, Standing::Evacuated));
 }
--- a/crates/node/tests/it/cookie/failing.rs
+++ b/crates/node/tests/it/cookie/failing.rs
@@ -48,7 +48,7 @@
 
 /// A second of requests, each through another balancer; nine of ten of the failing servers' fail.
 fn second(fleet: &mut Fleet, round: u64) {
-    let mut parcels = Vec::new();
+    let mut outgoing = Vec::new();
     for number in 1..=SERVERS {
         for request in 0..REQUESTS {
             let draw = round * 31 + number * 7 + request * 53;
@@ -56,10 +56,10 @@
             let at = (draw * 17) as usize % BALANCERS;
             let now = fleet.now;
             let core = fleet.cores.values_mut().nth(at).expect("a balancer");
-            parcels.extend(core.seen(vec![seen(number, failed)], now).parcels);
+            outgoing.extend(core.seen(vec![seen(number, failed)], now).outgoing);
         }
     }
-    fleet.deliver(parcels);
+    fleet.deliver(outgoing);
     fleet.now += ms(1_000);
 }
 
--- a/crates/node/tests/it/cookie/fixture.rs
+++ b/crates/node/tests/it/cookie/fixture.rs
@@ -8,7 +8,7 @@
 use acacia_node::cookie::{
     Settings,
     core::{Core, Outcome},
-    message::Parcel,
+    message::Outgoing,
 };
 
 const KEY: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
@@ -157,13 +157,13 @@
             0 => core.read(changes, revision, now, now),
             _ => core.changed(changes, revision, now, now),
         };
-        self.deliver(outcome.parcels);
+        self.deliver(outcome.outgoing);
     }
 
     /// Delivers messages and what follows from them until nothing is under way.
-    pub fn deliver(&mut self, parcels: Vec<Parcel>) {
-        let mut under_way = parcels;
-        while let Some(Parcel { to, message }) = under_way.pop() {
+    pub fn deliver(&mut self, outgoing: Vec<Outgoing>) {
+        let mut under_way = outgoing;
+        while let Some(Outgoing { to, message }) = under_way.pop() {
             let from = message.from.address;
             if self.lost.contains(&from) {
                 continue;
@@ -179,7 +179,7 @@
         address: SocketAddrV4,
         from: SocketAddrV4,
         message: &acacia_node::cookie::message::Message,
-    ) -> Vec<Parcel> {
+    ) -> Vec<Outgoing> {
         let now = self.now;
         if self.lost.contains(&address) {
             return Vec::new();
@@ -190,16 +190,18 @@
         self.delivered += 1;
         let source = core.source(message);
         let Outcome {
-            mut parcels, fetch, ..
+            mut outgoing,
+            fetch,
+            ..
         } = core.hear(message.clone(), now);
         if fetch {
             let wanted = core.wanted();
             let difference = self.cores[&from].difference(wanted, now);
             *self.fetched.entry(from).or_default() += 1;
             let core = self.cores.get_mut(&address).expect("a balancer");
-            parcels.extend(core.fetched(difference, &source, now).parcels);
+            outgoing.extend(core.fetched(difference, &source, now).outgoing);
         }
-        parcels
+        outgoing
     }
 
     /// The versions in force, each balancer's.
--- a/crates/node/tests/it/cookie/refused.rs
+++ b/crates/node/tests/it/cookie/refused.rs
@@ -58,7 +58,7 @@
 fn examine(fleet: &mut Fleet) -> usize {
     let now = fleet.now;
     let end = now + ms(EXAMINATION_MS);
-    let mut parcels = Vec::new();
+    let mut outgoing = Vec::new();
     let mut examined = 0;
     for core in fleet.cores.values_mut() {
         let (examination, _) = core.examination(now);
@@ -76,10 +76,10 @@
             };
             (Arc::clone(&target.server), finding)
         });
-        parcels.extend(core.examined(findings.collect(), end).parcels);
+        outgoing.extend(core.examined(findings.collect(), end).outgoing);
     }
     fleet.now = end;
-    fleet.deliver(parcels);
+    fleet.deliver(outgoing);
     examined
 }
 
