--- a/crates/node/src/cookie/control.rs
+++ b/crates/node/src/cookie/control.rs
@@ -94,7 +94,7 @@
 
     /// All metrics as text.
     pub fn text(&self) -> String {
-        let standing = self.core(|core, now| core.standing(now));
+        let standing = self.core(|core, now| core.summary(now));
         let listeners = self.limiters.all();
         self.meters.text(&self.counter, &standing, &listeners)
     }
--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -6,7 +6,7 @@
 mod gossip;
 mod news;
 mod speed;
-mod standing;
+mod summary;
 
 use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -26,7 +26,7 @@
 use rand_pcg::Pcg64;
 
 pub use examine::{Examination, Target};
-pub use standing::{Evacuation, Standing};
+pub use summary::{Evacuation, Summary};
 
 use super::{
     message::{Known, Message, Outgoing},
@@ -166,7 +166,7 @@
     }
 
     /// Takes in changed settings.
-    pub fn renew(&mut self, settings: &Settings) {
+    pub fn update_settings(&mut self, settings: &Settings) {
         self.seeds = settings.seeds.clone();
         self.reading
             .set_timing(spread::Timing::within(settings.in_force));
@@ -175,7 +175,7 @@
 
     /// The pace of readings.
     #[must_use]
-    pub const fn pace(&self) -> spread::Timing {
+    pub const fn timing(&self) -> spread::Timing {
         self.reading.timing()
     }
 
@@ -187,7 +187,7 @@
 
     /// The revision after which changes are to be fetched from a peer.
     #[must_use]
-    pub const fn wanted(&self) -> u64 {
+    pub const fn fetch_base(&self) -> u64 {
         if self.missed {
             0
         } else {
@@ -221,12 +221,12 @@
 
     /// The other balancers.
     #[must_use]
-    pub const fn list(&self) -> &Members {
+    pub const fn peers(&self) -> &Members {
         &self.list
     }
 
     /// What to do about the store now.
-    pub fn turn(&mut self, now: Duration) -> spread::Action {
+    pub fn next_store_action(&mut self, now: Duration) -> spread::Action {
         self.own.sighted = self.reading.is_store_reachable();
         let reads = !self.is_joining(now) && is_reader(&self.own, &self.list);
         if reads != self.reads {
@@ -255,7 +255,7 @@
     }
 
     /// The store has answered a call that left at `sent` with `changes` up to `revision`.
-    pub fn changed(
+    pub fn apply_store_changes(
         &mut self,
         changes: Vec<Change>,
         revision: u64,
@@ -274,7 +274,7 @@
     }
 
     /// The store has answered a whole reading that left at `sent`.
-    pub fn read(
+    pub fn apply_full_read(
         &mut self,
         reading: Vec<Change>,
         revision: u64,
@@ -309,7 +309,7 @@
     }
 
     /// A call to the store has failed.
-    pub fn failed(&mut self, reason: &dyn std::fmt::Display, now: Duration) {
+    pub fn record_store_failure(&mut self, reason: &dyn std::fmt::Display, now: Duration) {
         if self.reading.is_store_reachable() {
             let revision = self.catalog.revision();
             log::warn!("event=store-lost revision={revision} reason=\"{reason}\"");
@@ -318,7 +318,7 @@
     }
 
     /// A message has come in.
-    pub fn hear(&mut self, message: Message, now: Duration) -> Outcome {
+    pub fn receive(&mut self, message: Message, now: Duration) -> Outcome {
         if message.from.address == self.own.address {
             return Outcome::default();
         }
--- a/crates/node/src/cookie/core/examine.rs
+++ b/crates/node/src/cookie/core/examine.rs
@@ -57,7 +57,7 @@
 
 impl Core {
     /// A packet to a server went unanswered here. Whether there is something to examine.
-    pub fn unanswered(&mut self, server: &Arc<str>, now: Duration) -> bool {
+    pub fn record_unanswered(&mut self, server: &Arc<str>, now: Duration) -> bool {
         let examine = self.detector.suspect(server, OWN_TRUST, now);
         if examine {
             log::info!("event=server-suspected server={server} by=packets");
@@ -168,7 +168,11 @@
     }
 
     /// An examination has ended.
-    pub fn examined(&mut self, findings: Vec<(Arc<str>, Finding)>, now: Duration) -> Outcome {
+    pub fn record_findings(
+        &mut self,
+        findings: Vec<(Arc<str>, Finding)>,
+        now: Duration,
+    ) -> Outcome {
         let (mut silent, mut back) = (Vec::new(), Vec::new());
         let unknown = |(_, finding): &&(Arc<str>, Finding)| *finding == Finding::Unknown;
         let unknown = findings.iter().filter(unknown);
--- a/crates/node/src/cookie/core/news.rs
+++ b/crates/node/src/cookie/core/news.rs
@@ -12,7 +12,12 @@
 
 impl Core {
     /// What was fetched from a peer has come in.
-    pub fn fetched(&mut self, difference: Difference, source: &Source, now: Duration) -> Outcome {
+    pub fn apply_fetched(
+        &mut self,
+        difference: Difference,
+        source: &Source,
+        now: Duration,
+    ) -> Outcome {
         self.missed = false;
         let Difference {
             known,
--- a/crates/node/src/cookie/core/speed.rs
+++ b/crates/node/src/cookie/core/speed.rs
@@ -18,7 +18,7 @@
 
 impl Core {
     /// What the traffic threads have seen of the servers.
-    pub fn seen(&mut self, seen: Vec<speed::Count>, now: Duration) -> Outcome {
+    pub fn record_counts(&mut self, seen: Vec<speed::Count>, now: Duration) -> Outcome {
         let outcome = self.report_failures(&seen, now);
         for seen in seen {
             self.speeds.add(&seen);
@@ -42,7 +42,7 @@
     }
 
     /// Evaluates the speeds; true if weights have changed.
-    pub fn judge(&mut self, now: Duration) -> bool {
+    pub fn evaluate_speeds(&mut self, now: Duration) -> bool {
         let balancers = self.list.len() + 1;
         let visible = (self.reports + 1).min(balancers) as f64 / balancers as f64;
         let roster = &self.roster;
--- a/crates/node/src/cookie/core/standing.rs
+++ b/crates/node/src/cookie/core/summary.rs
@@ -17,7 +17,7 @@
 
 /// What operators look at first.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Standing {
+pub struct Summary {
     /// The operators' number of the configuration in force; 0 for none.
     pub version: u64,
     /// The store's revision up to which everything is known.
@@ -39,8 +39,8 @@
 impl Core {
     /// What operators look at first.
     #[must_use]
-    pub fn standing(&self, now: Duration) -> Standing {
-        Standing {
+    pub fn summary(&self, now: Duration) -> Summary {
+        Summary {
             version: self.version().unwrap_or_default(),
             revision: self.catalog.revision(),
             age: self
--- a/crates/node/src/cookie/examine.rs
+++ b/crates/node/src/cookie/examine.rs
@@ -125,11 +125,15 @@
     while let Some(notice) = notices.recv().await {
         match notice {
             Notice::Unanswered(server) => {
-                if control.core(|core, now| core.unanswered(&server, now)) {
+                if control.core(|core, now| core.record_unanswered(&server, now)) {
                     control.doubt.notify_one();
                 }
             }
-            Notice::Seen(seen) => control.take(|core, now| core.seen(seen, now)).await,
+            Notice::Seen(seen) => {
+                control
+                    .take(|core, now| core.record_counts(seen, now))
+                    .await
+            }
         }
     }
     Ok(())
@@ -151,7 +155,9 @@
                 let control = Arc::clone(&control);
                 examinations.spawn(async move {
                     let findings = run(examination).await;
-                    control.take(|core, now| core.examined(findings, now)).await;
+                    control
+                        .take(|core, now| core.record_findings(findings, now))
+                        .await;
                 });
             }
             next.map(|at| at.saturating_sub(clock::now()))
--- a/crates/node/src/cookie/follow.rs
+++ b/crates/node/src/cookie/follow.rs
@@ -32,7 +32,7 @@
     prime(control, client).await;
     let mut whole = false;
     loop {
-        let turn = control.core(|core, now| core.turn(now));
+        let turn = control.core(|core, now| core.next_store_action(now));
         let wait = match turn {
             spread::Action::Wait(wait) => {
                 tokio::select! {
@@ -41,7 +41,7 @@
                 }
                 continue;
             }
-            spread::Action::Watch => control.core(|core, _| core.pace().watch_timeout),
+            spread::Action::Watch => control.core(|core, _| core.timing().watch_timeout),
             spread::Action::Poll => AT_ONCE,
         };
         let sent = clock::now();
@@ -61,7 +61,7 @@
                 );
                 whole = true;
             }
-            Err(error) => control.core(|core, now| core.failed(&error, now)),
+            Err(error) => control.core(|core, now| core.record_store_failure(&error, now)),
         }
     }
 }
@@ -79,7 +79,7 @@
                 .take(|core, now| core.prime(changes, revision, now))
                 .await;
         }
-        Err(error) => control.core(|core, now| core.failed(&error, now)),
+        Err(error) => control.core(|core, now| core.record_store_failure(&error, now)),
     }
 }
 
@@ -88,7 +88,7 @@
     let (items, revision) = client.range(&prefix, Consistency::Linearizable).await?;
     let changes: Vec<Change> = items.iter().filter_map(entry::item).collect();
     control
-        .take(|core, now| core.read(changes, revision, sent, now))
+        .take(|core, now| core.apply_full_read(changes, revision, sent, now))
         .await;
     Ok(())
 }
@@ -112,7 +112,7 @@
     };
     let fresh = fresh.min(clock::now());
     control
-        .take(|core, now| core.changed(changes, answer.revision, fresh, now))
+        .take(|core, now| core.apply_store_changes(changes, answer.revision, fresh, now))
         .await;
     Ok(())
 }
--- a/crates/node/src/cookie/leave.rs
+++ b/crates/node/src/cookie/leave.rs
@@ -35,7 +35,7 @@
         since: clock::now(),
     };
     *lock(&control.phase) = phase;
-    let (outgoing, standing) = control.core(|core, now| (core.leave(now), core.standing(now)));
+    let (outgoing, standing) = control.core(|core, now| (core.leave(now), core.summary(now)));
     let (version, revision, peers) = (standing.version, standing.revision, standing.peers);
     log::info!("event=leaving signal={cause} version={version} revision={revision} peers={peers}");
     control.send(outgoing).await;
--- a/crates/node/src/cookie/meters.rs
+++ b/crates/node/src/cookie/meters.rs
@@ -23,7 +23,7 @@
     registry::Registry,
 };
 
-use super::core::Standing;
+use super::core::Summary;
 use crate::counter::{Counter, KINDS};
 
 /// What a time belongs to.
@@ -124,12 +124,12 @@
     /// All metrics as text.
     ///
     /// ```
-    /// use acacia_node::{cookie::{core::Standing, meters::Meters}, counter::Counter};
-    /// let text = Meters::default().text(&Counter::default(), &Standing::default(), &[]);
+    /// use acacia_node::{cookie::{core::Summary, meters::Meters}, counter::Counter};
+    /// let text = Meters::default().text(&Counter::default(), &Summary::default(), &[]);
     /// assert!(text.contains("acaciatrack_peers 0"));
     /// ```
     #[must_use]
-    pub fn text(&self, counter: &Counter, standing: &Standing, listeners: &[&Limiter]) -> String {
+    pub fn text(&self, counter: &Counter, standing: &Summary, listeners: &[&Limiter]) -> String {
         let mut registry = Registry::with_prefix("acaciatrack");
         registry.register(
             "opening_seconds",
@@ -166,7 +166,7 @@
         text
     }
 
-    fn gauges(&self, standing: &Standing) -> [(&'static str, &'static str, u128); 8] {
+    fn gauges(&self, standing: &Summary) -> [(&'static str, &'static str, u128); 8] {
         let ready = self.ready.get().map_or(0, Duration::as_millis);
         let age = standing.age.map_or(0, |age| age.as_millis());
         [
--- a/crates/node/src/cookie/receive.rs
+++ b/crates/node/src/cookie/receive.rs
@@ -27,7 +27,8 @@
 /// When a socket or a signal fails.
 pub async fn gossip(control: Arc<Control>) -> Result<(), BoxError> {
     loop {
-        let (outgoing, weighed) = control.core(|core, now| (core.gossip(now), core.judge(now)));
+        let (outgoing, weighed) =
+            control.core(|core, now| (core.gossip(now), core.evaluate_speeds(now)));
         control.look_for_checks();
         if weighed {
             control.changed.notify_one();
@@ -76,7 +77,7 @@
     let mut missing = false;
     control
         .take(|core, now| {
-            let outcome = core.hear(message, now);
+            let outcome = core.receive(message, now);
             missing = outcome.fetch;
             outcome
         })
@@ -87,11 +88,11 @@
     let permit = Permit::try_acquire(&control.fetching)?;
     let control = Arc::clone(control);
     Some(async move {
-        let revision = control.core(|core, _| core.wanted());
+        let revision = control.core(|core, _| core.fetch_base());
         match exchange::fetch(from, revision).await {
             Ok(difference) => {
                 control
-                    .take(|core, now| core.fetched(difference, &source, now))
+                    .take(|core, now| core.apply_fetched(difference, &source, now))
                     .await;
             }
             Err(error) => log::info!("event=fetch-failed peer={from} error=\"{error}\""),
--- a/crates/node/src/cookie/reload.rs
+++ b/crates/node/src/cookie/reload.rs
@@ -41,7 +41,7 @@
         before = text;
         match Settings::parse(before.as_deref().unwrap_or_default()) {
             Ok(settings) => {
-                control.core(|core, _| core.renew(&settings));
+                control.core(|core, _| core.update_settings(&settings));
                 *lock(&control.settings) = settings;
                 log::info!("event=settings-reloaded");
             }
--- a/crates/node/src/cookie/status.rs
+++ b/crates/node/src/cookie/status.rs
@@ -9,15 +9,15 @@
 
 use super::{
     control::{Control, lock},
-    core::{Evacuation, Standing},
+    core::{Evacuation, Summary},
     rotation::Phase,
 };
 
 /// The balancer's account of itself. `admin` is where it answers; peers answer on the same port.
 pub fn status(control: &Control, admin: SocketAddrV4) -> Status {
-    let (standing, own, list) = control.core(|core, now| {
-        let list: Vec<SocketAddrV4> = core.list().iter().map(|member| member.address).collect();
-        (core.standing(now), core.own().clone(), list)
+    let (summary, own, list) = control.core(|core, now| {
+        let list: Vec<SocketAddrV4> = core.peers().iter().map(|member| member.address).collect();
+        (core.summary(now), core.own().clone(), list)
     });
     let phase = *lock(&control.phase);
     let peer = |address: &SocketAddrV4| status::Peer {
@@ -31,10 +31,10 @@
         name: lock(&control.settings).name.clone(),
         data_centre: own.data_centre,
         phase: shown(phase),
-        revision: (standing.version > 0).then_some(standing.version),
-        enforced_ms: enforced_ms(&standing),
-        evacuations: standing.evacuations.iter().map(evacuation).collect(),
-        store_ms: standing.age.map(|age| age.as_millis() as u64),
+        revision: (summary.version > 0).then_some(summary.version),
+        enforced_ms: enforced_ms(&summary),
+        evacuations: summary.evacuations.iter().map(evacuation).collect(),
+        store_ms: summary.age.map(|age| age.as_millis() as u64),
         peers: list.iter().map(peer).collect(),
         ..Status::default()
     }
@@ -48,8 +48,8 @@
     }
 }
 
-fn enforced_ms(standing: &Standing) -> u64 {
-    standing.enforced.map_or(0, |age| age.as_millis() as u64)
+fn enforced_ms(summary: &Summary) -> u64 {
+    summary.enforced.map_or(0, |age| age.as_millis() as u64)
 }
 
 const fn shown(phase: Phase) -> status::Phase {
--- a/crates/node/tests/it/cookie/core.rs
+++ b/crates/node/tests/it/cookie/core.rs
@@ -25,7 +25,7 @@
         missing += fleet
             .cores
             .values()
-            .map(|core| others - core.list().len())
+            .map(|core| others - core.peers().len())
             .sum::<usize>();
         pairs += fleet.cores.len() * others;
     }
@@ -48,7 +48,7 @@
     for _ in 0..24 {
         fleet.rounds(1);
         let living = fleet.cores.iter().filter(|(address, _)| **address != dead);
-        let named = living.filter(|(_, core)| core.list().get(dead).is_some());
+        let named = living.filter(|(_, core)| core.peers().get(dead).is_some());
         assert_eq!(named.count(), 0);
     }
 }
@@ -139,8 +139,8 @@
         .message;
 
     let core = fleet.cores.get_mut(&new).expect("a balancer");
-    let early = core.hear(word.clone(), now + ms(50));
-    let late = core.hear(word.clone(), now + ms(300));
+    let early = core.receive(word.clone(), now + ms(50));
+    let late = core.receive(word.clone(), now + ms(300));
 
     assert!(!early.fetch);
     assert!(late.fetch);
@@ -217,7 +217,7 @@
     let stale = fleet.cores[&first].difference(0, now);
     let other = *fleet.cores.keys().nth(1).expect("another");
     let core = fleet.cores.get_mut(&other).expect("a balancer");
-    core.changed(vec![config(5, 9)], 5, now, now);
+    core.apply_store_changes(vec![config(5, 9)], 5, now, now);
 
     assert_eq!(fleet.versions(), all(&fleet, 6));
     assert!(stale.changes.iter().all(|change| change.revision() <= 6));
@@ -235,7 +235,7 @@
     let turns: Vec<spread::Action> = fleet
         .cores
         .values_mut()
-        .map(|core| core.turn(now))
+        .map(|core| core.next_store_action(now))
         .collect();
 
     let calls = turns
@@ -255,11 +255,14 @@
     let mut watches = 0;
 
     for core in fleet.cores.values_mut() {
-        core.read(vec![change.clone()], 5, now, now);
+        core.apply_full_read(vec![change.clone()], 5, now, now);
     }
     for _ in 0..4 {
         let now = fleet.now;
-        let turns = fleet.cores.values_mut().map(|core| core.turn(now));
+        let turns = fleet
+            .cores
+            .values_mut()
+            .map(|core| core.next_store_action(now));
         watches += turns.filter(|turn| *turn == spread::Action::Watch).count();
         fleet.rounds(1);
     }
@@ -287,7 +290,7 @@
         let callers: Vec<_> = fleet
             .cores
             .iter_mut()
-            .filter_map(|(address, core)| match core.turn(now) {
+            .filter_map(|(address, core)| match core.next_store_action(now) {
                 spread::Action::Wait(_) => None,
                 spread::Action::Watch | spread::Action::Poll => Some(*address),
             })
@@ -309,8 +312,8 @@
     let mut core = acacia_node::cookie::core::Core::new(&settings(3, "a"), 1, ms(0));
     core.prime(vec![config(5, 3)], 5, ms(0));
 
-    let early = core.turn(ms(900));
-    let late = core.turn(ms(2_200));
+    let early = core.next_store_action(ms(900));
+    let late = core.next_store_action(ms(2_200));
 
     assert!(matches!(early, spread::Action::Wait(_)));
     assert_eq!(late, spread::Action::Poll);
@@ -324,7 +327,11 @@
     fleet.tell(first, vec![config(5, 3)], 5);
 
     let now = fleet.now;
-    let turn = fleet.cores.get_mut(&first).expect("a balancer").turn(now);
+    let turn = fleet
+        .cores
+        .get_mut(&first)
+        .expect("a balancer")
+        .next_store_action(now);
 
     assert_eq!(turn, spread::Action::Watch);
 }
@@ -346,7 +353,7 @@
         .filter(|(address, _)| **address != reader)
     {
         let mut now = start;
-        while let spread::Action::Wait(wait) = core.turn(now) {
+        while let spread::Action::Wait(wait) = core.next_store_action(now) {
             now += wait;
         }
         read.push((*address, now - start));
@@ -365,14 +372,14 @@
     let servers: Vec<Change> = (1..=5)
         .map(|number| server(&format!("i-{number}"), number))
         .collect();
-    core.read(servers, 9, ms(0), ms(0));
+    core.apply_full_read(servers, 9, ms(0), ms(0));
     core.snapshot(ms(0));
-    core.unanswered(&"i-1".into(), ms(10));
+    core.record_unanswered(&"i-1".into(), ms(10));
     let (examination, _) = core.examination(ms(10));
     assert_eq!(examination.targets.len(), 1);
     assert!(examination.control.is_some());
 
-    let outcome = core.examined(vec![("i-1".into(), Finding::Silent)], ms(100));
+    let outcome = core.record_findings(vec![("i-1".into(), Finding::Silent)], ms(100));
 
     assert!(outcome.examine && outcome.changed);
     let (examination, _) = core.examination(ms(100));
@@ -396,11 +403,11 @@
     let now = fleet.now;
     let mut examined = 0;
     for core in fleet.cores.values_mut() {
-        core.read(servers.clone(), 99, now, now);
+        core.apply_full_read(servers.clone(), 99, now, now);
         core.snapshot(now);
-        core.unanswered(&"i-1".into(), now);
+        core.record_unanswered(&"i-1".into(), now);
         core.examination(now);
-        core.examined(vec![("i-1".into(), Finding::Silent)], now + ms(100));
+        core.record_findings(vec![("i-1".into(), Finding::Silent)], now + ms(100));
         examined += core.examination(now + ms(100)).0.targets.len();
     }
 
@@ -418,15 +425,15 @@
         .map(|number| format!("i-{number}").into())
         .collect();
     let servers = ids.iter().zip(1..).map(|(id, number)| server(id, number));
-    core.read(servers.collect(), 60, ms(0), ms(0));
+    core.apply_full_read(servers.collect(), 60, ms(0), ms(0));
     core.snapshot(ms(0));
     for id in &ids {
-        core.unanswered(id, ms(10));
+        core.record_unanswered(id, ms(10));
     }
     core.examination(ms(10));
     let findings = ids.iter().map(|id| (Arc::clone(id), Finding::Silent));
 
-    let outcome = core.examined(findings.collect(), ms(100));
+    let outcome = core.record_findings(findings.collect(), ms(100));
 
     let told = outcome
         .outgoing
@@ -451,7 +458,7 @@
     // The other one reads a configuration that the first never sees.
     let now = fleet.now;
     let core = fleet.cores.get_mut(&other).expect("a balancer");
-    core.changed(vec![config(6, 50)], 6, now, now);
+    core.apply_store_changes(vec![config(6, 50)], 6, now, now);
 
     fleet.tell(one, vec![config(7, 3)], 7);
     fleet.rounds(2);
--- a/crates/node/tests/it/cookie/cut.rs
+++ b/crates/node/tests/it/cookie/cut.rs
@@ -31,7 +31,7 @@
         }
     }
     for core in fleet.cores.values_mut() {
-        core.read(servers.clone(), SERVERS, now, now);
+        core.apply_full_read(servers.clone(), SERVERS, now, now);
         core.snapshot(now);
     }
     fleet
@@ -71,7 +71,7 @@
             let back = examination.silent.iter().filter(|_| !is_cut);
             let back = back.map(|target| (Arc::clone(&target.server), Finding::Answered));
             let findings = targets.chain(back).collect();
-            outgoing.extend(core.examined(findings, now + ms(90)).outgoing);
+            outgoing.extend(core.record_findings(findings, now + ms(90)).outgoing);
         }
         fleet.deliver(outgoing);
         if !any {
@@ -84,7 +84,7 @@
 fn silent(fleet: &Fleet) -> Vec<usize> {
     let now = fleet.now;
     let cores = fleet.cores.values();
-    cores.map(|core| core.standing(now).silent).collect()
+    cores.map(|core| core.summary(now).silent).collect()
 }
 
 /// Each balancer of a large fleet examines each server behind a cut, and again whether it is back: more
@@ -95,7 +95,7 @@
     let now = fleet.now;
     for centre in 0..CENTRES.len() {
         let core = fleet.cores.values_mut().nth(centre).expect("a balancer");
-        core.unanswered(&name(SERVERS).into(), now);
+        core.record_unanswered(&name(SERVERS).into(), now);
     }
 
     let (examined, _) = examine(&mut fleet, true);
@@ -116,12 +116,12 @@
     let now = fleet.now;
     let core = fleet.cores.values_mut().next().expect("a balancer");
     for number in 1..=60 {
-        core.unanswered(&name(number).into(), now);
+        core.record_unanswered(&name(number).into(), now);
     }
     core.examination(now);
     let findings = (1..=60).map(|number| (name(number).into(), Finding::Silent));
 
-    let outgoing = core.examined(findings.collect(), now).outgoing;
+    let outgoing = core.record_findings(findings.collect(), now).outgoing;
     fleet.deliver(outgoing);
     examine(&mut fleet, false);
 
--- a/crates/node/tests/it/cookie/evacuation.rs
+++ b/crates/node/tests/it/cookie/evacuation.rs
@@ -80,10 +80,10 @@
     fleet.rounds(8);
 
     let now = fleet.now;
-    let standing = fleet.cores[&missed].standing(now);
-    assert_eq!(standing.revision, 8);
+    let summary = fleet.cores[&missed].summary(now);
+    assert_eq!(summary.revision, 8);
     assert_eq!(standings(&mut fleet)[&missed], Standing::Evacuated);
-    let evacuations = fleet.cores[&missed].standing(now).evacuations;
+    let evacuations = fleet.cores[&missed].summary(now).evacuations;
     let centres: Vec<&str> = evacuations.iter().map(|mark| &*mark.data_centre).collect();
     assert_eq!(centres, ["a"]);
 }
@@ -97,7 +97,7 @@
     let reading = vec![config(5, 3), server("i-1", 4), evacuation("a", 6, true)];
 
     let core = fleet.cores.get_mut(&first).expect("a balancer");
-    let outcome = core.read(reading, 9, now, now);
+    let outcome = core.apply_full_read(reading, 9, now, now);
     fleet.deliver(outcome.outgoing);
 
     assert!(all_are(&mut fleet, Standing::Evacuated));
@@ -116,7 +116,7 @@
     let asks = (0..).map(|step| told + ms(50 * step));
     let asks = asks
         .into_iter()
-        .find(|at| core.turn(*at) == spread::Action::Poll);
+        .find(|at| core.next_store_action(*at) == spread::Action::Poll);
 
     let waited = asks.expect("it asks") - told;
     assert!(waited <= BOUND.mul_f64(0.71), "{waited:?}");
@@ -132,9 +132,9 @@
     fleet.now += ms(700);
     standings(&mut fleet);
 
-    let standing = fleet.cores[&first].standing(fleet.now);
+    let summary = fleet.cores[&first].summary(fleet.now);
 
-    let mark = &standing.evacuations[0];
+    let mark = &summary.evacuations[0];
     assert_eq!((&mark.data_centre, mark.revision), (&Arc::from("a"), 6));
     assert_eq!(mark.enforced, ms(700));
 }
--- a/crates/node/tests/it/cookie/failing.rs
+++ b/crates/node/tests/it/cookie/failing.rs
@@ -24,7 +24,7 @@
         .chain(servers)
         .collect();
     for core in fleet.cores.values_mut() {
-        core.read(all.clone(), SERVERS + 1, now, now);
+        core.apply_full_read(all.clone(), SERVERS + 1, now, now);
         core.snapshot(now);
     }
     fleet
@@ -56,7 +56,7 @@
             let at = (draw * 17) as usize % BALANCERS;
             let now = fleet.now;
             let core = fleet.cores.values_mut().nth(at).expect("a balancer");
-            outgoing.extend(core.seen(vec![seen(number, failed)], now).outgoing);
+            outgoing.extend(core.record_counts(vec![seen(number, failed)], now).outgoing);
         }
     }
     fleet.deliver(outgoing);
--- a/crates/node/tests/it/cookie/fixture.rs
+++ b/crates/node/tests/it/cookie/fixture.rs
@@ -154,8 +154,8 @@
         let now = self.now;
         let core = self.cores.get_mut(&to).expect("a balancer");
         let outcome = match core.revision() {
-            0 => core.read(changes, revision, now, now),
-            _ => core.changed(changes, revision, now, now),
+            0 => core.apply_full_read(changes, revision, now, now),
+            _ => core.apply_store_changes(changes, revision, now, now),
         };
         self.deliver(outcome.outgoing);
     }
@@ -193,13 +193,13 @@
             mut outgoing,
             fetch,
             ..
-        } = core.hear(message.clone(), now);
+        } = core.receive(message.clone(), now);
         if fetch {
-            let wanted = core.wanted();
+            let wanted = core.fetch_base();
             let difference = self.cores[&from].difference(wanted, now);
             *self.fetched.entry(from).or_default() += 1;
             let core = self.cores.get_mut(&address).expect("a balancer");
-            outgoing.extend(core.fetched(difference, &source, now).outgoing);
+            outgoing.extend(core.apply_fetched(difference, &source, now).outgoing);
         }
         outgoing
     }
--- a/crates/node/tests/it/cookie/refused.rs
+++ b/crates/node/tests/it/cookie/refused.rs
@@ -48,7 +48,7 @@
     });
     let known: Vec<Change> = known.collect();
     for core in fleet.cores.values_mut() {
-        core.read(known.clone(), SERVERS, now, now);
+        core.apply_full_read(known.clone(), SERVERS, now, now);
         core.snapshot(now);
     }
     fleet
@@ -76,7 +76,7 @@
             };
             (Arc::clone(&target.server), finding)
         });
-        outgoing.extend(core.examined(findings.collect(), end).outgoing);
+        outgoing.extend(core.record_findings(findings.collect(), end).outgoing);
     }
     fleet.now = end;
     fleet.deliver(outgoing);
@@ -88,7 +88,7 @@
     let now = fleet.now;
     let cores = fleet.cores.values();
     let cores = cores.filter(|core| centre.is_none_or(|centre| &*core.own().data_centre == centre));
-    cores.map(|core| core.standing(now).silent).collect()
+    cores.map(|core| core.summary(now).silent).collect()
 }
 
 /// Callers of a data centre are turned away for as long as its servers are down, although two others
@@ -101,7 +101,7 @@
     let now = fleet.now;
     let mut near = fleet.cores.values_mut();
     let near = near.find(|core| &*core.own().data_centre == centre);
-    near.expect("a balancer").unanswered(&name(3), now);
+    near.expect("a balancer").record_unanswered(&name(3), now);
 
     let mut examined = 0;
     for _ in 0..4 {
--- a/crates/node/tests/it/cookie/speed.rs
+++ b/crates/node/tests/it/cookie/speed.rs
@@ -52,9 +52,9 @@
         let now = fleet.now;
         for (number, (address, core)) in fleet.cores.iter_mut().enumerate() {
             if *address != blind {
-                core.seen(answers(each, "fast", ms(20)), now);
+                core.record_counts(answers(each, "fast", ms(20)), now);
                 // So that the slow one is as busy as the fast one.
-                core.seen(
+                core.record_counts(
                     answers(each * u32::from(number % 4 == 0), "slow", ms(80)),
                     now,
                 );
@@ -63,7 +63,7 @@
         fleet.rounds(2);
         let now = fleet.now;
         for core in fleet.cores.values_mut() {
-            core.judge(now);
+            core.evaluate_speeds(now);
         }
     }
 
@@ -84,9 +84,9 @@
     fleet.tell(first, before, 5);
     let core = fleet.cores.get_mut(&first).expect("a balancer");
     core.snapshot(ms(6_000));
-    core.unanswered(&"i-1".into(), ms(6_000));
+    core.record_unanswered(&"i-1".into(), ms(6_000));
     core.examination(ms(6_000));
-    core.examined(vec![("i-1".into(), Finding::Silent)], ms(6_100));
+    core.record_findings(vec![("i-1".into(), Finding::Silent)], ms(6_100));
     let (during, _) = core.snapshot(ms(6_100));
 
     let Change::Server {
