--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -35,14 +35,14 @@
 
 /// How long a balancer that has just started waits for the store before it turns to its peers. Short
 /// against the time in which the routers notice.
-const FIRST: Duration = Duration::from_millis(250);
+const STORE_GRACE: Duration = Duration::from_millis(250);
 
 /// How long a balancer that has just started waits for its peers before it takes itself for the only one:
 /// two rounds of gossip.
-const JOINING: Duration = Duration::from_secs(1);
+const PEER_DISCOVERY: Duration = Duration::from_secs(1);
 /// How long a balancer that has just started doesn't know how many there are: by then its peers have
 /// named nearly all.
-const COUNTING: Duration = Duration::from_secs(3);
+const FLEET_DISCOVERY: Duration = Duration::from_secs(3);
 
 /// What to do about a piece of news.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -76,47 +76,47 @@
 pub struct Core {
     own: Member,
     /// When the process started.
-    born: Duration,
+    started: Duration,
     seeds: Vec<SocketAddrV4>,
-    list: Members,
+    peers: Members,
     /// The largest size of the fleet of late.
-    size: Peak,
+    fleet_size: Peak,
     /// What the settings say of servers that have just started.
-    warming: Warmup,
+    warmup: Warmup,
     catalog: Catalog,
-    reading: spread::Schedule,
+    schedule: spread::Schedule,
     roster: Roster,
     detector: Detector,
     speeds: Speeds,
     /// How the requests of the servers that this balancer observes have ended.
-    ledger: Observer,
+    observer: Observer,
     /// Servers that fail their requests.
-    marks: Verdicts,
+    failing: Verdicts,
     /// What was seen of servers here and not told to peers yet.
-    untold: Vec<Count>,
+    unsent_counts: Vec<Count>,
     /// Peers that have told what they saw since the speeds were last evaluated.
-    reports: usize,
+    peer_reports: usize,
     isolated: bool,
     /// Where the control of an examination of near servers is taken from. When a whole data centre's
     /// servers go down, none of its own can be the control; when it is cut off, none of another one can.
     /// So it changes whenever an examination has shown nothing.
     control_is_near: bool,
     /// Whether a step of the configuration was missed, so that the whole is to be fetched.
-    missed: bool,
+    missed_change: bool,
     /// Who knew more while this balancer waited for the store's first answer.
-    informant: Option<SocketAddrV4>,
+    peer_ahead: Option<SocketAddrV4>,
     random: Pcg64,
     /// This balancer's place in the spread of readings.
-    share: f64,
+    jitter: f64,
     reads: bool,
     /// The version in force, and since when.
     enforced: Option<(u64, Duration)>,
     /// The data centres under evacuation: the revision of the mark, and since when it is in force.
     evacuated: BTreeMap<Arc<str>, (u64, Duration)>,
     /// How long removals of servers are kept: the longest life of a flow.
-    keep: Duration,
+    keep_removals: Duration,
     /// When removals were last forgotten, and what was known then.
-    mark: (Duration, u64),
+    last_forget: (Duration, u64),
 }
 
 impl Core {
@@ -134,49 +134,49 @@
                 sighted: true,
                 leaving: false,
             },
-            born: now,
+            started: now,
             seeds: settings.seeds.clone(),
-            list: Members::default(),
-            size: Peak::default(),
-            warming: warming(settings),
+            peers: Members::default(),
+            fleet_size: Peak::default(),
+            warmup: warmup(settings),
             catalog: Catalog::default(),
-            reading: spread::Schedule::new(spread::Timing::within(settings.in_force)),
+            schedule: spread::Schedule::new(spread::Timing::within(settings.in_force)),
             roster: Roster::new(Limits {
                 known: settings.flow,
                 ..Limits::default()
             }),
             detector: Detector::default(),
             speeds: Speeds::default(),
-            ledger: Observer::default(),
-            marks: Verdicts::default(),
-            untold: Vec::new(),
-            reports: 0,
+            observer: Observer::default(),
+            failing: Verdicts::default(),
+            unsent_counts: Vec::new(),
+            peer_reports: 0,
             isolated: false,
             control_is_near: false,
-            missed: false,
-            informant: None,
-            share: random.random(),
+            missed_change: false,
+            peer_ahead: None,
+            jitter: random.random(),
             random,
             reads: false,
             enforced: None,
             evacuated: BTreeMap::new(),
-            keep: settings.flow,
-            mark: (now, 0),
+            keep_removals: settings.flow,
+            last_forget: (now, 0),
         }
     }
 
     /// Takes in changed settings.
     pub fn update_settings(&mut self, settings: &Settings) {
         self.seeds = settings.seeds.clone();
-        self.reading
+        self.schedule
             .set_timing(spread::Timing::within(settings.in_force));
-        self.warming = warming(settings);
+        self.warmup = warmup(settings);
     }
 
     /// The pace of readings.
     #[must_use]
     pub const fn timing(&self) -> spread::Timing {
-        self.reading.timing()
+        self.schedule.timing()
     }
 
     /// The revision up to which everything is known.
@@ -188,7 +188,7 @@
     /// The revision after which changes are to be fetched from a peer.
     #[must_use]
     pub const fn fetch_base(&self) -> u64 {
-        if self.missed {
+        if self.missed_change {
             0
         } else {
             self.catalog.revision()
@@ -198,7 +198,7 @@
     /// Whether this balancer knows enough to serve.
     #[must_use]
     pub fn is_informed(&self) -> bool {
-        self.reading.is_primed() && self.catalog.config().is_some()
+        self.schedule.is_primed() && self.catalog.config().is_some()
     }
 
     /// Whether this balancer reaches next to no server, and its callers are better off elsewhere.
@@ -222,25 +222,25 @@
     /// The other balancers.
     #[must_use]
     pub const fn peers(&self) -> &Members {
-        &self.list
+        &self.peers
     }
 
     /// What to do about the store now.
     pub fn next_store_action(&mut self, now: Duration) -> spread::Action {
-        self.own.sighted = self.reading.is_store_reachable();
-        let reads = !self.is_joining(now) && is_reader(&self.own, &self.list);
+        self.own.sighted = self.schedule.is_store_reachable();
+        let reads = !self.is_discovering_peers(now) && is_reader(&self.own, &self.peers);
         if reads != self.reads {
             self.reads = reads;
-            log::info!("event=reader reads={reads} peers={}", self.list.len());
+            log::info!("event=reader reads={reads} peers={}", self.peers.len());
         }
-        let blind = self.list.iter().filter(|member| !member.sighted).count();
-        self.reading.next_action(now, reads, self.share, blind)
+        let blind = self.peers.iter().filter(|member| !member.sighted).count();
+        self.schedule.next_action(now, reads, self.jitter, blind)
     }
 
     /// Whether this balancer has just started and has not met its peers yet. When a whole fleet starts at
     /// once, each member would otherwise take itself for the reader and open a watch of its own.
-    fn is_joining(&self, now: Duration) -> bool {
-        self.list.is_empty() && self.has_seeds() && now < self.born + JOINING
+    fn is_discovering_peers(&self, now: Duration) -> bool {
+        self.peers.is_empty() && self.has_seeds() && now < self.started + PEER_DISCOVERY
     }
 
     fn has_seeds(&self) -> bool {
@@ -248,9 +248,9 @@
     }
 
     /// How many balancers there are, this one included; none as long as it can't know.
-    fn balancers(&mut self, now: Duration) -> Option<u32> {
-        let known = self.size.follow(self.list.len(), now);
-        let is_counting = now < self.born + COUNTING || known == 0 && self.has_seeds();
+    fn fleet_size(&mut self, now: Duration) -> Option<u32> {
+        let known = self.fleet_size.follow(self.peers.len(), now);
+        let is_counting = now < self.started + FLEET_DISCOVERY || known == 0 && self.has_seeds();
         (!is_counting).then(|| known as u32 + 1)
     }
 
@@ -262,15 +262,15 @@
         sent: Duration,
         now: Duration,
     ) -> Outcome {
-        self.regained();
+        self.log_store_regained();
         let base = self.catalog.revision();
         let mut changed = false;
         for change in changes {
             changed |= self.apply(change);
         }
         self.catalog.complete(revision);
-        self.reading.answered(sent);
-        self.pass_on(changed, base, &Source::Store, now)
+        self.schedule.answered(sent);
+        self.propagate(changed, base, &Source::Store, now)
     }
 
     /// The store has answered a whole reading that left at `sent`.
@@ -281,12 +281,12 @@
         sent: Duration,
         now: Duration,
     ) -> Outcome {
-        self.regained();
+        self.log_store_regained();
         let base = self.catalog.revision();
         let changed = self.catalog.replace(reading, revision);
         log::info!("event=store-read revision={revision} changed={changed}");
-        self.reading.answered(sent);
-        self.pass_on(changed, base, &Source::Store, now)
+        self.schedule.answered(sent);
+        self.propagate(changed, base, &Source::Store, now)
     }
 
     /// The store has answered a whole reading with what may be seconds old, complete up to `revision`.
@@ -294,15 +294,15 @@
     pub fn prime(&mut self, reading: Vec<Change>, revision: u64, now: Duration) -> Outcome {
         let changed = self.catalog.replace(reading, revision);
         log::info!("event=store-primed revision={revision} changed={changed}");
-        self.reading.prime(now);
+        self.schedule.prime(now);
         Outcome {
             changed,
             ..Outcome::default()
         }
     }
 
-    fn regained(&self) {
-        if !self.reading.is_store_reachable() {
+    fn log_store_regained(&self) {
+        if !self.schedule.is_store_reachable() {
             let revision = self.catalog.revision();
             log::info!("event=store-regained revision={revision}");
         }
@@ -310,11 +310,11 @@
 
     /// A call to the store has failed.
     pub fn record_store_failure(&mut self, reason: &dyn std::fmt::Display, now: Duration) {
-        if self.reading.is_store_reachable() {
+        if self.schedule.is_store_reachable() {
             let revision = self.catalog.revision();
             log::warn!("event=store-lost revision={revision} reason=\"{reason}\"");
         }
-        self.reading.failed(now);
+        self.schedule.failed(now);
     }
 
     /// A message has come in.
@@ -323,7 +323,7 @@
             return Outcome::default();
         }
         let (sender, source) = (message.from.address, self.source(&message));
-        self.hear_seen(&message);
+        self.receive_counts(&message);
         let Message {
             from,
             known,
@@ -339,38 +339,38 @@
             wants,
             ..
         } = message;
-        self.meet(from.clone(), now);
+        self.merge_member(from.clone(), now);
         for other in others {
-            self.meet(other, now);
+            self.merge_member(other, now);
         }
-        let strangers = self.hear_heartbeats(&heartbeats, now);
+        let unknown_peers = self.receive_heartbeats(&heartbeats, now);
         let mut outcome = Outcome::default();
         if base <= self.catalog.revision() {
-            outcome = self.learn(known, changes, &source, now);
+            outcome = self.apply_peer_changes(known, changes, &source, now);
         }
-        let behind = self.missed || known.revision > self.catalog.revision();
-        outcome.fetch = behind && !self.is_reading_first(now);
+        let behind = self.missed_change || known.revision > self.catalog.revision();
+        outcome.fetch = behind && !self.awaits_store(now);
         if behind && !outcome.fetch {
-            self.informant = Some(sender);
+            self.peer_ahead = Some(sender);
         }
-        let doubted = self.doubt(&silent, &from, now);
-        outcome.examine |= doubted.examine;
-        outcome.changed |= doubted.changed;
+        let suspicions = self.receive_suspicions(&silent, &from, now);
+        outcome.examine |= suspicions.examine;
+        outcome.changed |= suspicions.changed;
         if from.data_centre == self.own.data_centre {
-            outcome.changed |= self.returned(&back, now);
+            outcome.changed |= self.receive_recoveries(&back, now);
         }
         outcome.changed |= self.mark_failing(&failing, now);
         let observed = self.observe(&failures, now);
         outcome.changed |= observed.changed;
         outcome.outgoing.extend(observed.outgoing);
         if wants || !unknown.is_empty() {
-            let message = self.introduction(&unknown, wants, now);
+            let message = self.member_descriptions(&unknown, wants, now);
             let to = vec![sender];
             outcome.outgoing.push(Outgoing { to, message });
         }
-        if !strangers.is_empty() {
-            let mut message = self.message(now);
-            message.unknown = strangers;
+        if !unknown_peers.is_empty() {
+            let mut message = self.empty_message(now);
+            message.unknown = unknown_peers;
             let to = vec![sender];
             outcome.outgoing.push(Outgoing { to, message });
         }
@@ -381,9 +381,9 @@
     ///
     /// When a whole fleet starts at once, hundreds of whole catalogs would be fetched from the same three
     /// seeds, while the store answers everybody in milliseconds.
-    pub(super) fn is_reading_first(&self, now: Duration) -> bool {
-        let waits = self.reading.fresh_until().is_none() && self.reading.is_store_reachable();
-        waits && now < self.born + FIRST
+    pub(super) fn awaits_store(&self, now: Duration) -> bool {
+        let waits = self.schedule.fresh_until().is_none() && self.schedule.is_store_reachable();
+        waits && now < self.started + STORE_GRACE
     }
 
     /// Where a message's news come from. For one from another data centre, this balancer is the
@@ -397,7 +397,7 @@
     }
 
     /// A message that tells how much is known here and nothing else.
-    fn message(&self, now: Duration) -> Message {
+    fn empty_message(&self, now: Duration) -> Message {
         Message {
             from: self.own.clone(),
             known: self.known(now),
@@ -418,7 +418,7 @@
 
     fn known(&self, now: Duration) -> Known {
         let age = self
-            .reading
+            .schedule
             .fresh_until()
             .map(|fresh| now.saturating_sub(fresh));
         Known {
@@ -429,18 +429,18 @@
 
     /// Routes and servers for the traffic threads, and when they change by time alone.
     pub fn snapshot(&mut self, now: Duration) -> (Snapshot, Option<Duration>) {
-        let balancers = self.balancers(now);
+        let balancers = self.fleet_size(now);
         self.roster.set_warmup_limits(Warmup {
             balancers,
-            ..self.warming
+            ..self.warmup
         });
         self.roster.update(&self.catalog, now);
         for id in self.roster.take_restarted() {
             log::info!("event=server-restarted server={id}");
             self.detector.forget(&id);
             self.speeds.forget(&id);
-            self.ledger.forget(&id);
-            self.marks.forget(&id);
+            self.observer.forget(&id);
+            self.failing.forget(&id);
         }
         let known = self.roster.servers().map(|server| Arc::clone(&server.id));
         let known: Vec<Arc<str>> = known.collect();
@@ -463,15 +463,15 @@
         self.enforce_evacuations(now);
         self.speeds.apply(&mut snapshot);
         snapshot.data_centre = Arc::clone(&self.own.data_centre);
-        snapshot.balancers = self.list.len() as u32 + 1;
-        let recovers = self.weigh_failing(&mut snapshot, now);
-        let counted = Some(self.born + COUNTING).filter(|at| *at > now);
+        snapshot.balancers = self.peers.len() as u32 + 1;
+        let recovers = self.lower_failing_weights(&mut snapshot, now);
+        let counted = Some(self.started + FLEET_DISCOVERY).filter(|at| *at > now);
         let next = [self.roster.next_change(now), recovers, counted];
         (snapshot, next.into_iter().flatten().min())
     }
 }
 
-fn warming(settings: &Settings) -> Warmup {
+fn warmup(settings: &Settings) -> Warmup {
     Warmup {
         overshoot: settings.cold_overshoot,
         slack: settings.cold_slack,
--- a/crates/node/src/cookie/core/describe.rs
+++ b/crates/node/src/cookie/core/describe.rs
@@ -14,9 +14,9 @@
         Change::Config { revision, config } => {
             let empty = Config::default();
             let old = before.map_or(&empty, |item| &item.value);
-            step(*revision, &Patch::between(old, 0, config))
+            config_line(*revision, &Patch::between(old, 0, config))
         }
-        Change::Patch { revision, patch } => step(*revision, patch),
+        Change::Patch { revision, patch } => config_line(*revision, patch),
         Change::Server {
             id,
             revision,
@@ -40,7 +40,7 @@
     }
 }
 
-fn step(revision: u64, patch: &Patch) -> String {
+fn config_line(revision: u64, patch: &Patch) -> String {
     let (version, put, removed) = (patch.version, patch.put.len(), patch.remove.len());
     format!("event=config revision={revision} version={version} put={put} removed={removed}")
 }
--- a/crates/node/src/cookie/core/examine.rs
+++ b/crates/node/src/cookie/core/examine.rs
@@ -19,7 +19,7 @@
 /// a loss of packets that goes on, each copy would else start an examination.
 const OWN_TRUST: Duration = Duration::from_millis(300);
 /// Silent servers named in one message: with 20 bytes each, it stays below an Ethernet frame.
-pub const NAMED: usize = 20;
+pub const MAX_SILENT: usize = 20;
 
 /// Balancers of each data centre that examine a server which others find silent, and the neighbours of
 /// one. Three: they agree on what the others are told, also when one of them dies or is cut off itself.
@@ -67,7 +67,12 @@
 
     /// A peer finds these servers silent. Those that this balancer is to examine are examined; of the
     /// others, the word of several peers of the own data centre is taken.
-    pub(super) fn doubt(&mut self, servers: &[Arc<str>], from: &Member, now: Duration) -> Outcome {
+    pub(super) fn receive_suspicions(
+        &mut self,
+        servers: &[Arc<str>],
+        from: &Member,
+        now: Duration,
+    ) -> Outcome {
         let mut outcome = Outcome::default();
         let mut silent = Vec::new();
         let near = from.data_centre == self.own.data_centre;
@@ -99,7 +104,7 @@
 
     /// A peer of the own data centre has found that these silent servers answer again. Whether anything
     /// changed.
-    pub(super) fn returned(&mut self, servers: &[Arc<str>], now: Duration) -> bool {
+    pub(super) fn receive_recoveries(&mut self, servers: &[Arc<str>], now: Duration) -> bool {
         let mut changed = false;
         for server in servers {
             if self.detector.peer_found_back(server, now) == Verdict::Back {
@@ -112,7 +117,7 @@
     }
 
     fn is_examiner(&self, server: &str) -> bool {
-        is_chosen(&self.own, &self.list, cookie::hash(server), EXAMINERS)
+        is_chosen(&self.own, &self.peers, cookie::hash(server), EXAMINERS)
     }
 
     /// The servers to examine now, and when to look again.
@@ -194,8 +199,11 @@
                 }
             }
         }
-        let mut outgoing = self.tell_centre(&silent, now, |message, named| message.silent = named);
-        outgoing.extend(self.tell_centre(&back, now, |message, named| message.back = named));
+        let mut outgoing =
+            self.messages_to_data_centre(&silent, now, |message, named| message.silent = named);
+        outgoing.extend(
+            self.messages_to_data_centre(&back, now, |message, named| message.back = named),
+        );
         Outcome {
             outgoing,
             examine: self.examine_neighbours(&silent, now),
@@ -225,23 +233,23 @@
     }
 
     /// Messages to all of the own data centre, each with a part of `servers` as `put` places them.
-    pub(super) fn tell_centre(
+    pub(super) fn messages_to_data_centre(
         &self,
         servers: &[Arc<str>],
         now: Duration,
         put: impl Fn(&mut Message, Vec<Arc<str>>),
     ) -> Vec<Outgoing> {
         let own = self
-            .list
+            .peers
             .iter()
             .filter(|member| member.data_centre == self.own.data_centre);
         let to: Vec<SocketAddrV4> = own.map(|member| member.address).collect();
         let outgoing = |named: &[Arc<str>]| {
-            let mut message = self.message(now);
+            let mut message = self.empty_message(now);
             put(&mut message, named.to_vec());
             let to = to.clone();
             Outgoing { to, message }
         };
-        servers.chunks(NAMED).map(outgoing).collect()
+        servers.chunks(MAX_SILENT).map(outgoing).collect()
     }
 }
--- a/crates/node/src/cookie/core/failing.rs
+++ b/crates/node/src/cookie/core/failing.rs
@@ -11,21 +11,21 @@
 /// Observers of a server, in its own data centre. Two, so that one may die or be cut off.
 const OBSERVERS: usize = 2;
 /// Failures named in one message: with 25 bytes each, it stays below an Ethernet frame.
-const NAMED: usize = 32;
+const MAX_FAILURES: usize = 32;
 
 impl Core {
     /// Reports how the requests of servers that fail some of them ended here.
     pub(super) fn report_failures(&mut self, seen: &[speed::Count], now: Duration) -> Outcome {
         let mut reports: BTreeMap<SocketAddrV4, Vec<Failure>> = BTreeMap::new();
         for speed::Count { server, count } in seen {
-            if !self.marks.should_report(server, count.failed, now) {
+            if !self.failing.should_report(server, count.failed, now) {
                 continue;
             }
             let Some(known) = self.roster.get(server) else {
                 continue;
             };
             let (centre, key) = (&known.data_centre, cookie::hash(server));
-            for observer in chosen(&self.own, &self.list, centre, key, OBSERVERS) {
+            for observer in chosen(&self.own, &self.peers, centre, key, OBSERVERS) {
                 let failure = Failure {
                     server: Arc::clone(server),
                     failed: count.failed,
@@ -37,8 +37,8 @@
         let own = reports.remove(&self.own.address).unwrap_or_default();
         let mut outcome = self.observe(&own, now);
         for (observer, failures) in reports {
-            for failures in failures.chunks(NAMED) {
-                let mut message = self.message(now);
+            for failures in failures.chunks(MAX_FAILURES) {
+                let mut message = self.empty_message(now);
                 message.failures = failures.to_vec();
                 let to = vec![observer];
                 outcome.outgoing.push(Outgoing { to, message });
@@ -57,12 +57,13 @@
         } in failures
         {
             let known = self.roster.holds(server);
-            if known && self.ledger.add(server, *failed, *answered, now) {
+            if known && self.observer.add(server, *failed, *answered, now) {
                 log::warn!("event=server-failing server={server} by=reports");
                 failing.push(Arc::clone(server));
             }
         }
-        let outgoing = self.tell_centre(&failing, now, |message, named| message.failing = named);
+        let outgoing =
+            self.messages_to_data_centre(&failing, now, |message, named| message.failing = named);
         let changed = self.mark_failing(&failing, now);
         Outcome {
             outgoing,
@@ -75,7 +76,7 @@
     pub(super) fn mark_failing(&mut self, servers: &[Arc<str>], now: Duration) -> bool {
         let mut changed = false;
         for server in servers.iter().filter(|server| self.roster.holds(server)) {
-            if self.marks.mark(server, now) {
+            if self.failing.mark(server, now) {
                 log::info!("event=server-avoided server={server}");
                 changed = true;
             }
@@ -84,17 +85,17 @@
     }
 
     /// Lowers the weight of servers that fail their requests; gives when that ends for the next.
-    pub(super) fn weigh_failing(
+    pub(super) fn lower_failing_weights(
         &mut self,
         snapshot: &mut Snapshot,
         now: Duration,
     ) -> Option<Duration> {
-        self.marks.sweep(now);
-        self.ledger.sweep(now);
+        self.failing.sweep(now);
+        self.observer.sweep(now);
         for server in &mut snapshot.servers {
-            server.failing = self.marks.is_failing(&server.id, now);
+            server.failing = self.failing.is_failing(&server.id, now);
         }
         failing::lower_weights(snapshot);
-        self.marks.next_expiry()
+        self.failing.next_expiry()
     }
 }
--- a/crates/node/src/cookie/core/news.rs
+++ b/crates/node/src/cookie/core/news.rs
@@ -18,28 +18,28 @@
         source: &Source,
         now: Duration,
     ) -> Outcome {
-        self.missed = false;
+        self.missed_change = false;
         let Difference {
             known,
             changes,
             whole,
         } = difference;
         if !whole {
-            return self.learn(known, changes, source, now);
+            return self.apply_peer_changes(known, changes, source, now);
         }
         let base = self.catalog.revision();
         let changed = self.catalog.replace(changes, known.revision);
         let revision = known.revision;
         log::info!("event=whole-fetched revision={revision} base={base} changed={changed}");
-        let gained = known.at(now).is_some_and(|at| self.confirm(at));
-        if !changed && !gained {
+        let fresher = known.at(now).is_some_and(|at| self.confirm_freshness(at));
+        if !changed && !fresher {
             return Outcome::default();
         }
-        self.pass_on(changed, base, source, now)
+        self.propagate(changed, base, source, now)
     }
 
     /// Takes in all changes up to what a peer knows.
-    pub(super) fn learn(
+    pub(super) fn apply_peer_changes(
         &mut self,
         known: Known,
         changes: Vec<Change>,
@@ -51,7 +51,7 @@
         for change in changes {
             if !self.catalog.can_apply(&change) {
                 log::info!("event=step-missed revision={}", change.revision());
-                self.missed = true;
+                self.missed_change = true;
                 return Outcome {
                     changed,
                     ..Outcome::default()
@@ -60,19 +60,19 @@
             changed |= self.apply(change);
         }
         self.catalog.complete(known.revision);
-        let gained = known.at(now).is_some_and(|at| self.confirm(at));
-        if !changed && !gained {
+        let fresher = known.at(now).is_some_and(|at| self.confirm_freshness(at));
+        if !changed && !fresher {
             return Outcome::default();
         }
-        self.pass_on(changed, base, source, now)
+        self.propagate(changed, base, source, now)
     }
 
     /// Takes in that everything was known at `at`; whether that is worth passing on. Peers' words
     /// differ by milliseconds, and each would otherwise go through the whole data centre.
-    fn confirm(&mut self, at: Duration) -> bool {
-        let before = self.reading.fresh_until();
-        self.reading.confirmed(at);
-        before.is_none_or(|before| at > before + self.reading.timing().watch_timeout / 2)
+    fn confirm_freshness(&mut self, at: Duration) -> bool {
+        let before = self.schedule.fresh_until();
+        self.schedule.confirmed(at);
+        before.is_none_or(|before| at > before + self.schedule.timing().watch_timeout / 2)
     }
 
     pub(super) fn apply(&mut self, change: Change) -> bool {
@@ -86,7 +86,7 @@
 
     /// Passes on what was learned: small news to all that it concerns, large ones to a few that
     /// fetch them and pass them on.
-    pub(super) fn pass_on(
+    pub(super) fn propagate(
         &mut self,
         changed: bool,
         base: u64,
@@ -102,10 +102,10 @@
         let complete = base >= self.catalog.forgotten();
         let fits = complete && size.is_ok_and(|size| size <= MAX_CHANGES_BYTES);
         let to = match fits {
-            true => recipients(&self.own, &self.list, centre),
-            false => fetch_children(&self.own, &self.list, root, centre),
+            true => recipients(&self.own, &self.peers, centre),
+            false => fetch_children(&self.own, &self.peers, root, centre),
         };
-        let mut message = self.message(now);
+        let mut message = self.empty_message(now);
         message.root = root;
         if fits {
             (message.base, message.changes) = (base, changes);
@@ -130,10 +130,10 @@
 
     /// Forgets the removals that everybody has heard of: those known for the longest life of a flow.
     pub(super) fn forget_removed(&mut self, now: Duration) {
-        let (at, revision) = self.mark;
-        if now >= at + self.keep {
+        let (at, revision) = self.last_forget;
+        if now >= at + self.keep_removals {
             self.catalog.forget(revision);
-            self.mark = (now, self.catalog.revision());
+            self.last_forget = (now, self.catalog.revision());
         }
     }
 }
--- a/crates/node/src/cookie/core/summary.rs
+++ b/crates/node/src/cookie/core/summary.rs
@@ -44,10 +44,10 @@
             version: self.version().unwrap_or_default(),
             revision: self.catalog.revision(),
             age: self
-                .reading
+                .schedule
                 .fresh_until()
                 .map(|fresh| now.saturating_sub(fresh)),
-            peers: self.list.len(),
+            peers: self.peers.len(),
             silent: self.detector.silent().len(),
             reads: self.reads,
             enforced: self.enforced.map(|(_, since)| now.saturating_sub(since)),
