--- a/crates/node/src/cookie/message.rs
+++ b/crates/node/src/cookie/message.rs
@@ -1,4 +1,4 @@
-//! What balancers tell each other.
+//! Messages between balancers.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -10,65 +10,66 @@
 use acacia_load::tally::Count;
 use serde::{Deserialize, Serialize};
 
-/// A datagram between balancers: who sends it, how much it knows, and news.
+/// The content of a datagram between balancers: the sender, the revision it knows, and optional
+/// reports.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// The sender.
     pub from: Member,
-    /// What the sender knows of the store.
+    /// How much of the store's state the sender knows.
     pub known: Known,
-    /// The revision that `changes` follow on.
+    /// The revision on which `changes` are based.
     pub base: u64,
-    /// The balancer of the sender's data centre that had the news first.
+    /// The balancer of the sender's data centre that had the changes first.
     pub root: SocketAddrV4,
-    /// All changes from `base` to the sender's revision, if they fit; else none, and whoever needs
-    /// them fetches them.
+    /// All changes from `base` to the sender's revision. Empty if they don't fit; receivers that
+    /// need them fetch them over TCP.
     pub changes: Vec<Change>,
-    /// Other balancers that the receiver may not know.
+    /// Full descriptions of balancers that the receiver may not know.
     pub others: Vec<Member>,
-    /// Other balancers that live.
+    /// Heartbeats of other balancers that are alive.
     pub heartbeats: Vec<Heartbeat>,
-    /// Balancers that the receiver has named and the sender wants to know more of.
+    /// Balancers that the receiver mentioned, and whose full descriptions the sender requests.
     pub unknown: Vec<SocketAddrV4>,
-    /// Backend servers that the sender finds silent.
+    /// Backend servers that the sender found silent by its own examination.
     pub silent: Vec<Arc<str>>,
-    /// Backend servers that the sender found silent, and that have answered it since.
+    /// Backend servers that the sender considered silent, and that have answered its probes since.
     pub back: Vec<Arc<str>>,
-    /// How the requests of servers that the receiver observes ended at the sender.
+    /// The sender's request counts of servers that the receiver observes.
     pub failures: Vec<Failure>,
-    /// Servers that the sender, as their observer, finds to fail their requests.
+    /// Servers that the sender, as their observer, found to fail their requests.
     pub failing: Vec<Arc<str>>,
-    /// What the sender saw servers do since it last told.
+    /// The sender's request counts of servers since its last report.
     pub seen: Vec<Seen>,
-    /// Whether the sender asks for a message in return.
+    /// Whether the sender requests an answer.
     pub wants: bool,
 }
 
-/// How requests of a server that fails some of them ended at one balancer.
+/// One balancer's request counts of a server that fails some requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
     /// The server.
     pub server: Arc<str>,
-    /// Requests that were given up, or answered too soon to have been worked on.
+    /// Requests that callers gave up, or that were answered too fast to have been processed.
     pub failed: u32,
     /// Requests that were answered.
     pub answered: u32,
 }
 
-/// What a balancer saw a server do. About 30 bytes.
+/// One balancer's request counts and answer times of a server, in about 30 bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
     /// The server.
     pub server: Arc<str>,
-    /// Data of callers, where nothing was unanswered before.
+    /// Number of requests: data from callers on flows where no request was unanswered.
     pub asked: u32,
-    /// Those of them that were answered.
+    /// Number of these requests that were answered.
     pub answered: u32,
-    /// Time from the data to the acknowledgement of the answer, summed, in microseconds.
+    /// Sum of the times from a request to the acknowledgement of its answer, in microseconds.
     pub answering_us: u64,
-    /// Openings that were answered.
+    /// Number of completed connection openings.
     pub completed: u32,
-    /// Time from the opening to the caller's next packet, summed, in microseconds.
+    /// Sum of the times from an opening to the caller's next packet, in microseconds.
     pub opening_us: u64,
 }
 
@@ -103,17 +104,18 @@
     }
 }
 
-/// How much a balancer knows of the store.
+/// How much of the store's state a balancer knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Known {
-    /// The revision up to which it knows everything.
+    /// The revision up to which it knows all changes.
     pub revision: u64,
-    /// How long ago that was the store's newest, in milliseconds; none if it never knew.
+    /// How long ago that was known to be the store's latest revision, in milliseconds; `None` if it
+    /// never was.
     pub age_ms: Option<u64>,
 }
 
 impl Known {
-    /// When the store's newest revision was known, seen from `now`.
+    /// The time at which `revision` was known to be the store's latest, on the clock of `now`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -129,8 +131,8 @@
     }
 }
 
-/// Maximum size of the changes in a datagram, in bytes. With the envelope, the datagram still fits into
-/// one Ethernet frame. Larger sets of changes are fetched over TCP.
+/// Maximum size of the changes in a datagram, in bytes. With the envelope, the datagram still fits
+/// into one Ethernet frame. Larger sets of changes are fetched over TCP.
 pub const MAX_CHANGES_BYTES: usize = 1_000;
 
 /// A message to be sent.
@@ -138,18 +140,19 @@
 pub struct Outgoing {
     /// The receivers' control addresses.
     pub to: Vec<SocketAddrV4>,
-    /// What they are told.
+    /// The message.
     pub message: Message,
 }
 
-/// All that changed after a revision, as it is fetched from a peer.
+/// All changes after a revision, as fetched from a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
-    /// What the peer knows.
+    /// How much the peer knows.
     pub known: Known,
     /// The changes.
     pub changes: Vec<Change>,
-    /// Whether these are all that the peer knows, and servers that are not among them are gone: it
-    /// has forgotten some removals that the other has not heard of.
+    /// Whether `changes` is the full state, so that servers missing from it no longer exist. This
+    /// is the case if the peer has already discarded records of removals after the requested
+    /// revision.
     pub whole: bool,
 }
