--- a/crates/node/src/cookie/permit.rs
+++ b/crates/node/src/cookie/permit.rs
@@ -5,8 +5,8 @@
     atomic::{AtomicBool, Ordering},
 };
 
-/// A permit that is released when it is dropped. A task that panics or is cancelled releases it too;
-/// otherwise no other task could ever acquire it again.
+/// A permit that is released when it is dropped. A task that panics or is cancelled releases it
+/// too; otherwise no other task could ever acquire it again.
 #[derive(Debug)]
 pub struct Permit(Arc<AtomicBool>);
 
