--- a/crates/node/src/cookie/publish.rs
+++ b/crates/node/src/cookie/publish.rs
@@ -1,4 +1,4 @@
-//! Publication of routes and servers to the traffic threads.
+//! Publishes snapshots of routes and servers to the traffic threads.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,16 +7,17 @@
 
 use super::control::Control;
 
-/// How long news are gathered before routes and servers are published. Each publication goes through all
-/// servers, and hundreds of them report within a second when a deployment starts.
-const GATHER: Duration = Duration::from_millis(10);
+/// How long changes are collected before a snapshot is published. Building one iterates over all
+/// servers, and hundreds of servers change within a second when a deployment starts.
+const DEBOUNCE: Duration = Duration::from_millis(10);
 
-/// Publishes routes and servers whenever they change, by news or by time.
+/// Publishes a snapshot whenever the control thread signals a change, and when the last one
+/// expires.
 ///
 /// # Errors
-/// When a socket or a signal fails.
+/// Never fails; the signature is that of the other tasks.
 pub async fn run(control: Arc<Control>) -> Result<(), BoxError> {
-    /// Where nothing is to change by time.
+    /// How long to wait for a change if the last snapshot doesn't expire.
     const IDLE: Duration = Duration::from_secs(60);
     loop {
         let (snapshot, next) = control.core(|core, now| {
@@ -28,7 +29,7 @@
             control.published.store(Some(Arc::new(snapshot)));
         }
         tokio::select! {
-            () = control.changed.notified() => time::sleep(GATHER).await,
+            () = control.changed.notified() => time::sleep(DEBOUNCE).await,
             () = time::sleep(next.unwrap_or(IDLE)) => {}
         }
     }
