--- a/crates/node/src/cookie/status.rs
+++ b/crates/node/src/cookie/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a balancer where packets carry a cookie.
+//! Status of a cookie balancer, for operators.
 
 use std::{
     net::{SocketAddr, SocketAddrV4},
@@ -13,7 +13,7 @@
     rotation::Phase,
 };
 
-/// The balancer's account of itself. `admin` is where it answers; peers answer on the same port.
+/// Builds the balancer's status. `admin` is the address of its admin API; peers use the same port.
 pub fn status(control: &Control, admin: SocketAddrV4) -> Status {
     let (summary, own, list) = control.core(|core, now| {
         let list: Vec<SocketAddrV4> = core.peers().iter().map(|member| member.address).collect();
@@ -30,7 +30,7 @@
     Status {
         name: lock(&control.settings).name.clone(),
         data_centre: own.data_centre,
-        phase: shown(phase),
+        phase: api_phase(phase),
         revision: (summary.version > 0).then_some(summary.version),
         enforced_ms: enforced_ms(&summary),
         evacuations: summary.evacuations.iter().map(evacuation).collect(),
@@ -52,7 +52,7 @@
     summary.enforced.map_or(0, |age| age.as_millis() as u64)
 }
 
-const fn shown(phase: Phase) -> status::Phase {
+const fn api_phase(phase: Phase) -> status::Phase {
     match phase {
         Phase::Starting => status::Phase::Starting,
         Phase::Serving => status::Phase::Serving,
