--- a/crates/node/src/cookie/mod.rs
+++ b/crates/node/src/cookie/mod.rs
@@ -1,5 +1,6 @@
-//! The balancer where packets carry a cookie: flows are resolved from the packet and the list of
-//! servers, and control threads only spread the two documents that all must know.
+//! The balancer for packets that carry a cookie. Flows are resolved from the packet and the list of
+//! servers alone, so that the control threads only distribute what all balancers need: the
+//! configuration, the servers and the evacuations.
 
 pub mod answer;
 mod burn;
