--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -1,10 +1,11 @@
-//! What the control thread knows, and what follows from each piece of news. No sockets.
+//! State machine of the control thread: takes events and messages, returns the messages to send and
+//! the work to do. It performs no I/O and reads no clock.
 
+mod changes;
 mod describe;
 mod examine;
 mod failing;
 mod gossip;
-mod news;
 mod speed;
 mod summary;
 
@@ -33,31 +34,31 @@
     settings::Settings,
 };
 
-/// How long a balancer that has just started waits for the store before it turns to its peers. Short
-/// against the time in which the routers notice.
+/// How long a balancer that has just started waits for the store before it fetches from its peers.
+/// Short compared with the time in which the routers notice the start.
 const STORE_GRACE: Duration = Duration::from_millis(250);
 
-/// How long a balancer that has just started waits for its peers before it takes itself for the only one:
-/// two rounds of gossip.
+/// How long a balancer that has just started and knows no peers waits before it assumes that there
+/// are none: two rounds of gossip.
 const PEER_DISCOVERY: Duration = Duration::from_secs(1);
-/// How long a balancer that has just started doesn't know how many there are: by then its peers have
-/// named nearly all.
+/// How long the size of the fleet counts as unknown after the start. By then, gossip has reported
+/// nearly all balancers.
 const FLEET_DISCOVERY: Duration = Duration::from_secs(3);
 
-/// What to do about a piece of news.
+/// What the caller has to do after the core has handled an event.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Outcome {
-    /// What to send.
+    /// Messages to send.
     pub outgoing: Vec<Outgoing>,
-    /// Whether to fetch from the sender what is missing here.
+    /// Whether to fetch the missing changes from the sender of the message.
     pub fetch: bool,
-    /// Whether servers are to be examined.
+    /// Whether there are servers to examine.
     pub examine: bool,
-    /// Whether routes or servers changed.
+    /// Whether routes or servers changed, so that a new snapshot is needed.
     pub changed: bool,
 }
 
-/// Where news came from.
+/// Where changes came from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
     /// The store.
@@ -66,12 +67,12 @@
     Peer {
         /// The peer's data centre.
         data_centre: Arc<str>,
-        /// The first of that data centre that had them.
+        /// The balancer that had the changes first in the receiver's own data centre.
         root: SocketAddrV4,
     },
 }
 
-/// The control thread's state.
+/// The state of the control thread.
 #[derive(Debug)]
 pub struct Core {
     own: Member,
@@ -79,48 +80,52 @@
     started: Duration,
     seeds: Vec<SocketAddrV4>,
     peers: Members,
-    /// The largest size of the fleet of late.
+    /// The largest recent number of known peers.
     fleet_size: Peak,
-    /// What the settings say of servers that have just started.
+    /// Limits for servers that have just started, from the settings.
     warmup: Warmup,
     catalog: Catalog,
     schedule: spread::Schedule,
     roster: Roster,
     detector: Detector,
     speeds: Speeds,
-    /// How the requests of the servers that this balancer observes have ended.
+    /// Request counts of the servers that this balancer observes.
     observer: Observer,
-    /// Servers that fail their requests.
+    /// Verdicts on servers that fail their requests.
     failing: Verdicts,
-    /// What was seen of servers here and not told to peers yet.
+    /// Request counts of servers that have not been sent to peers yet.
     unsent_counts: Vec<Count>,
-    /// Peers that have told what they saw since the speeds were last evaluated.
+    /// Number of reports with counts received from peers since the speeds were last evaluated.
     peer_reports: usize,
     isolated: bool,
-    /// Where the control of an examination of near servers is taken from. When a whole data centre's
-    /// servers go down, none of its own can be the control; when it is cut off, none of another one can.
-    /// So it changes whenever an examination has shown nothing.
+    /// Whether the control for examinations of servers in the own data centre is chosen from this
+    /// data centre too. When all servers of the data centre are down, none of them can be the
+    /// control; when the data centre is partitioned, none outside it can. The flag is therefore
+    /// toggled whenever such an examination was inconclusive.
     control_is_near: bool,
-    /// Whether a step of the configuration was missed, so that the whole is to be fetched.
+    /// Whether a configuration patch was missed, so that the full state has to be fetched.
     missed_change: bool,
-    /// Who knew more while this balancer waited for the store's first answer.
+    /// A peer that knew a later revision while this balancer waited for the store's first answer.
     peer_ahead: Option<SocketAddrV4>,
     random: Pcg64,
-    /// This balancer's place in the spread of readings.
+    /// Fraction of the timing's jitter by which this balancer delays its reads of the store.
     jitter: f64,
+    /// Whether this balancer watches the store on behalf of the others.
     reads: bool,
     /// The version in force, and since when.
     enforced: Option<(u64, Duration)>,
-    /// The data centres under evacuation: the revision of the mark, and since when it is in force.
+    /// The data centres under evacuation: the revision of the evacuation's entry in the store, and
+    /// since when it is in force here.
     evacuated: BTreeMap<Arc<str>, (u64, Duration)>,
-    /// How long removals of servers are kept: the longest life of a flow.
+    /// How long records of removed servers are kept: the maximum lifetime of a flow.
     keep_removals: Duration,
-    /// When removals were last forgotten, and what was known then.
+    /// When old removals were last discarded, and the catalog's revision at that time.
     last_forget: (Duration, u64),
 }
 
 impl Core {
-    /// A balancer that starts at `now`. `incarnation` is higher than in any former life.
+    /// The state of a balancer that starts at `now`. `incarnation` must be higher than that of any
+    /// earlier process of this balancer.
     #[must_use]
     pub fn new(settings: &Settings, incarnation: u64, now: Duration) -> Self {
         let seed = incarnation ^ u64::from(settings.advertised.ip().to_bits());
@@ -165,7 +170,7 @@
         }
     }
 
-    /// Takes in changed settings.
+    /// Applies reloaded settings.
     pub fn update_settings(&mut self, settings: &Settings) {
         self.seeds = settings.seeds.clone();
         self.schedule
@@ -173,7 +178,7 @@
         self.warmup = warmup(settings);
     }
 
-    /// The pace of readings.
+    /// The timing of store reads.
     #[must_use]
     pub const fn timing(&self) -> spread::Timing {
         self.schedule.timing()
@@ -185,7 +190,7 @@
         self.catalog.revision()
     }
 
-    /// The revision after which changes are to be fetched from a peer.
+    /// The revision after which changes are to be fetched from a peer; 0 to fetch the full state.
     #[must_use]
     pub const fn fetch_base(&self) -> u64 {
         if self.missed_change {
@@ -201,31 +206,31 @@
         self.schedule.is_primed() && self.catalog.config().is_some()
     }
 
-    /// Whether this balancer reaches next to no server, and its callers are better off elsewhere.
+    /// Whether this balancer reaches so few servers that other balancers serve its callers better.
     #[must_use]
     pub const fn is_isolated(&self) -> bool {
         self.isolated
     }
 
-    /// The operators' number of the configuration in force.
+    /// The version of the configuration in force, as numbered by the operators.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.catalog.config().map(|item| item.value.version)
     }
 
-    /// This balancer as it describes itself.
+    /// This balancer's description of itself, as sent to peers.
     #[must_use]
     pub const fn own(&self) -> &Member {
         &self.own
     }
 
-    /// The other balancers.
+    /// The other balancers that are known to be alive.
     #[must_use]
     pub const fn peers(&self) -> &Members {
         &self.peers
     }
 
-    /// What to do about the store now.
+    /// Returns whether to call the store now, and how.
     pub fn next_store_action(&mut self, now: Duration) -> spread::Action {
         self.own.sighted = self.schedule.is_store_reachable();
         let reads = !self.is_discovering_peers(now) && is_reader(&self.own, &self.peers);
@@ -237,8 +242,9 @@
         self.schedule.next_action(now, reads, self.jitter, blind)
     }
 
-    /// Whether this balancer has just started and has not met its peers yet. When a whole fleet starts at
-    /// once, each member would otherwise take itself for the reader and open a watch of its own.
+    /// Whether this balancer has just started and may still discover its peers. When a whole fleet
+    /// starts at once, each member would otherwise assume that it is the reader and open its own
+    /// watch.
     fn is_discovering_peers(&self, now: Duration) -> bool {
         self.peers.is_empty() && self.has_seeds() && now < self.started + PEER_DISCOVERY
     }
@@ -247,14 +253,14 @@
         self.seeds.iter().any(|seed| *seed != self.own.address)
     }
 
-    /// How many balancers there are, this one included; none as long as it can't know.
+    /// The number of balancers including this one; `None` until it can be known.
     fn fleet_size(&mut self, now: Duration) -> Option<u32> {
         let known = self.fleet_size.follow(self.peers.len(), now);
         let is_counting = now < self.started + FLEET_DISCOVERY || known == 0 && self.has_seeds();
         (!is_counting).then(|| known as u32 + 1)
     }
 
-    /// The store has answered a call that left at `sent` with `changes` up to `revision`.
+    /// Applies the store's answer to a watch: `changes` up to `revision`, complete as of `sent`.
     pub fn apply_store_changes(
         &mut self,
         changes: Vec<Change>,
@@ -273,7 +279,7 @@
         self.propagate(changed, base, &Source::Store, now)
     }
 
-    /// The store has answered a whole reading that left at `sent`.
+    /// Replaces the catalog with the store's answer to a full read that was requested at `sent`.
     pub fn apply_full_read(
         &mut self,
         reading: Vec<Change>,
@@ -289,8 +295,8 @@
         self.propagate(changed, base, &Source::Store, now)
     }
 
-    /// The store has answered a whole reading with what may be seconds old, complete up to `revision`.
-    /// Peers or a later call tell what it misses.
+    /// Replaces the catalog with a full read that may be seconds old, complete up to `revision`.
+    /// Later changes come from peers or from the next call to the store.
     pub fn prime(&mut self, reading: Vec<Change>, revision: u64, now: Duration) -> Outcome {
         let changed = self.catalog.replace(reading, revision);
         log::info!("event=store-primed revision={revision} changed={changed}");
@@ -308,7 +314,7 @@
         }
     }
 
-    /// A call to the store has failed.
+    /// Records that a call to the store has failed.
     pub fn record_store_failure(&mut self, reason: &dyn std::fmt::Display, now: Duration) {
         if self.schedule.is_store_reachable() {
             let revision = self.catalog.revision();
@@ -317,7 +323,7 @@
         self.schedule.failed(now);
     }
 
-    /// A message has come in.
+    /// Handles a message from a peer.
     pub fn receive(&mut self, message: Message, now: Duration) -> Outcome {
         if message.from.address == self.own.address {
             return Outcome::default();
@@ -379,15 +385,16 @@
 
     /// Whether this balancer has just started and the store may still answer its first call.
     ///
-    /// When a whole fleet starts at once, hundreds of whole catalogs would be fetched from the same three
-    /// seeds, while the store answers everybody in milliseconds.
+    /// Fetches wait for that: when a whole fleet starts at once, hundreds of full catalogs would
+    /// otherwise be fetched from the same three seeds, although the store answers each balancer in
+    /// milliseconds.
     pub(super) fn awaits_store(&self, now: Duration) -> bool {
         let waits = self.schedule.fresh_until().is_none() && self.schedule.is_store_reachable();
         waits && now < self.started + STORE_GRACE
     }
 
-    /// Where a message's news come from. For one from another data centre, this balancer is the
-    /// first of its own.
+    /// The source of a message's changes. If it comes from another data centre, this balancer
+    /// becomes the root of their distribution in its own.
     pub fn source(&self, message: &Message) -> Source {
         let near = message.from.data_centre == self.own.data_centre;
         Source::Peer {
@@ -396,7 +403,7 @@
         }
     }
 
-    /// A message that tells how much is known here and nothing else.
+    /// A message that contains only the sender and the revision that it knows.
     fn empty_message(&self, now: Duration) -> Message {
         Message {
             from: self.own.clone(),
@@ -427,7 +434,8 @@
         }
     }
 
-    /// Routes and servers for the traffic threads, and when they change by time alone.
+    /// Builds the snapshot of routes and servers for the traffic threads. Also returns when the
+    /// next one is due even if no event comes in, such as when a warm-up or a verdict ends.
     pub fn snapshot(&mut self, now: Duration) -> (Snapshot, Option<Duration>) {
         let balancers = self.fleet_size(now);
         self.roster.set_warmup_limits(Warmup {
@@ -451,7 +459,7 @@
             self.isolated = isolated;
             log::warn!("event=isolated isolated={isolated} servers={}", known.len());
         }
-        // Whoever reaches nobody knows nothing of the servers: others may reach them.
+        // An isolated balancer can't tell which servers are down, so it treats none as silent.
         let none = Detector::default();
         let detector = if isolated { &none } else { &self.detector };
         let mut snapshot = self.roster.snapshot(detector, now);
--- a/crates/node/src/cookie/core/news.rs
+++ b/crates/node/src/cookie/core/changes.rs
@@ -1,4 +1,4 @@
-//! What is learned of the store, from it or from peers, and how it is passed on.
+//! Propagation of the store's changes: applies those received from peers, and forwards new ones.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::cookie::message::{Difference, Known, MAX_CHANGES_BYTES, Outgoing};
 
 impl Core {
-    /// What was fetched from a peer has come in.
+    /// Applies the changes that were fetched from a peer.
     pub fn apply_fetched(
         &mut self,
         difference: Difference,
@@ -38,7 +38,8 @@
         self.propagate(changed, base, source, now)
     }
 
-    /// Takes in all changes up to what a peer knows.
+    /// Applies all changes up to the revision that a peer knows, and forwards them if they are new
+    /// here.
     pub(super) fn apply_peer_changes(
         &mut self,
         known: Known,
@@ -67,14 +68,16 @@
         self.propagate(changed, base, source, now)
     }
 
-    /// Takes in that everything was known at `at`; whether that is worth passing on. Peers' words
-    /// differ by milliseconds, and each would otherwise go through the whole data centre.
+    /// Records that all changes up to `at` are known. Returns true if that is so much fresher than
+    /// before that it is worth forwarding: peers' times differ by milliseconds, and each would
+    /// otherwise be sent to the whole data centre.
     fn confirm_freshness(&mut self, at: Duration) -> bool {
         let before = self.schedule.fresh_until();
         self.schedule.confirmed(at);
         before.is_none_or(|before| at > before + self.schedule.timing().watch_timeout / 2)
     }
 
+    /// Applies one change to the catalog and logs it. Returns true if the catalog changed.
     pub(super) fn apply(&mut self, change: Change) -> bool {
         let line = describe::change(&change, self.catalog.config());
         let applied = self.catalog.apply(change);
@@ -84,8 +87,8 @@
         applied
     }
 
-    /// Passes on what was learned: small news to all that it concerns, large ones to a few that
-    /// fetch them and pass them on.
+    /// Forwards the changes after `base`. Small ones are sent to all recipients. Large ones are
+    /// only announced to a few balancers, which fetch them and announce them in turn.
     pub(super) fn propagate(
         &mut self,
         changed: bool,
@@ -117,7 +120,8 @@
         }
     }
 
-    /// All that changed after a revision, for a peer.
+    /// All changes after a revision, for a peer that fetches them. If some removals since then have
+    /// been discarded here, the full state.
     #[must_use]
     pub fn difference(&self, revision: u64, now: Duration) -> Difference {
         let whole = revision < self.catalog.forgotten();
@@ -128,7 +132,8 @@
         }
     }
 
-    /// Forgets the removals that everybody has heard of: those known for the longest life of a flow.
+    /// Discards records of removed servers that have been known for at least the maximum lifetime
+    /// of a flow. Reachable peers have received them by then; others get the full state.
     pub(super) fn forget_removed(&mut self, now: Duration) {
         let (at, revision) = self.last_forget;
         if now >= at + self.keep_removals {
--- a/crates/node/src/cookie/core/describe.rs
+++ b/crates/node/src/cookie/core/describe.rs
@@ -1,4 +1,4 @@
-//! Lines for the log.
+//! Log lines for changes of the catalog.
 
 use std::sync::Arc;
 
@@ -7,8 +7,9 @@
     route::{Config, Patch},
 };
 
-/// A change as key=value pairs. A configuration is told by what it changes in the one before, however
-/// it came: operators look for the version that removed a route.
+/// Formats a change as key=value pairs. A configuration is always described by its difference from
+/// `before`, whether it arrived as a patch or in full, because operators search the log for the
+/// version that removed a route.
 pub fn change(change: &Change, before: Option<&Item<Arc<Config>>>) -> String {
     match change {
         Change::Config { revision, config } => {
--- a/crates/node/src/cookie/core/examine.rs
+++ b/crates/node/src/cookie/core/examine.rs
@@ -1,4 +1,5 @@
-//! Which servers are examined, and what follows from the result.
+//! Examination of servers that may be down: which ones to probe, and how results are applied and
+//! shared.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -15,35 +16,38 @@
 use super::{Core, Outcome};
 use crate::cookie::message::{Message, Outgoing};
 
-/// How long a server that has answered a probe here is left alone where a packet went unanswered here: at
-/// a loss of packets that goes on, each copy would else start an examination.
+/// How long unanswered packets to a server are ignored after it answered a probe of this balancer.
+/// Under sustained packet loss, each retransmission would otherwise start an examination.
 const OWN_TRUST: Duration = Duration::from_millis(300);
-/// Silent servers named in one message: with 20 bytes each, it stays below an Ethernet frame.
+/// Maximum number of servers listed in one message. At 20 bytes each, the message fits into one
+/// Ethernet frame.
 pub const MAX_SILENT: usize = 20;
 
-/// Balancers of each data centre that examine a server which others find silent, and the neighbours of
-/// one. Three: they agree on what the others are told, also when one of them dies or is cut off itself.
-/// Were each balancer of a large fleet to examine for itself, the servers that live would get more
-/// connections from balancers than from callers.
+/// Number of balancers per data centre that examine a server which peers report as silent, or which
+/// is in the data centre of a silent one. With three, two still agree when one of them crashes or
+/// is cut off itself. If each balancer of a large fleet examined for itself, healthy servers would
+/// get more connections from balancers than from callers.
 const EXAMINERS: usize = 3;
 
-/// A backend server and where it is.
+/// A backend server to probe.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Its name.
+    /// Its id.
     pub server: Arc<str>,
-    /// Where it takes connections.
+    /// The address at which it accepts connections.
     pub address: SocketAddrV4,
 }
 
 /// Servers to probe together.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Examination {
-    /// The servers under suspicion, for which the control shows whether probes are answered at all.
+    /// Suspected servers. The result counts only if the control shows that probes are answered at
+    /// all.
     pub targets: Vec<Target>,
-    /// Silent servers, which may be back.
+    /// Silent servers that may answer again.
     pub silent: Vec<Target>,
-    /// The control of the targets; none where nobody is above suspicion.
+    /// Address of a server that is probed as the control for `targets`; `None` if no server is
+    /// trusted.
     pub control: Option<SocketAddrV4>,
 }
 
@@ -56,7 +60,8 @@
 }
 
 impl Core {
-    /// A packet to a server went unanswered here. Whether there is something to examine.
+    /// Records that a packet to a server went unanswered here. Returns true if the server is to be
+    /// examined.
     pub fn record_unanswered(&mut self, server: &Arc<str>, now: Duration) -> bool {
         let examine = self.detector.suspect(server, OWN_TRUST, now);
         if examine {
@@ -65,8 +70,9 @@
         examine
     }
 
-    /// A peer finds these servers silent. Those that this balancer is to examine are examined; of the
-    /// others, the word of several peers of the own data centre is taken.
+    /// Handles a peer's report that servers are silent. This balancer examines those for which it
+    /// is an examiner; for the others, it adopts the verdict once enough peers of its own data
+    /// centre agree.
     pub(super) fn receive_suspicions(
         &mut self,
         servers: &[Arc<str>],
@@ -102,8 +108,8 @@
         outcome
     }
 
-    /// A peer of the own data centre has found that these silent servers answer again. Whether anything
-    /// changed.
+    /// Handles the report of a peer in the same data centre that silent servers answer again.
+    /// Returns true if this balancer uses any of them again.
     pub(super) fn receive_recoveries(&mut self, servers: &[Arc<str>], now: Duration) -> bool {
         let mut changed = false;
         for server in servers {
@@ -120,7 +126,7 @@
         is_chosen(&self.own, &self.peers, cookie::hash(server), EXAMINERS)
     }
 
-    /// The servers to examine now, and when to look again.
+    /// Returns the servers to examine now, and when the next examination is due.
     pub fn examination(&mut self, now: Duration) -> (Examination, Option<Duration>) {
         let due = self.detector.due(now);
         let next = self.detector.next_due();
@@ -159,7 +165,8 @@
             .any(|server| server.data_centre == self.own.data_centre)
     }
 
-    /// A server that nothing speaks against, in the own data centre or in another one.
+    /// The address of a random server that the detector trusts: in the own data centre if `near`,
+    /// else in another one.
     fn control(&mut self, near: bool, except: &[Arc<str>]) -> Option<SocketAddrV4> {
         let (detector, centre) = (&self.detector, &self.own.data_centre);
         let trusted = self.roster.present().filter(|server| {
@@ -172,7 +179,7 @@
             .map(|server| server.address)
     }
 
-    /// An examination has ended.
+    /// Applies the results of an examination and reports them to the own data centre.
     pub fn record_findings(
         &mut self,
         findings: Vec<(Arc<str>, Finding)>,
@@ -212,9 +219,10 @@
         }
     }
 
-    /// Puts the neighbours of silent servers under examination, where it is this balancer's part; true if
-    /// there are any. A cut puts all servers of a data centre out of reach in one moment: found one by
-    /// one, each would cost its callers an unanswered packet first.
+    /// Marks the servers in the data centres of silent ones as suspected, as far as this balancer
+    /// is their examiner. Returns true if any is to be examined. A partition makes all servers of a
+    /// data centre unreachable at once; if they were detected one by one, each would first cost a
+    /// caller an unanswered packet.
     fn examine_neighbours(&mut self, silent: &[Arc<str>], now: Duration) -> bool {
         let lost = silent.iter().filter_map(|id| self.roster.get(id));
         let mut centres: Vec<Arc<str>> = lost.map(|known| Arc::clone(&known.data_centre)).collect();
@@ -232,7 +240,8 @@
         examine
     }
 
-    /// Messages to all of the own data centre, each with a part of `servers` as `put` places them.
+    /// Messages to all peers in the own data centre that together list `servers`; `put` stores a
+    /// chunk of them in the message's field.
     pub(super) fn messages_to_data_centre(
         &self,
         servers: &[Arc<str>],
--- a/crates/node/src/cookie/core/failing.rs
+++ b/crates/node/src/cookie/core/failing.rs
@@ -1,4 +1,5 @@
-//! Servers that fail their requests: what is reported to their observers, and what these tell.
+//! Detection of servers that fail their requests: reports to their observers, and the observers'
+//! verdicts.
 
 use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -8,13 +9,16 @@
 use super::{Core, Outcome};
 use crate::cookie::message::{Failure, Outgoing};
 
-/// Observers of a server, in its own data centre. Two, so that one may die or be cut off.
+/// Number of balancers that collect the request counts of a server, in the server's data centre.
+/// Two, so that one may crash or be cut off.
 const OBSERVERS: usize = 2;
-/// Failures named in one message: with 25 bytes each, it stays below an Ethernet frame.
+/// Maximum number of failure counts in one message. At 25 bytes each, the message fits into one
+/// Ethernet frame.
 const MAX_FAILURES: usize = 32;
 
 impl Core {
-    /// Reports how the requests of servers that fail some of them ended here.
+    /// Reports this balancer's request counts of servers that fail requests to the servers'
+    /// observers.
     pub(super) fn report_failures(&mut self, seen: &[speed::Count], now: Duration) -> Outcome {
         let mut reports: BTreeMap<SocketAddrV4, Vec<Failure>> = BTreeMap::new();
         for speed::Count { server, count } in seen {
@@ -47,7 +51,8 @@
         outcome
     }
 
-    /// Takes in, as an observer, how servers' requests ended; tells the data centre of those that fail.
+    /// Adds reported request counts as an observer, and announces servers found failing to the own
+    /// data centre.
     pub(super) fn observe(&mut self, failures: &[Failure], now: Duration) -> Outcome {
         let mut failing = Vec::new();
         for Failure {
@@ -72,7 +77,7 @@
         }
     }
 
-    /// Takes in an observer's verdict; true if a server was not known to fail.
+    /// Records an observer's verdict on failing servers. Returns true if any was not marked before.
     pub(super) fn mark_failing(&mut self, servers: &[Arc<str>], now: Duration) -> bool {
         let mut changed = false;
         for server in servers.iter().filter(|server| self.roster.holds(server)) {
@@ -84,7 +89,7 @@
         changed
     }
 
-    /// Lowers the weight of servers that fail their requests; gives when that ends for the next.
+    /// Lowers the weights of failing servers. Returns when the next verdict expires.
     pub(super) fn lower_failing_weights(
         &mut self,
         snapshot: &mut Snapshot,
--- a/crates/node/src/cookie/core/gossip.rs
+++ b/crates/node/src/cookie/core/gossip.rs
@@ -1,4 +1,4 @@
-//! Rounds of gossip: who is there, and who knows how much.
+//! Gossip rounds: membership of the fleet, and the revision that each balancer knows.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -8,14 +8,17 @@
 use super::{Core, examine};
 use crate::cookie::message::{Message, Outgoing};
 
-/// Other balancers described in one message: with 40 bytes each, it stays below an Ethernet frame.
+/// Maximum number of full descriptions of balancers in one message. At 40 bytes each, the message
+/// fits into one Ethernet frame.
 const MAX_DESCRIBED: usize = 24;
-/// Other balancers named by their heartbeats in one message: 14 bytes each.
+/// Maximum number of heartbeats of other balancers in one message, at 14 bytes each.
 const MAX_HEARTBEATS: usize = 72;
-/// Balancers told in one round. Two: news double each round.
+/// Number of peers contacted in one round. With two, the number of informed balancers roughly
+/// doubles with each round.
 const FANOUT: usize = 2;
 
 impl Core {
+    /// Adds a balancer to the list of peers, or updates its entry.
     pub(super) fn merge_member(&mut self, member: Member, now: Duration) {
         if member.address == self.own.address {
             return;
@@ -26,7 +29,8 @@
         }
     }
 
-    /// A round of gossip.
+    /// Runs a round of gossip: expires peers without recent heartbeats, and returns the messages to
+    /// send.
     pub fn gossip(&mut self, now: Duration) -> Vec<Outgoing> {
         self.own.beat += 1;
         self.forget_removed(now);
@@ -34,13 +38,13 @@
             log::info!("event=peer-lost peer={}", lost.address);
         }
         let others: Vec<SocketAddrV4> = self.peers.iter().map(|member| member.address).collect();
-        let told = others.sample(&mut self.random, FANOUT);
-        let mut to: Vec<SocketAddrV4> = told.copied().collect();
+        let targets = others.sample(&mut self.random, FANOUT);
+        let mut to: Vec<SocketAddrV4> = targets.copied().collect();
         let is_unknown =
             |seed: &&SocketAddrV4| **seed != self.own.address && !others.contains(seed);
         let mut unknown_peers = self.seeds.iter().filter(is_unknown);
-        // A balancer that knows nobody asks all that it was given; later one of them a round, so that
-        // two halves that lost each other meet again.
+        // A balancer without known peers contacts all its seeds. Later it contacts one unknown seed
+        // per round, so that the two sides of a healed partition find each other again.
         match others.len() {
             0 => to.extend(unknown_peers),
             _ => to.extend(unknown_peers.nth(self.own.beat as usize % self.seeds.len().max(1))),
@@ -57,15 +61,16 @@
         .collect()
     }
 
-    /// A balancer that has no configuration yet asks the one that knew more when it started, now that
-    /// the store has had its time. Left to chance, it would wait for long where most of those that it
-    /// has heard of are paused.
+    /// A request to the peer that knew a later revision at the start, sent if this balancer still
+    /// has no configuration once the store's grace period is over. Without it, the balancer would
+    /// depend on random gossip, and wait long if most of the peers that it knows are paused.
     fn status_request(&self, now: Duration) -> Option<Outgoing> {
         if self.is_informed() || self.awaits_store(now) {
             return None;
         }
         let message = Message {
-            // Makes the peer answer, and shortly; any answer tells how much it knows.
+            // Makes the peer answer with a short message; any answer contains the revision it
+            // knows.
             unknown: vec![self.own.address],
             ..self.empty_message(now)
         };
@@ -73,7 +78,7 @@
         Some(Outgoing { to, message })
     }
 
-    /// Tells all of the own data centre that this balancer leaves.
+    /// Announces to the own data centre that this balancer is leaving.
     pub fn leave(&mut self, now: Duration) -> Vec<Outgoing> {
         self.own.leaving = true;
         self.own.beat += 1;
@@ -86,7 +91,7 @@
         vec![Outgoing { to, message }]
     }
 
-    /// Takes in that some balancers live; gives those that are unknown here.
+    /// Applies the heartbeats of other balancers. Returns those whose full description is needed.
     pub(super) fn receive_heartbeats(
         &mut self,
         heartbeats: &[Heartbeat],
@@ -101,7 +106,7 @@
             .collect()
     }
 
-    /// The message of a round. `wants` asks for a message in return.
+    /// The message of a gossip round. `wants` requests an answer.
     fn gossip_message(&mut self, wants: bool, now: Duration) -> Message {
         let latest = self.peers.latest(self.random.random(), now);
         let heartbeats = latest.into_iter().take(MAX_HEARTBEATS).map(Heartbeat::from);
@@ -116,7 +121,8 @@
         }
     }
 
-    /// What a balancer is answered that asks for the description of others, or of any.
+    /// The answer to a balancer that requested descriptions of the `unknown` balancers or, with
+    /// `wants`, of any.
     pub(super) fn member_descriptions(
         &mut self,
         unknown: &[SocketAddrV4],
--- a/crates/node/src/cookie/core/speed.rs
+++ b/crates/node/src/cookie/core/speed.rs
@@ -1,4 +1,4 @@
-//! What servers were seen to do, here and at peers, and what follows for their weights.
+//! Server speeds: request counts from this balancer and its peers, and their evaluation.
 
 use std::{fmt, time::Duration};
 
@@ -8,16 +8,19 @@
 use super::{Core, Outcome};
 use crate::cookie::message::{self, Message, Outgoing};
 
-/// Servers named in one message: with 30 bytes each, it stays below an Ethernet frame.
+/// Maximum number of servers' counts in one message. At 30 bytes each, the message fits into one
+/// Ethernet frame.
 const MAX_COUNTS: usize = 32;
-/// Peers told in one round. Eight: all in a small fleet. In a large one each balancer hears from as
-/// many others a second, whatever its size, and passes a few hundred bytes to each.
+/// Number of peers that get the counts in one round. In a small fleet, eight are all of them. In a
+/// large one, the traffic per balancer stays the same whatever the fleet's size: it hears from as
+/// many others per second, and sends a few hundred bytes to each.
 const COUNT_FANOUT: usize = 8;
-/// Servers shown in one line of the log.
+/// Maximum number of servers in one log line.
 const MAX_LOGGED: usize = 8;
 
 impl Core {
-    /// What the traffic threads have seen of the servers.
+    /// Adds the request counts of the traffic threads, and reports failures to the servers'
+    /// observers.
     pub fn record_counts(&mut self, seen: Vec<speed::Count>, now: Duration) -> Outcome {
         let outcome = self.report_failures(&seen, now);
         for seen in seen {
@@ -34,7 +37,7 @@
         outcome
     }
 
-    /// A peer has seen this.
+    /// Adds the request counts in a peer's message.
     pub(super) fn receive_counts(&mut self, message: &Message) {
         if message.seen.is_empty() {
             return;
@@ -45,7 +48,7 @@
         }
     }
 
-    /// Evaluates the speeds; true if weights have changed.
+    /// Evaluates the speeds. Returns true if weights have changed.
     pub fn evaluate_speeds(&mut self, now: Duration) -> bool {
         let balancers = self.peers.len() + 1;
         let visible = (self.peer_reports + 1).min(balancers) as f64 / balancers as f64;
@@ -61,7 +64,8 @@
         !changed.is_empty()
     }
 
-    /// Tells some peers what was seen here since the last time. Servers that don't fit come next.
+    /// A message to some peers with the counts that have not been sent yet. Servers that don't fit
+    /// are left for the next round.
     pub(super) fn counts_message(&mut self, now: Duration) -> Option<Outgoing> {
         let count = self.unsent_counts.len().min(MAX_COUNTS);
         if count == 0 {
@@ -81,7 +85,7 @@
     }
 }
 
-/// The servers' speeds in a line of the log: requests a second that each answers with a slot.
+/// Formats the servers' speeds for the log, in requests per second and slot.
 struct SpeedList<'a>(&'a [speed::Change]);
 
 impl fmt::Display for SpeedList<'_> {
--- a/crates/node/src/cookie/core/summary.rs
+++ b/crates/node/src/cookie/core/summary.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the core.
+//! Summary of the core's state for operators and metrics.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,35 +9,35 @@
 pub struct Evacuation {
     /// The data centre.
     pub data_centre: Arc<str>,
-    /// The store's revision of the operators' mark.
+    /// The store's revision at which the operators set the evacuation.
     pub revision: u64,
-    /// How long it has been in force here.
+    /// How long the evacuation has been in force here.
     pub enforced: Duration,
 }
 
-/// What operators look at first.
+/// The main facts for operators and metrics.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Summary {
-    /// The operators' number of the configuration in force; 0 for none.
+    /// The version of the configuration in force, as numbered by the operators; 0 if there is none.
     pub version: u64,
     /// The store's revision up to which everything is known.
     pub revision: u64,
-    /// How long ago that was the store's newest; none if it never was.
+    /// How long ago that was known to be the store's latest revision; `None` if it never was.
     pub age: Option<Duration>,
-    /// Other balancers known.
+    /// Number of other balancers known.
     pub peers: usize,
-    /// Backend servers found silent.
+    /// Number of backend servers considered silent.
     pub silent: usize,
-    /// Whether this balancer watches the store for the others.
+    /// Whether this balancer watches the store on behalf of the others.
     pub reads: bool,
-    /// How long the version has been in force; none before the first.
+    /// How long the version has been in force; `None` before the first one.
     pub enforced: Option<Duration>,
     /// The data centres under evacuation.
     pub evacuations: Vec<Evacuation>,
 }
 
 impl Core {
-    /// What operators look at first.
+    /// Summarizes the state at `now`.
     #[must_use]
     pub fn summary(&self, now: Duration) -> Summary {
         Summary {
@@ -65,7 +65,8 @@
         marks.map(mark).collect()
     }
 
-    /// Takes note of the marks that are in force from `now` on.
+    /// Records which evacuations are in force at `now`. Those already recorded keep their start
+    /// time.
     pub(super) fn enforce_evacuations(&mut self, now: Duration) {
         let since = |centre: &Arc<str>| self.evacuated.get(centre).map(|(_, since)| *since);
         let marks = self.catalog.evacuations();
