--- a/crates/node/src/cookie/core.rs
+++ b/crates/node/src/cookie/core.rs
@@ -238,8 +238,9 @@
             self.reads = reads;
             log::info!("event=reader reads={reads} peers={}", self.peers.len());
         }
-        let blind = self.peers.iter().filter(|member| !member.sighted).count();
-        self.schedule.next_action(now, reads, self.jitter, blind)
+        let without_store = self.peers.iter().filter(|member| !member.sighted).count();
+        self.schedule
+            .next_action(now, reads, self.jitter, without_store)
     }
 
     /// Whether this balancer has just started and may still discover its peers. When a whole fleet
@@ -472,9 +473,9 @@
         self.speeds.apply(&mut snapshot);
         snapshot.data_centre = Arc::clone(&self.own.data_centre);
         snapshot.balancers = self.peers.len() as u32 + 1;
-        let recovers = self.lower_failing_weights(&mut snapshot, now);
-        let counted = Some(self.started + FLEET_DISCOVERY).filter(|at| *at > now);
-        let next = [self.roster.next_change(now), recovers, counted];
+        let verdict_expiry = self.lower_failing_weights(&mut snapshot, now);
+        let fleet_known = Some(self.started + FLEET_DISCOVERY).filter(|at| *at > now);
+        let next = [self.roster.next_change(now), verdict_expiry, fleet_known];
         (snapshot, next.into_iter().flatten().min())
     }
 }
--- a/crates/node/src/cookie/core/examine.rs
+++ b/crates/node/src/cookie/core/examine.rs
@@ -207,9 +207,9 @@
             }
         }
         let mut outgoing =
-            self.messages_to_data_centre(&silent, now, |message, named| message.silent = named);
+            self.messages_to_data_centre(&silent, now, |message, listed| message.silent = listed);
         outgoing.extend(
-            self.messages_to_data_centre(&back, now, |message, named| message.back = named),
+            self.messages_to_data_centre(&back, now, |message, listed| message.back = listed),
         );
         Outcome {
             outgoing,
@@ -253,9 +253,9 @@
             .iter()
             .filter(|member| member.data_centre == self.own.data_centre);
         let to: Vec<SocketAddrV4> = own.map(|member| member.address).collect();
-        let outgoing = |named: &[Arc<str>]| {
+        let outgoing = |listed: &[Arc<str>]| {
             let mut message = self.empty_message(now);
-            put(&mut message, named.to_vec());
+            put(&mut message, listed.to_vec());
             let to = to.clone();
             Outgoing { to, message }
         };
--- a/crates/node/src/cookie/core/failing.rs
+++ b/crates/node/src/cookie/core/failing.rs
@@ -68,7 +68,7 @@
             }
         }
         let outgoing =
-            self.messages_to_data_centre(&failing, now, |message, named| message.failing = named);
+            self.messages_to_data_centre(&failing, now, |message, listed| message.failing = listed);
         let changed = self.mark_failing(&failing, now);
         Outcome {
             outgoing,
--- a/crates/node/src/cookie/core/gossip.rs
+++ b/crates/node/src/cookie/core/gossip.rs
@@ -98,10 +98,12 @@
         now: Duration,
     ) -> Vec<SocketAddrV4> {
         let own = self.own.address;
-        let named = heartbeats.iter().filter(|named| named.address != own);
-        let unknown = named.filter(|named| !self.peers.confirm(named, now));
+        let others = heartbeats
+            .iter()
+            .filter(|heartbeat| heartbeat.address != own);
+        let unknown = others.filter(|heartbeat| !self.peers.confirm(heartbeat, now));
         unknown
-            .map(|named| named.address)
+            .map(|heartbeat| heartbeat.address)
             .take(MAX_DESCRIBED)
             .collect()
     }
--- a/crates/node/src/cookie/core/summary.rs
+++ b/crates/node/src/cookie/core/summary.rs
@@ -56,24 +56,24 @@
     }
 
     fn evacuations(&self, now: Duration) -> Vec<Evacuation> {
-        let marks = self.evacuated.iter();
-        let mark = |(centre, (revision, since)): (&Arc<str>, &(u64, Duration))| Evacuation {
+        let evacuations = self.evacuated.iter();
+        let evacuation = |(centre, (revision, since)): (&Arc<str>, &(u64, Duration))| Evacuation {
             data_centre: Arc::clone(centre),
             revision: *revision,
             enforced: now.saturating_sub(*since),
         };
-        marks.map(mark).collect()
+        evacuations.map(evacuation).collect()
     }
 
     /// Records which evacuations are in force at `now`. Those already recorded keep their start
     /// time.
     pub(super) fn enforce_evacuations(&mut self, now: Duration) {
         let since = |centre: &Arc<str>| self.evacuated.get(centre).map(|(_, since)| *since);
-        let marks = self.catalog.evacuations();
-        let marks = marks.map(|(centre, revision)| {
+        let evacuations = self.catalog.evacuations();
+        let evacuations = evacuations.map(|(centre, revision)| {
             let since = since(centre).unwrap_or(now);
             (Arc::clone(centre), (revision, since))
         });
-        self.evacuated = marks.collect();
+        self.evacuated = evacuations.collect();
     }
 }
