--- a/crates/node/tests/it/cookie/examine.rs
+++ b/crates/node/tests/it/cookie/examine.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// An address at which nobody listens: connections are refused.
+/// An address without a listener, where connections are refused.
 fn refusing() -> SocketAddrV4 {
     listener().1
 }
@@ -41,8 +41,8 @@
     );
 }
 
-/// A cut that refuses connections ends all probes before the control is due. The server must be
-/// found silent all the same.
+/// Refused connections end all probes before the control is probed. The server must still be found
+/// silent.
 #[tokio::test]
 async fn a_server_that_refuses_connections_is_silent_beside_one_that_accepts() {
     let (_listener, control) = listener();
@@ -58,9 +58,9 @@
     );
 }
 
-/// Nobody answers, the control neither: it is this balancer that reaches nobody.
+/// If the control doesn't answer either, the balancer itself may be cut off.
 #[tokio::test]
-async fn nothing_is_known_where_the_control_does_not_answer() {
+async fn the_finding_is_unknown_if_the_control_does_not_answer() {
     for control in [Some(refusing()), None] {
         let examination = Examination {
             targets: vec![target("i-1", refusing())],
@@ -75,8 +75,8 @@
     }
 }
 
-/// A silent server is probed again and again. A probe without an answer must tell nothing new, and one
-/// with an answer must bring the server back; neither needs a control.
+/// A silent server is probed repeatedly, without a control. An unanswered probe must produce no
+/// finding, and an answered one must report the server as answering.
 #[tokio::test]
 async fn a_silent_server_is_found_back_by_one_probe_without_a_control() {
     let (_listener, address) = listener();
