--- a/crates/node/tests/it/cookie/failing.rs
+++ b/crates/node/tests/it/cookie/failing.rs
@@ -1,4 +1,4 @@
-//! A part of the servers fails its requests in a large fleet, of which each balancer sees next to nothing.
+//! Some servers fail their requests in a large fleet, where each balancer sees only a few of them.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 const SERVERS: u64 = 290;
 /// Every fourth server fails nine of ten requests.
 const FAILING: u64 = 4;
-/// Requests to a server within a second, all balancers together.
+/// Requests per second to a server from all balancers together.
 const REQUESTS: u64 = 4;
 
 fn fleet() -> Fleet {
@@ -34,7 +34,7 @@
     format!("i-{number}")
 }
 
-/// What one balancer has seen of a server within a second.
+/// One balancer's counts of a server within one second.
 fn seen(number: u64, failed: bool) -> speed::Count {
     let count = Count {
         asked: 1,
@@ -46,7 +46,8 @@
     speed::Count { server, count }
 }
 
-/// A second of requests, each through another balancer; nine of ten of the failing servers' fail.
+/// Sends one second of requests, each through another balancer. At failing servers, nine of ten
+/// fail.
 fn second(fleet: &mut Fleet, round: u64) {
     let mut outgoing = Vec::new();
     for number in 1..=SERVERS {
@@ -63,7 +64,8 @@
     fleet.now += ms(1_000);
 }
 
-/// A balancer of the servers' data centre as its traffic threads see the servers.
+/// The number of failing and of healthy servers that a balancer in the servers' data centre marks
+/// as failing.
 fn avoided(fleet: &mut Fleet) -> (usize, usize) {
     let now = fleet.now;
     let near = fleet.cores.values_mut();
@@ -78,9 +80,10 @@
     (right.len(), wrong.len())
 }
 
-/// Each balancer sees a request of a failing server once in a minute, and none gives it fewer flows.
+/// Each balancer sees a request to a failing server about once a minute. Without sharing counts,
+/// none would reduce the server's flows.
 #[test]
-fn servers_that_fail_are_known_within_two_seconds() {
+fn failing_servers_are_detected_within_two_seconds() {
     let mut fleet = fleet();
 
     for round in 0..2 {
@@ -92,7 +95,7 @@
     assert_eq!(wrong, 0);
 }
 
-/// Servers answer again, and get no flows for good.
+/// Servers that answer again must not remain excluded from new flows.
 #[test]
 fn servers_that_recovered_are_used_again() {
     let mut fleet = fleet();
