--- a/crates/node/tests/it/cookie/cut.rs
+++ b/crates/node/tests/it/cookie/cut.rs
@@ -1,4 +1,4 @@
-//! A cut puts all servers of a data centre out of reach of a large fleet.
+//! A partition makes all servers of a data centre unreachable for a large fleet.
 
 use std::sync::Arc;
 
@@ -8,11 +8,12 @@
 use super::fixture::{Fleet, ms, server};
 
 const CENTRES: [&str; 5] = ["a", "b", "c", "d", "e"];
-/// Servers behind the cut.
-const LOST: u64 = 58;
+/// Number of servers behind the partition.
+const PARTITIONED: u64 = 58;
 const SERVERS: u64 = 290;
 
-/// A fleet of 195 balancers that knows all servers; the last [`LOST`] are in the cut data centre.
+/// A fleet of 195 balancers that know all servers; the last [`PARTITIONED`] are in the partitioned
+/// data centre.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new(195, &CENTRES);
     let now = fleet.now;
@@ -26,8 +27,8 @@
         } = change
         {
             let server = Arc::make_mut(server);
-            let is_lost = number > SERVERS - LOST;
-            server.data_centre = if is_lost { "z" } else { "a" }.into();
+            let is_partitioned = number > SERVERS - PARTITIONED;
+            server.data_centre = if is_partitioned { "z" } else { "a" }.into();
         }
     }
     for core in fleet.cores.values_mut() {
@@ -41,14 +42,14 @@
     format!("i-{number}")
 }
 
-fn is_lost(id: &str) -> bool {
+fn is_partitioned(id: &str) -> bool {
     let number: u64 = id[2..].parse().expect("a number");
-    number > SERVERS - LOST
+    number > SERVERS - PARTITIONED
 }
 
-/// Lets every balancer make the examinations that are due, until none is; gives how many servers were
-/// examined and how many silent ones probed.
-fn examine(fleet: &mut Fleet, is_cut: bool) -> (usize, usize) {
+/// Runs the examinations that are due at each balancer until none is left. Returns how many servers
+/// were examined, and how many silent ones probed.
+fn examine(fleet: &mut Fleet, is_partition_active: bool) -> (usize, usize) {
     let (mut examined, mut probed) = (0, 0);
     loop {
         let now = fleet.now;
@@ -60,7 +61,7 @@
             examined += examination.targets.len();
             probed += examination.silent.len();
             let targets = examination.targets.iter().map(|target| {
-                let silent = is_cut && is_lost(&target.server);
+                let silent = is_partition_active && is_partitioned(&target.server);
                 let finding = if silent {
                     Finding::Silent
                 } else {
@@ -68,7 +69,7 @@
                 };
                 (Arc::clone(&target.server), finding)
             });
-            let back = examination.silent.iter().filter(|_| !is_cut);
+            let back = examination.silent.iter().filter(|_| !is_partition_active);
             let back = back.map(|target| (Arc::clone(&target.server), Finding::Answered));
             let findings = targets.chain(back).collect();
             outgoing.extend(core.record_findings(findings, now + ms(90)).outgoing);
@@ -80,17 +81,17 @@
     }
 }
 
-/// The number of servers that each balancer takes for silent.
+/// The number of servers that each balancer considers silent.
 fn silent(fleet: &Fleet) -> Vec<usize> {
     let now = fleet.now;
     let cores = fleet.cores.values();
     cores.map(|core| core.summary(now).silent).collect()
 }
 
-/// Each balancer of a large fleet examines each server behind a cut, and again whether it is back: more
-/// connections than callers open.
+/// If each balancer of a large fleet examined each server behind a partition, and later probed it
+/// for its return, these connections would outnumber those of callers.
 #[test]
-fn few_balancers_examine_for_all() {
+fn few_balancers_examine_on_behalf_of_all() {
     let mut fleet = fleet();
     let now = fleet.now;
     for centre in 0..CENTRES.len() {
@@ -99,17 +100,18 @@
     }
 
     let (examined, _) = examine(&mut fleet, true);
-    assert_eq!(silent(&fleet), vec![LOST as usize; 195]);
-    // Three in each data centre, and the one that noticed.
-    assert!(examined <= 5 * (3 * LOST as usize + 1), "{examined}");
+    assert_eq!(silent(&fleet), vec![PARTITIONED as usize; 195]);
+    // Three balancers in each data centre, and the one that noticed.
+    assert!(examined <= 5 * (3 * PARTITIONED as usize + 1), "{examined}");
 
     fleet.now += ms(2_000);
     let (_, probed) = examine(&mut fleet, false);
     assert_eq!(silent(&fleet), vec![0; 195]);
-    assert!(probed <= 5 * (3 * LOST as usize + 1), "{probed}");
+    assert!(probed <= 5 * (3 * PARTITIONED as usize + 1), "{probed}");
 }
 
-/// One balancer is cut off itself and finds all servers silent. The others must not end living flows.
+/// A single balancer is cut off and finds all servers silent. If the others adopted its verdict,
+/// they would end flows that work.
 #[test]
 fn a_balancer_that_is_cut_off_convinces_no_other() {
     let mut fleet = fleet();
