--- a/crates/node/tests/it/cookie/core.rs
+++ b/crates/node/tests/it/cookie/core.rs
@@ -7,16 +7,16 @@
 use super::fixture::{Fleet, config, ms, removed, server, settings};
 
 fn all(fleet: &Fleet, version: u64) -> Vec<Option<u64>> {
-    vec![Some(version); fleet.cores.len() - fleet.lost.len()]
+    vec![Some(version); fleet.cores.len() - fleet.unreachable.len()]
 }
 
-/// Lists of members are kept by gossip. Where a balancer is missing on another's list, news may pass
-/// by a data centre, and its balancers turn to the store.
+/// If gossip left balancers missing from each other's lists, changes could miss a data centre,
+/// whose balancers would then read the store themselves.
 #[rstest]
 #[case::today(9, &["a", "b", "c"])]
 #[case::grown(61, &["a", "b", "c", "d"])]
 #[case::large(195, &["a", "b", "c", "d", "e"])]
-fn next_to_no_balancer_is_missing_on_another_s_list(#[case] count: u8, #[case] centres: &[&str]) {
+fn gossip_keeps_member_lists_nearly_complete(#[case] count: u8, #[case] centres: &[&str]) {
     let mut fleet = Fleet::new(count, centres);
     let others = usize::from(count) - 1;
     let (mut missing, mut pairs) = (0, 0);
@@ -33,17 +33,19 @@
     assert!(missing * 2_000 < pairs, "{missing} of {pairs}");
 }
 
-/// Balancers go on naming one that has died to others that have dropped it, and it never leaves their
-/// lists: news go to nobody, and nobody reads the store in its place.
+/// If balancers kept gossiping about a dead one to others that have dropped it, it would never
+/// leave their lists: changes would be sent to it in vain, and no other balancer would replace it
+/// as reader.
 #[rstest]
 #[case::today(9, &["a", "b", "c"])]
 #[case::large(195, &["a", "b", "c", "d", "e"])]
 fn a_dead_balancer_leaves_all_lists_for_good(#[case] count: u8, #[case] centres: &[&str]) {
     let mut fleet = Fleet::new(count, centres);
     let dead = fleet.first();
-    fleet.lost.push(dead);
+    fleet.unreachable.push(dead);
 
-    // A last word may be under way for as long as an expiry takes, and again to whoever missed it.
+    // Its last heartbeat may circulate for as long as an expiry takes, and once more among
+    // balancers that missed it.
     fleet.rounds(36);
     for _ in 0..24 {
         fleet.rounds(1);
@@ -53,45 +55,45 @@
     }
 }
 
-/// An operator adds a route. The store tells one balancer; all others must have it in force at once
-/// and without a call, or the store's calls grow with the fleet.
+/// An operator adds a route, and one balancer reads it from the store. If the others didn't get it
+/// from that balancer at once, calls to the store would grow with the fleet.
 #[rstest]
 #[case::today(9, &["a", "b", "c"])]
 #[case::grown(61, &["a", "b", "c", "d"])]
-fn what_one_balancer_reads_all_have_at_once(#[case] count: u8, #[case] centres: &[&str]) {
+fn a_change_read_by_one_balancer_reaches_all_at_once(#[case] count: u8, #[case] centres: &[&str]) {
     let mut fleet = Fleet::new(count, centres);
     let first = fleet.first();
-    fleet.tell(first, vec![config(5, 3), server("i-1", 4)], 5);
+    fleet.apply_from_store(first, vec![config(5, 3), server("i-1", 4)], 5);
 
-    fleet.tell(first, vec![config(6, 4)], 6);
+    fleet.apply_from_store(first, vec![config(6, 4)], 6);
 
     assert_eq!(fleet.versions(), all(&fleet, 6));
 }
 
-/// A configuration grows by hundreds of routes. Were it fetched from the reader and one relay by
-/// everybody, their links would be full for a second and callers' packets late.
+/// A configuration grows by hundreds of routes. If all balancers fetched it from the reader and one
+/// relay, these links would be saturated for a second, and callers' packets delayed.
 #[test]
 fn a_large_configuration_is_fetched_from_many() {
     let mut fleet = Fleet::new(61, &["a", "b", "c", "d"]);
     let first = fleet.first();
-    fleet.tell(first, vec![config(5, 3)], 5);
+    fleet.apply_from_store(first, vec![config(5, 3)], 5);
     fleet.fetched.clear();
 
-    fleet.tell(first, vec![config(6, 400)], 6);
+    fleet.apply_from_store(first, vec![config(6, 400)], 6);
 
     assert_eq!(fleet.versions(), all(&fleet, 6));
-    // Three of the own data centre and a relay of each other.
+    // Three balancers of its own data centre, and one relay in each of the others.
     let most = fleet.fetched.values().max().copied().unwrap_or(0);
     assert!(most <= 6, "one was asked {most} times: {:?}", fleet.fetched);
 }
 
-/// The store is away while a balancer starts. It must learn all from its peers, or its callers are
-/// served by nobody until the store is back.
+/// A balancer that starts while the store is unavailable must get the full state from its peers.
+/// Otherwise it couldn't serve callers until the store is available again.
 #[test]
-fn a_balancer_that_starts_while_the_store_is_away_learns_all_from_peers() {
+fn a_balancer_that_starts_without_the_store_gets_the_full_state_from_peers() {
     let mut fleet = Fleet::new(9, &["a", "b", "c"]);
     let first = fleet.first();
-    fleet.tell(first, vec![config(5, 3), server("i-1", 4)], 5);
+    fleet.apply_from_store(first, vec![config(5, 3), server("i-1", 4)], 5);
 
     let new = fleet.join(20, "b");
     fleet.rounds(1);
@@ -101,36 +103,37 @@
     assert_eq!((core.version(), core.revision()), (Some(5), 5));
 }
 
-/// The store is away, and most balancers that one which starts has heard of are paused. It must not
-/// depend on chance when it learns all from one that lives, or its callers are served by nobody.
+/// A balancer starts while the store is unavailable and most peers that it knows are paused. How
+/// soon it gets the state from the running peer must not depend on random gossip, as it can't serve
+/// callers before.
 #[test]
-fn a_balancer_that_starts_among_paused_ones_learns_all_from_one_that_lives() {
+fn a_balancer_that_starts_among_paused_peers_gets_the_state_from_the_running_one() {
     let mut fleet = Fleet::new(61, &["a", "b", "c"]);
     let first = fleet.first();
-    fleet.tell(first, vec![config(5, 3)], 5);
+    fleet.apply_from_store(first, vec![config(5, 3)], 5);
     let new = fleet.join(200, "b");
     let now = fleet.now;
     let asked = fleet.cores.get_mut(&new).expect("a balancer").gossip(now);
     fleet.deliver(asked);
     let others = fleet.cores.keys().copied();
-    fleet.lost = others.filter(|one| ![first, new].contains(one)).collect();
+    fleet.unreachable = others.filter(|one| ![first, new].contains(one)).collect();
 
     fleet.rounds(1);
 
     assert!(fleet.cores[&new].is_informed());
 }
 
-/// A whole fleet starts at once and hears from the same seeds that they know more. While the store
-/// answers everybody in milliseconds, nobody may fetch the whole catalog from a seed; where it doesn't,
-/// everybody must.
+/// A whole fleet starts at once, and the same seeds announce a later revision to all. As long as
+/// the store may answer, no balancer may fetch the full catalog from a seed, which would overload
+/// the seeds; after the grace period, all must.
 #[test]
-fn a_balancer_that_starts_gives_the_store_a_moment_before_it_asks_a_peer() {
+fn a_balancer_that_starts_waits_for_the_store_before_it_fetches_from_a_peer() {
     let mut fleet = Fleet::new(3, &["a"]);
     let first = fleet.first();
-    fleet.tell(first, vec![config(5, 3)], 5);
+    fleet.apply_from_store(first, vec![config(5, 3)], 5);
     let new = fleet.join(20, "a");
     let now = fleet.now;
-    let word = fleet
+    let announcement = fleet
         .cores
         .get_mut(&first)
         .expect("a balancer")
@@ -139,60 +142,61 @@
         .message;
 
     let core = fleet.cores.get_mut(&new).expect("a balancer");
-    let early = core.receive(word.clone(), now + ms(50));
-    let late = core.receive(word.clone(), now + ms(300));
+    let early = core.receive(announcement.clone(), now + ms(50));
+    let late = core.receive(announcement.clone(), now + ms(300));
 
     assert!(!early.fetch);
     assert!(late.fetch);
 }
 
-/// A balancer is cut off while the configuration changes several times, and comes back among peers
-/// that send each other only the steps.
+/// A balancer is cut off while the configuration changes several times. Back among peers that send
+/// each other only patches, it must fetch what it missed.
 #[test]
 fn a_balancer_that_missed_changes_catches_up() {
     let mut fleet = Fleet::new(9, &["a", "b", "c"]);
     let first = fleet.first();
-    fleet.tell(first, vec![config(5, 3)], 5);
+    fleet.apply_from_store(first, vec![config(5, 3)], 5);
     let missed = *fleet.cores.keys().last().expect("a balancer");
-    fleet.lost.push(missed);
+    fleet.unreachable.push(missed);
     for revision in 6..90 {
-        fleet.tell(first, vec![config(revision, 3)], revision);
+        fleet.apply_from_store(first, vec![config(revision, 3)], revision);
     }
 
-    fleet.lost.clear();
+    fleet.unreachable.clear();
     fleet.rounds(4);
 
     assert_eq!(fleet.versions(), all(&fleet, 89));
 }
 
-/// Servers are replaced for as long as a balancer runs. What it keeps of those that are gone must
-/// not grow, nor what it tells a balancer that starts. One that was cut off meanwhile must hear of the
-/// removals all the same, or it would send flows to servers that are gone.
+/// Servers are replaced for as long as a balancer runs. Neither the records that it keeps of
+/// removed servers nor the state that it sends to a new balancer may grow with that. A balancer
+/// that was cut off meanwhile must still get the removals, or it would send flows to servers that
+/// no longer exist.
 #[test]
-fn removed_servers_are_forgotten_and_a_balancer_that_was_cut_off_hears_of_them() {
+fn removals_are_discarded_and_still_reach_a_balancer_that_was_cut_off() {
     let mut fleet = Fleet::new(3, &["a"]);
     let first = fleet.first();
     let start = vec![config(5, 3), server("i-0", 3), server("i-1", 4)];
-    fleet.tell(first, start, 5);
-    let apart = *fleet.cores.keys().last().expect("a balancer");
-    fleet.lost.push(apart);
-    fleet.tell(first, vec![removed("i-1", 6)], 6);
+    fleet.apply_from_store(first, start, 5);
+    let cut_off = *fleet.cores.keys().last().expect("a balancer");
+    fleet.unreachable.push(cut_off);
+    fleet.apply_from_store(first, vec![removed("i-1", 6)], 6);
     for number in 2..200 {
         let revision = 5 + 2 * number;
         let name = format!("i-{number}");
-        fleet.tell(first, vec![server(&name, revision)], revision);
-        fleet.tell(first, vec![removed(&name, revision + 1)], revision + 1);
+        fleet.apply_from_store(first, vec![server(&name, revision)], revision);
+        fleet.apply_from_store(first, vec![removed(&name, revision + 1)], revision + 1);
     }
 
-    // Longer than the longest life of a flow, twice.
+    // More than twice the maximum lifetime of a flow.
     fleet.rounds(260);
-    fleet.lost.clear();
+    fleet.unreachable.clear();
     fleet.rounds(4);
 
     let now = fleet.now;
     let told = fleet.cores[&first].difference(0, now);
     assert_eq!(told.changes.len(), 2, "{:?}", told.changes);
-    let core = fleet.cores.get_mut(&apart).expect("a balancer");
+    let core = fleet.cores.get_mut(&cut_off).expect("a balancer");
     let (snapshot, _) = core.snapshot(now);
     let names: Vec<&str> = snapshot.pools[0]
         .open
@@ -202,16 +206,15 @@
     assert_eq!(names, ["i-0"]);
 }
 
-/// A message with an older configuration was held up on its way. It must not bring the old one back
-/// in force.
+/// A delayed message with an older configuration must not replace the current one.
 #[test]
-fn a_late_message_reverts_nothing() {
+fn a_delayed_message_reverts_nothing() {
     let mut fleet = Fleet::new(3, &["a"]);
     let first = fleet.first();
-    fleet.tell(first, vec![config(5, 3)], 5);
+    fleet.apply_from_store(first, vec![config(5, 3)], 5);
     let now = fleet.now;
     let late = fleet.cores.get_mut(&first).expect("a balancer").gossip(now);
-    fleet.tell(first, vec![config(6, 3)], 6);
+    fleet.apply_from_store(first, vec![config(6, 3)], 6);
 
     fleet.deliver(late);
     let stale = fleet.cores[&first].difference(0, now);
@@ -223,15 +226,15 @@
     assert!(stale.changes.iter().all(|change| change.revision() <= 6));
 }
 
-/// Without changes, one balancer keeps a watch at the store and all others make no call at all.
+/// While nothing changes, one balancer watches the store and the others make no calls.
 #[test]
-fn one_balancer_watches_and_no_other_calls() {
+fn one_balancer_watches_the_store_and_the_others_make_no_calls() {
     let mut fleet = Fleet::new(9, &["a", "b", "c"]);
     let first = fleet.first();
-    fleet.tell(first, vec![config(5, 3)], 5);
+    fleet.apply_from_store(first, vec![config(5, 3)], 5);
     let now = fleet.now;
 
-    // All have just heard from the store in the words of the first.
+    // The first balancer has just forwarded the store's state to all.
     let turns: Vec<spread::Action> = fleet
         .cores
         .values_mut()
@@ -244,9 +247,9 @@
     assert!(calls.count() <= 1, "{turns:?}");
 }
 
-/// Each balancer of a fleet that starts at once opens a watch of its own at the store.
+/// If balancers that start at once didn't wait for their peers, each would open its own watch.
 #[test]
-fn a_fleet_that_starts_at_once_opens_next_to_no_watch() {
+fn a_fleet_that_starts_at_once_opens_few_watches() {
     let mut fleet = Fleet::new(0, &["a"]);
     for number in 1..=195 {
         fleet.join(number, ["a", "b", "c", "d", "e"][usize::from(number) % 5]);
@@ -270,10 +273,11 @@
     assert!(watches <= 20, "{watches} watches of 195 balancers");
 }
 
-/// A whole fleet starts at once with a reading that is seconds old. Each member that then calls the store
-/// again is a call, and one that doesn't learn what it missed reverts an accepted change.
+/// A whole fleet starts at once with a read that may be seconds old. If members then polled the
+/// store again, calls would grow with the fleet; a member that missed a later change would serve an
+/// outdated configuration.
 #[test]
-fn a_fleet_that_starts_with_an_old_reading_learns_the_rest_from_one() {
+fn a_fleet_that_starts_with_a_stale_read_catches_up_in_few_calls() {
     let mut fleet = Fleet::new(0, &["a"]);
     for number in 1..=195 {
         fleet.join(number, ["a", "b", "c", "d", "e"][usize::from(number) % 5]);
@@ -297,7 +301,7 @@
             .collect();
         calls += callers.len();
         for caller in callers {
-            fleet.tell(caller, vec![config(6, 4)], 6);
+            fleet.apply_from_store(caller, vec![config(6, 4)], 6);
         }
         fleet.rounds(1);
     }
@@ -306,9 +310,10 @@
     assert!(calls <= 20, "{calls} calls of 195 balancers");
 }
 
-/// The store answers the first reading of a balancer that reaches no peer, and then nobody confirms it.
+/// A balancer that reaches no peer must poll the store again, as no peer confirms its first read,
+/// which may be stale.
 #[test]
-fn a_first_reading_that_nobody_confirms_is_read_again() {
+fn a_first_read_that_no_peer_confirms_is_repeated() {
     let mut core = acacia_node::cookie::core::Core::new(&settings(3, "a"), 1, ms(0));
     core.prime(vec![config(5, 3)], 5, ms(0));
 
@@ -319,12 +324,12 @@
     assert_eq!(late, spread::Action::Poll);
 }
 
-/// A balancer without peers never watches the store, and its callers miss every change.
+/// A balancer without peers must watch the store itself, or its callers would miss every change.
 #[test]
-fn a_balancer_alone_reads_for_itself() {
+fn a_balancer_without_peers_watches_the_store() {
     let mut fleet = Fleet::new(1, &["a"]);
     let first = fleet.first();
-    fleet.tell(first, vec![config(5, 3)], 5);
+    fleet.apply_from_store(first, vec![config(5, 3)], 5);
 
     let now = fleet.now;
     let turn = fleet
@@ -336,14 +341,14 @@
     assert_eq!(turn, spread::Action::Watch);
 }
 
-/// The reader dies. A change that the store accepts at that moment must be in force within the
-/// bound of three seconds, so others must have turned to the store by then.
+/// The reader crashes. A change that the store accepts at that moment must be in force within the
+/// bound of three seconds, so the others must read the store early enough.
 #[test]
-fn when_the_reader_dies_another_reads_within_the_bound() {
+fn when_the_reader_crashes_the_others_read_within_the_bound() {
     let mut fleet = Fleet::new(9, &["a", "b", "c"]);
     let reader = fleet.first();
-    fleet.tell(reader, vec![config(5, 3)], 5);
-    fleet.lost.push(reader);
+    fleet.apply_from_store(reader, vec![config(5, 3)], 5);
+    fleet.unreachable.push(reader);
     let start = fleet.now;
 
     let mut read = Vec::new();
@@ -363,8 +368,9 @@
     assert!(last < ms(2_200), "{read:?}");
 }
 
-/// A cut puts the servers of a data centre out of reach. The first that is found silent must bring
-/// the others under examination at once: each would else cost its callers an unanswered packet.
+/// A partition makes the servers of a data centre unreachable. The first one found silent must
+/// start the examination of the others at once; otherwise each would first cost a caller an
+/// unanswered packet.
 #[test]
 fn the_neighbours_of_a_silent_server_are_examined() {
     let settings = settings(1, "a");
@@ -391,9 +397,9 @@
     assert_eq!(examined, ["i-2", "i-3", "i-4", "i-5"]);
 }
 
-/// A server of a large fleet dies. Were all its neighbours examined by every balancer, they would get
-/// more connections from balancers than from callers. Three of each data centre examine each, and a
-/// balancer of a small data centre examines all.
+/// A server crashes in a large fleet. If every balancer examined all servers in its data centre,
+/// they would get more connections from balancers than from callers. Three balancers of each data
+/// centre examine each server; in a small data centre, a balancer may therefore examine all.
 #[test]
 fn a_balancer_of_a_large_fleet_examines_few_neighbours() {
     let mut fleet = Fleet::new(60, &["a", "b", "c"]);
@@ -411,14 +417,14 @@
         examined += core.examination(now + ms(100)).0.targets.len();
     }
 
-    // Three in each of three data centres for each of 39 neighbours.
+    // Three balancers in each of three data centres, for each of the 39 other servers.
     assert_eq!(examined, 39 * 9);
 }
 
-/// A cut takes more servers than one message names. Each must be told to the data centre at once: the
-/// others' callers wait for nothing at those that are left out.
+/// A partition affects more servers than fit into one message. All must be reported to the data
+/// centre at once; at those left out, the other balancers' callers would wait in vain.
 #[test]
-fn all_servers_that_fell_silent_together_are_told() {
+fn all_servers_that_became_silent_together_are_reported() {
     let settings = settings(1, "a");
     let mut core = acacia_node::cookie::core::Core::new(&settings, 1, ms(0));
     let ids: Vec<Arc<str>> = (1..=50)
@@ -448,19 +454,19 @@
     );
 }
 
-/// A step of the configuration was missed, so that the next one doesn't fit what is in force. It must
-/// not be applied, and the whole must be asked for.
+/// A balancer missed a configuration patch, so that the next one doesn't apply to its version. It
+/// must reject that patch and fetch the full state.
 #[test]
-fn a_step_that_does_not_fit_makes_the_balancer_ask_for_the_whole() {
+fn a_patch_that_does_not_apply_makes_the_balancer_fetch_the_full_state() {
     let mut fleet = Fleet::new(2, &["a"]);
     let (one, other) = (fleet.first(), *fleet.cores.keys().last().expect("two"));
-    fleet.tell(one, vec![config(5, 3)], 5);
-    // The other one reads a configuration that the first never sees.
+    fleet.apply_from_store(one, vec![config(5, 3)], 5);
+    // The second balancer reads a configuration that the first one never gets.
     let now = fleet.now;
     let core = fleet.cores.get_mut(&other).expect("a balancer");
     core.apply_store_changes(vec![config(6, 50)], 6, now, now);
 
-    fleet.tell(one, vec![config(7, 3)], 7);
+    fleet.apply_from_store(one, vec![config(7, 3)], 7);
     fleet.rounds(2);
 
     assert_eq!(fleet.versions(), [Some(7), Some(7)]);
--- a/crates/node/tests/it/cookie/evacuation.rs
+++ b/crates/node/tests/it/cookie/evacuation.rs
@@ -10,21 +10,21 @@
 fn fleet(count: u8) -> Fleet {
     let mut fleet = Fleet::new(count, &["a", "b", "c"]);
     let first = fleet.first();
-    fleet.tell(first, vec![config(5, 3), server("i-1", 4)], 5);
+    fleet.apply_from_store(first, vec![config(5, 3), server("i-1", 4)], 5);
     fleet
 }
 
-/// How each balancer that can be reached treats the server.
+/// The state of the server at each reachable balancer.
 fn standings(fleet: &mut Fleet) -> BTreeMap<SocketAddrV4, Standing> {
     let now = fleet.now;
-    let lost = fleet.lost.clone();
-    let reached = fleet.cores.iter_mut();
-    let reached = reached.filter(|(address, _)| !lost.contains(address));
+    let unreachable = fleet.unreachable.clone();
+    let reachable = fleet.cores.iter_mut();
+    let reachable = reachable.filter(|(address, _)| !unreachable.contains(address));
     let standing = |core: &mut acacia_node::cookie::core::Core| {
         let (snapshot, _) = core.snapshot(now);
         snapshot.servers[0].standing
     };
-    reached
+    reachable
         .map(|(address, core)| (*address, standing(core)))
         .collect()
 }
@@ -35,7 +35,8 @@
         .all(|standing| *standing == wanted)
 }
 
-/// A mark that only the reader of the store knows leaves the other balancers' flows going there.
+/// If only the reader of the store knew an evacuation, the other balancers would keep opening flows
+/// there.
 #[rstest]
 #[case::small(9)]
 #[case::grown(67)]
@@ -43,19 +44,20 @@
     let mut fleet = fleet(count);
     let first = fleet.first();
 
-    fleet.tell(first, vec![evacuation("a", 6, true)], 6);
+    fleet.apply_from_store(first, vec![evacuation("a", 6, true)], 6);
     assert!(all_are(&mut fleet, Standing::Evacuated));
 
-    fleet.tell(first, vec![evacuation("a", 7, false)], 7);
+    fleet.apply_from_store(first, vec![evacuation("a", 7, false)], 7);
     assert!(all_are(&mut fleet, Standing::Ready));
 }
 
-/// A balancer that starts while the store is away opens flows on the servers that are to be left alone.
+/// A balancer that starts while the store is unavailable must get the evacuations from its peers,
+/// or it would open flows on the evacuated servers.
 #[test]
 fn a_balancer_that_starts_without_the_store_knows_evacuations_before_it_serves() {
     let mut fleet = fleet(9);
     let first = fleet.first();
-    fleet.tell(first, vec![evacuation("a", 6, true)], 6);
+    fleet.apply_from_store(first, vec![evacuation("a", 6, true)], 6);
 
     let new = fleet.join(20, "b");
     fleet.rounds(1);
@@ -64,19 +66,19 @@
     assert_eq!(standings(&mut fleet)[&new], Standing::Evacuated);
 }
 
-/// A balancer that was cut off while a mark was set, and while another was taken back, keeps to what it
-/// knew once it is back.
+/// A balancer that was cut off while one evacuation was set and another revoked must not keep its
+/// old state after it is reconnected.
 #[test]
 fn a_balancer_that_was_cut_off_catches_up_with_evacuations() {
     let mut fleet = fleet(9);
     let first = fleet.first();
-    fleet.tell(first, vec![evacuation("b", 6, true)], 6);
+    fleet.apply_from_store(first, vec![evacuation("b", 6, true)], 6);
     let missed = *fleet.cores.keys().last().expect("a balancer");
-    fleet.lost.push(missed);
-    fleet.tell(first, vec![evacuation("b", 7, false)], 7);
-    fleet.tell(first, vec![evacuation("a", 8, true)], 8);
+    fleet.unreachable.push(missed);
+    fleet.apply_from_store(first, vec![evacuation("b", 7, false)], 7);
+    fleet.apply_from_store(first, vec![evacuation("a", 8, true)], 8);
 
-    fleet.lost.clear();
+    fleet.unreachable.clear();
     fleet.rounds(8);
 
     let now = fleet.now;
@@ -84,13 +86,16 @@
     assert_eq!(summary.revision, 8);
     assert_eq!(standings(&mut fleet)[&missed], Standing::Evacuated);
     let evacuations = fleet.cores[&missed].summary(now).evacuations;
-    let centres: Vec<&str> = evacuations.iter().map(|mark| &*mark.data_centre).collect();
+    let centres: Vec<&str> = evacuations
+        .iter()
+        .map(|evacuation| &*evacuation.data_centre)
+        .collect();
     assert_eq!(centres, ["a"]);
 }
 
-/// The store drops its history while a mark is set: only a whole reading tells of it.
+/// If the store discards its history while an evacuation is set, only a full read contains it.
 #[test]
-fn a_whole_reading_brings_a_mark_whose_event_was_lost() {
+fn a_full_read_applies_an_evacuation_whose_event_was_lost() {
     let mut fleet = fleet(9);
     let first = fleet.first();
     let now = fleet.now;
@@ -103,38 +108,41 @@
     assert!(all_are(&mut fleet, Standing::Evacuated));
 }
 
-/// Nobody tells a balancer of a mark: it must turn to the store itself within half of the bound, so that
-/// the rest of it is left for the reading.
+/// A balancer that gets no message about an evacuation must poll the store itself after half of the
+/// bound, plus jitter, so that the rest of the bound is left for the read.
 #[test]
-fn a_balancer_without_news_asks_the_store_within_the_bound() {
+fn a_balancer_without_messages_polls_the_store_within_the_bound() {
     const BOUND: Duration = Duration::from_millis(3_000);
     let mut fleet = fleet(3);
     let last = *fleet.cores.keys().last().expect("a balancer");
-    let told = fleet.now;
+    let start = fleet.now;
 
     let core = fleet.cores.get_mut(&last).expect("a balancer");
-    let asks = (0..).map(|step| told + ms(50 * step));
-    let asks = asks
+    let poll = (0..).map(|step| start + ms(50 * step));
+    let poll = poll
         .into_iter()
         .find(|at| core.next_store_action(*at) == spread::Action::Poll);
 
-    let waited = asks.expect("it asks") - told;
+    let waited = poll.expect("it polls") - start;
     assert!(waited <= BOUND.mul_f64(0.71), "{waited:?}");
 }
 
-/// Operators ask what a balancer knows of an evacuation.
+/// Operators query the evacuations that a balancer knows, and since when each is in force.
 #[test]
-fn the_age_of_an_evacuation_is_told() {
+fn the_age_of_an_evacuation_is_reported() {
     let mut fleet = fleet(3);
     let first = fleet.first();
-    fleet.tell(first, vec![evacuation("a", 6, true)], 6);
+    fleet.apply_from_store(first, vec![evacuation("a", 6, true)], 6);
     standings(&mut fleet);
     fleet.now += ms(700);
     standings(&mut fleet);
 
     let summary = fleet.cores[&first].summary(fleet.now);
 
-    let mark = &summary.evacuations[0];
-    assert_eq!((&mark.data_centre, mark.revision), (&Arc::from("a"), 6));
-    assert_eq!(mark.enforced, ms(700));
+    let evacuation = &summary.evacuations[0];
+    assert_eq!(
+        (&evacuation.data_centre, evacuation.revision),
+        (&Arc::from("a"), 6)
+    );
+    assert_eq!(evacuation.enforced, ms(700));
 }
--- a/crates/node/tests/it/cookie/fixture.rs
+++ b/crates/node/tests/it/cookie/fixture.rs
@@ -17,7 +17,7 @@
     Duration::from_millis(ms)
 }
 
-/// Settings of balancer `number` of a data centre, which knows the first one.
+/// Settings text of balancer `number` in data centre `centre`, with the first two as seeds.
 pub fn text(number: u8, centre: &str) -> String {
     format!(
         "[balancer]\nname = entry-{number}\ndata_centre = {centre}\n\
@@ -52,7 +52,7 @@
     }
 }
 
-/// The end of a server's entry.
+/// The removal of a server.
 pub fn removed(id: &str, revision: u64) -> Change {
     Change::Server {
         id: id.into(),
@@ -61,7 +61,7 @@
     }
 }
 
-/// The operators' mark on a data centre, set or taken back.
+/// An evacuation of a data centre, set or, if not `stands`, revoked.
 pub fn evacuation(data_centre: &str, revision: u64, stands: bool) -> Change {
     Change::Evacuation {
         data_centre: data_centre.into(),
@@ -70,7 +70,7 @@
     }
 }
 
-/// A configuration of so many routes; the version is the revision.
+/// A configuration with `routes` routes, whose version is its revision.
 pub fn config(revision: u64, routes: u16) -> Change {
     let route = |port: u16| Route {
         name: format!("r-{port}").into(),
@@ -95,25 +95,26 @@
     }
 }
 
-/// Several balancers' cores, joined by a network without delay that drops what `lost` says.
+/// The cores of several balancers, connected by a network without delay.
 pub struct Fleet {
     pub cores: BTreeMap<SocketAddrV4, Core>,
     pub now: Duration,
-    /// Who is out of reach of everybody.
-    pub lost: Vec<SocketAddrV4>,
-    /// Messages delivered.
+    /// Balancers whose messages are dropped in both directions.
+    pub unreachable: Vec<SocketAddrV4>,
+    /// Number of messages delivered.
     pub delivered: usize,
-    /// Differences that each balancer was asked for.
+    /// Number of fetches that each balancer answered.
     pub fetched: BTreeMap<SocketAddrV4, usize>,
 }
 
 impl Fleet {
-    /// Balancers of some data centres that have gossiped until they know each other.
+    /// `count` balancers, distributed over data centres, that have gossiped until they know each
+    /// other.
     pub fn new(count: u8, centres: &[&str]) -> Self {
         let mut fleet = Fleet {
             cores: BTreeMap::new(),
             now: Duration::ZERO,
-            lost: Vec::new(),
+            unreachable: Vec::new(),
             delivered: 0,
             fetched: BTreeMap::new(),
         };
@@ -124,6 +125,7 @@
         fleet
     }
 
+    /// Starts balancer `number` in data centre `centre`.
     pub fn join(&mut self, number: u8, centre: &str) -> SocketAddrV4 {
         let settings = settings(number, centre);
         let incarnation = self.now.as_millis() as u64 + 1;
@@ -134,14 +136,14 @@
         settings.control
     }
 
-    /// Rounds of gossip, half a second each.
+    /// Runs rounds of gossip, half a second each.
     pub fn rounds(&mut self, rounds: u32) {
         for _ in 0..rounds {
             self.now += ms(500);
             let now = self.now;
             let mut sent = Vec::new();
             for (address, core) in &mut self.cores {
-                if !self.lost.contains(address) {
+                if !self.unreachable.contains(address) {
                     sent.extend(core.gossip(now));
                 }
             }
@@ -149,8 +151,8 @@
         }
     }
 
-    /// The store tells one balancer of changes.
-    pub fn tell(&mut self, to: SocketAddrV4, changes: Vec<Change>, revision: u64) {
+    /// Applies changes from the store at one balancer and delivers the messages that follow.
+    pub fn apply_from_store(&mut self, to: SocketAddrV4, changes: Vec<Change>, revision: u64) {
         let now = self.now;
         let core = self.cores.get_mut(&to).expect("a balancer");
         let outcome = match core.revision() {
@@ -160,16 +162,16 @@
         self.deliver(outcome.outgoing);
     }
 
-    /// Delivers messages and what follows from them until nothing is under way.
+    /// Delivers messages, and the messages sent in response, until none is in transit.
     pub fn deliver(&mut self, outgoing: Vec<Outgoing>) {
-        let mut under_way = outgoing;
-        while let Some(Outgoing { to, message }) = under_way.pop() {
+        let mut in_transit = outgoing;
+        while let Some(Outgoing { to, message }) = in_transit.pop() {
             let from = message.from.address;
-            if self.lost.contains(&from) {
+            if self.unreachable.contains(&from) {
                 continue;
             }
             for address in to {
-                under_way.extend(self.receive(address, from, &message));
+                in_transit.extend(self.receive(address, from, &message));
             }
         }
     }
@@ -181,7 +183,7 @@
         message: &acacia_node::cookie::message::Message,
     ) -> Vec<Outgoing> {
         let now = self.now;
-        if self.lost.contains(&address) {
+        if self.unreachable.contains(&address) {
             return Vec::new();
         }
         let Some(core) = self.cores.get_mut(&address) else {
@@ -204,16 +206,16 @@
         outgoing
     }
 
-    /// The versions in force, each balancer's.
+    /// The version in force at each reachable balancer.
     pub fn versions(&self) -> Vec<Option<u64>> {
         let reached = self
             .cores
             .iter()
-            .filter(|(address, _)| !self.lost.contains(address));
+            .filter(|(address, _)| !self.unreachable.contains(address));
         reached.map(|(_, core)| core.version()).collect()
     }
 
-    /// Any one balancer.
+    /// The balancer with the lowest address.
     pub fn first(&self) -> SocketAddrV4 {
         *self.cores.keys().next().expect("a balancer")
     }
--- a/crates/node/tests/it/cookie/mod.rs
+++ b/crates/node/tests/it/cookie/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the balancer where packets carry a cookie.
+//! Tests of the balancer for packets that carry a cookie.
 
 mod core;
 mod cut;
--- a/crates/node/tests/it/cookie/speed.rs
+++ b/crates/node/tests/it/cookie/speed.rs
@@ -9,7 +9,7 @@
 
 use super::fixture::{Fleet, config, ms, server};
 
-/// Answers of a server, each after `took`.
+/// Counts of `count` answers of a server, each after `took`.
 fn answers(count: u32, server: &str, took: Duration) -> Vec<Count> {
     let server: Arc<str> = server.into();
     let mut counts = Counts::default();
@@ -28,12 +28,12 @@
     found.expect("a server").weight
 }
 
-/// A server is four times as slow as another. Some balancers have no flow there and see nothing of
-/// it; one that they then place there waits. They must know it from the others.
+/// A server is four times as slow as another. Balancers without flows there must learn of it from
+/// the others' counts, or a flow that they place there would wait.
 #[rstest]
 #[case::today(9, &["a", "b", "c"], 5)]
 #[case::grown(61, &["a", "b", "c", "d"], 1)]
-fn balancers_know_a_slow_server_from_what_others_have_seen(
+fn balancers_detect_a_slow_server_from_the_counts_of_others(
     #[case] count: u8,
     #[case] centres: &[&str],
     #[case] each: u32,
@@ -41,7 +41,7 @@
     let mut fleet = Fleet::new(count, centres);
     let first = fleet.first();
     let servers = vec![config(5, 3), server("fast", 3), server("slow", 4)];
-    fleet.tell(first, servers, 5);
+    fleet.apply_from_store(first, servers, 5);
     let now = fleet.now;
     for core in fleet.cores.values_mut() {
         core.snapshot(now);
@@ -53,7 +53,7 @@
         for (number, (address, core)) in fleet.cores.iter_mut().enumerate() {
             if *address != blind {
                 core.record_counts(answers(each, "fast", ms(20)), now);
-                // So that the slow one is as busy as the fast one.
+                // With a quarter of the requests, the slow server is as busy as the fast one.
                 core.record_counts(
                     answers(each * u32::from(number % 4 == 0), "slow", ms(80)),
                     now,
@@ -74,14 +74,14 @@
     assert!(fast > 2.0 * slow, "{fast} {slow}");
 }
 
-/// A server's VM dies and the server starts again elsewhere under its name. It was found silent, and
-/// must get flows as soon as its new entry is known, not when a probe happens to find it.
+/// A server's VM crashes, and the server restarts on another VM under the same id. It was found
+/// silent, and must get flows as soon as its new entry is known rather than after the next probe.
 #[test]
-fn a_server_that_starts_again_under_its_name_is_used_at_once() {
+fn a_server_that_restarts_under_its_id_is_used_at_once() {
     let mut fleet = Fleet::new(1, &["a"]);
     let first = fleet.first();
     let before = vec![config(5, 3), server("i-1", 3), server("i-2", 4)];
-    fleet.tell(first, before, 5);
+    fleet.apply_from_store(first, before, 5);
     let core = fleet.cores.get_mut(&first).expect("a balancer");
     core.snapshot(ms(6_000));
     core.record_unanswered(&"i-1".into(), ms(6_000));
@@ -104,7 +104,7 @@
         revision: 6,
         server: Some(Arc::new(again)),
     };
-    fleet.tell(first, vec![change], 6);
+    fleet.apply_from_store(first, vec![change], 6);
 
     let core = fleet.cores.get_mut(&first).expect("a balancer");
     let (after, _) = core.snapshot(ms(6_200));
