--- a/crates/node/src/cookie/control.rs
+++ b/crates/node/src/cookie/control.rs
@@ -14,7 +14,7 @@
     checks::Checks,
     core::{Core, Outcome},
     exchange,
-    message::Parcel,
+    message::Outgoing,
     meters::Meters,
     rotation::Phase,
     settings::Settings,
@@ -90,12 +90,12 @@
             self.examination_due.notify_one();
         }
         self.advance_phase();
-        self.send(outcome.parcels).await;
+        self.send(outcome.outgoing).await;
     }
 
     /// Returns all metrics in the exposition format.
     pub fn text(&self) -> String {
-        let standing = self.core(|core, now| core.standing(now));
+        let standing = self.core(|core, now| core.summary(now));
         let listeners = self.limiters.all();
         self.meters.text(&self.counter, &standing, &listeners)
     }
@@ -121,12 +121,12 @@
     }
 
     /// Sends messages to peers.
-    pub async fn send(&self, parcels: Vec<Parcel>) {
-        if parcels.is_empty() {
+    pub async fn send(&self, outgoing: Vec<Outgoing>) {
+        if outgoing.is_empty() {
             return;
         }
         let secret = lock(&self.settings).secret.clone();
-        exchange::send(&self.socket, parcels, &secret).await;
+        exchange::send(&self.socket, outgoing, &secret).await;
     }
 
     /// Enters the serving phase once the core knows enough to serve.
--- a/crates/node/src/cookie/core/news.rs
+++ b/crates/node/src/cookie/core/changes.rs
@@ -1,4 +1,4 @@
-//! What is learned of the store, from it or from peers, and how it is passed on.
+//! Propagation of the store's changes: applies those received from peers, and forwards new ones.
 
 use std::time::Duration;
 
@@ -8,33 +8,39 @@
 };
 
 use super::{Core, Outcome, Source, describe};
-use crate::cookie::message::{Difference, Known, LONGEST, Parcel};
+use crate::cookie::message::{Difference, Known, MAX_CHANGES_BYTES, Outgoing};
 
 impl Core {
-    /// What was fetched from a peer has come in.
-    pub fn fetched(&mut self, difference: Difference, source: &Source, now: Duration) -> Outcome {
-        self.missed = false;
+    /// Applies the changes that were fetched from a peer.
+    pub fn apply_fetched(
+        &mut self,
+        difference: Difference,
+        source: &Source,
+        now: Duration,
+    ) -> Outcome {
+        self.missed_change = false;
         let Difference {
             known,
             changes,
             whole,
         } = difference;
         if !whole {
-            return self.learn(known, changes, source, now);
+            return self.apply_peer_changes(known, changes, source, now);
         }
         let base = self.catalog.revision();
         let changed = self.catalog.replace(changes, known.revision);
         let revision = known.revision;
         log::info!("event=whole-fetched revision={revision} base={base} changed={changed}");
-        let gained = known.at(now).is_some_and(|at| self.confirm(at));
-        if !changed && !gained {
+        let fresher = known.at(now).is_some_and(|at| self.confirm_freshness(at));
+        if !changed && !fresher {
             return Outcome::default();
         }
-        self.pass_on(changed, base, source, now)
+        self.propagate(changed, base, source, now)
     }
 
-    /// Takes in all changes up to what a peer knows.
-    pub(super) fn learn(
+    /// Applies all changes up to the revision that a peer knows, and forwards them if they are new
+    /// here.
+    pub(super) fn apply_peer_changes(
         &mut self,
         known: Known,
         changes: Vec<Change>,
@@ -46,7 +52,7 @@
         for change in changes {
             if !self.catalog.can_apply(&change) {
                 log::info!("event=step-missed revision={}", change.revision());
-                self.missed = true;
+                self.missed_change = true;
                 return Outcome {
                     changed,
                     ..Outcome::default()
@@ -55,21 +61,23 @@
             changed |= self.apply(change);
         }
         self.catalog.complete(known.revision);
-        let gained = known.at(now).is_some_and(|at| self.confirm(at));
-        if !changed && !gained {
+        let fresher = known.at(now).is_some_and(|at| self.confirm_freshness(at));
+        if !changed && !fresher {
             return Outcome::default();
         }
-        self.pass_on(changed, base, source, now)
+        self.propagate(changed, base, source, now)
     }
 
-    /// Takes in that everything was known at `at`; whether that is worth passing on. Peers' words
-    /// differ by milliseconds, and each would otherwise go through the whole data centre.
-    fn confirm(&mut self, at: Duration) -> bool {
-        let before = self.reading.fresh_until();
-        self.reading.confirmed(at);
-        before.is_none_or(|before| at > before + self.reading.timing().watch_timeout / 2)
+    /// Records that all changes up to `at` are known. Returns true if that is so much fresher than
+    /// before that it is worth forwarding: peers' times differ by milliseconds, and each would
+    /// otherwise be sent to the whole data centre.
+    fn confirm_freshness(&mut self, at: Duration) -> bool {
+        let before = self.schedule.fresh_until();
+        self.schedule.confirmed(at);
+        before.is_none_or(|before| at > before + self.schedule.timing().watch_timeout / 2)
     }
 
+    /// Applies one change to the catalog and logs it. Returns true if the catalog changed.
     pub(super) fn apply(&mut self, change: Change) -> bool {
         let line = describe::change(&change, self.catalog.config());
         let applied = self.catalog.apply(change);
@@ -79,9 +87,9 @@
         applied
     }
 
-    /// Passes on what was learned: small news to all that it concerns, large ones to a few that
-    /// fetch them and pass them on.
-    pub(super) fn pass_on(
+    /// Forwards the changes after `base`. Small ones are sent to all recipients. Large ones are
+    /// only announced to a few balancers, which fetch them and announce them in turn.
+    pub(super) fn propagate(
         &mut self,
         changed: bool,
         base: u64,
@@ -95,24 +103,25 @@
         let changes = self.catalog.since(base);
         let size = postcard::experimental::serialized_size(&changes);
         let complete = base >= self.catalog.forgotten();
-        let fits = complete && size.is_ok_and(|size| size <= LONGEST);
+        let fits = complete && size.is_ok_and(|size| size <= MAX_CHANGES_BYTES);
         let to = match fits {
-            true => recipients(&self.own, &self.list, centre),
-            false => fetch_children(&self.own, &self.list, root, centre),
+            true => recipients(&self.own, &self.peers, centre),
+            false => fetch_children(&self.own, &self.peers, root, centre),
         };
-        let mut message = self.message(now);
+        let mut message = self.empty_message(now);
         message.root = root;
         if fits {
             (message.base, message.changes) = (base, changes);
         }
         Outcome {
-            parcels: vec![Parcel { to, message }],
+            outgoing: vec![Outgoing { to, message }],
             changed,
             ..Outcome::default()
         }
     }
 
-    /// All that changed after a revision, for a peer.
+    /// All changes after a revision, for a peer that fetches them. If some removals since then have
+    /// been discarded here, the full state.
     #[must_use]
     pub fn difference(&self, revision: u64, now: Duration) -> Difference {
         let whole = revision < self.catalog.forgotten();
@@ -123,12 +132,13 @@
         }
     }
 
-    /// Forgets the removals that everybody has heard of: those known for the longest life of a flow.
+    /// Discards records of removed servers that have been known for at least the maximum lifetime
+    /// of a flow. Reachable peers have received them by then; others get the full state.
     pub(super) fn forget_removed(&mut self, now: Duration) {
-        let (at, revision) = self.mark;
-        if now >= at + self.keep {
+        let (at, revision) = self.last_forget;
+        if now >= at + self.keep_removals {
             self.catalog.forget(revision);
-            self.mark = (now, self.catalog.revision());
+            self.last_forget = (now, self.catalog.revision());
         }
     }
 }
--- a/crates/node/src/cookie/core/describe.rs
+++ b/crates/node/src/cookie/core/describe.rs
@@ -1,4 +1,4 @@
-//! Lines for the log.
+//! Log lines for changes of the catalog.
 
 use std::sync::Arc;
 
@@ -7,16 +7,17 @@
     route::{Config, Patch},
 };
 
-/// A change as key=value pairs. A configuration is told by what it changes in the one before, however
-/// it came: operators look for the version that removed a route.
+/// Formats a change as key=value pairs. A configuration is always described by its difference from
+/// `before`, whether it arrived as a patch or in full, because operators search the log for the
+/// version that removed a route.
 pub fn change(change: &Change, before: Option<&Item<Arc<Config>>>) -> String {
     match change {
         Change::Config { revision, config } => {
             let empty = Config::default();
             let old = before.map_or(&empty, |item| &item.value);
-            step(*revision, &Patch::between(old, 0, config))
+            config_line(*revision, &Patch::between(old, 0, config))
         }
-        Change::Patch { revision, patch } => step(*revision, patch),
+        Change::Patch { revision, patch } => config_line(*revision, patch),
         Change::Server {
             id,
             revision,
@@ -40,7 +41,7 @@
     }
 }
 
-fn step(revision: u64, patch: &Patch) -> String {
+fn config_line(revision: u64, patch: &Patch) -> String {
     let (version, put, removed) = (patch.version, patch.put.len(), patch.remove.len());
     format!("event=config revision={revision} version={version} put={put} removed={removed}")
 }
--- a/crates/node/src/cookie/core/failing.rs
+++ b/crates/node/src/cookie/core/failing.rs
@@ -1,4 +1,5 @@
-//! Servers that fail their requests: what is reported to their observers, and what these tell.
+//! Detection of servers that fail their requests: reports to their observers, and the observers'
+//! verdicts.
 
 use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -6,26 +7,29 @@
 use acacia_cookie::{Snapshot, cookie, failing, speed};
 
 use super::{Core, Outcome};
-use crate::cookie::message::{Failure, Parcel};
+use crate::cookie::message::{Failure, Outgoing};
 
-/// Observers of a server, in its own data centre. Two, so that one may die or be cut off.
+/// Number of balancers that collect the request counts of a server, in the server's data centre.
+/// Two, so that one may crash or be cut off.
 const OBSERVERS: usize = 2;
-/// Failures named in one message: with 25 bytes each, it stays below an Ethernet frame.
-const NAMED: usize = 32;
+/// Maximum number of failure counts in one message. At 25 bytes each, the message fits into one
+/// Ethernet frame.
+const MAX_FAILURES: usize = 32;
 
 impl Core {
-    /// Reports how the requests of servers that fail some of them ended here.
+    /// Reports this balancer's request counts of servers that fail requests to the servers'
+    /// observers.
     pub(super) fn report_failures(&mut self, seen: &[speed::Count], now: Duration) -> Outcome {
         let mut reports: BTreeMap<SocketAddrV4, Vec<Failure>> = BTreeMap::new();
         for speed::Count { server, count } in seen {
-            if !self.marks.should_report(server, count.failed, now) {
+            if !self.failing.should_report(server, count.failed, now) {
                 continue;
             }
             let Some(known) = self.roster.get(server) else {
                 continue;
             };
             let (centre, key) = (&known.data_centre, cookie::hash(server));
-            for observer in chosen(&self.own, &self.list, centre, key, OBSERVERS) {
+            for observer in chosen(&self.own, &self.peers, centre, key, OBSERVERS) {
                 let failure = Failure {
                     server: Arc::clone(server),
                     failed: count.failed,
@@ -37,17 +41,18 @@
         let own = reports.remove(&self.own.address).unwrap_or_default();
         let mut outcome = self.observe(&own, now);
         for (observer, failures) in reports {
-            for failures in failures.chunks(NAMED) {
-                let mut message = self.message(now);
+            for failures in failures.chunks(MAX_FAILURES) {
+                let mut message = self.empty_message(now);
                 message.failures = failures.to_vec();
                 let to = vec![observer];
-                outcome.parcels.push(Parcel { to, message });
+                outcome.outgoing.push(Outgoing { to, message });
             }
         }
         outcome
     }
 
-    /// Takes in, as an observer, how servers' requests ended; tells the data centre of those that fail.
+    /// Adds reported request counts as an observer, and announces servers found failing to the own
+    /// data centre.
     pub(super) fn observe(&mut self, failures: &[Failure], now: Duration) -> Outcome {
         let mut failing = Vec::new();
         for Failure {
@@ -57,25 +62,26 @@
         } in failures
         {
             let known = self.roster.holds(server);
-            if known && self.ledger.add(server, *failed, *answered, now) {
+            if known && self.observer.add(server, *failed, *answered, now) {
                 log::warn!("event=server-failing server={server} by=reports");
                 failing.push(Arc::clone(server));
             }
         }
-        let parcels = self.tell_centre(&failing, now, |message, named| message.failing = named);
+        let outgoing =
+            self.messages_to_data_centre(&failing, now, |message, listed| message.failing = listed);
         let changed = self.mark_failing(&failing, now);
         Outcome {
-            parcels,
+            outgoing,
             changed,
             ..Outcome::default()
         }
     }
 
-    /// Takes in an observer's verdict; true if a server was not known to fail.
+    /// Records an observer's verdict on failing servers. Returns true if any was not marked before.
     pub(super) fn mark_failing(&mut self, servers: &[Arc<str>], now: Duration) -> bool {
         let mut changed = false;
         for server in servers.iter().filter(|server| self.roster.holds(server)) {
-            if self.marks.mark(server, now) {
+            if self.failing.mark(server, now) {
                 log::info!("event=server-avoided server={server}");
                 changed = true;
             }
@@ -83,18 +89,18 @@
         changed
     }
 
-    /// Lowers the weight of servers that fail their requests; gives when that ends for the next.
-    pub(super) fn weigh_failing(
+    /// Lowers the weights of failing servers. Returns when the next verdict expires.
+    pub(super) fn lower_failing_weights(
         &mut self,
         snapshot: &mut Snapshot,
         now: Duration,
     ) -> Option<Duration> {
-        self.marks.sweep(now);
-        self.ledger.sweep(now);
+        self.failing.sweep(now);
+        self.observer.sweep(now);
         for server in &mut snapshot.servers {
-            server.failing = self.marks.is_failing(&server.id, now);
+            server.failing = self.failing.is_failing(&server.id, now);
         }
         failing::lower_weights(snapshot);
-        self.marks.next_expiry()
+        self.failing.next_expiry()
     }
 }
--- a/crates/node/src/cookie/examine.rs
+++ b/crates/node/src/cookie/examine.rs
@@ -125,11 +125,15 @@
     while let Some(notice) = notices.recv().await {
         match notice {
             Notice::Unanswered(server) => {
-                if control.core(|core, now| core.unanswered(&server, now)) {
+                if control.core(|core, now| core.record_unanswered(&server, now)) {
                     control.examination_due.notify_one();
                 }
             }
-            Notice::Seen(seen) => control.apply(|core, now| core.seen(seen, now)).await,
+            Notice::Seen(seen) => {
+                control
+                    .apply(|core, now| core.record_counts(seen, now))
+                    .await
+            }
         }
     }
     Ok(())
@@ -152,7 +156,7 @@
                 examinations.spawn(async move {
                     let findings = run(examination).await;
                     control
-                        .apply(|core, now| core.examined(findings, now))
+                        .apply(|core, now| core.record_findings(findings, now))
                         .await;
                 });
             }
--- a/crates/node/src/cookie/exchange.rs
+++ b/crates/node/src/cookie/exchange.rs
@@ -20,7 +20,7 @@
 };
 use tokio_serde::formats::MessagePack;
 
-use super::message::{Difference, Message, Parcel};
+use super::message::{Difference, Message, Outgoing};
 
 /// Timeout for a connection to a peer. It is ample for a round trip of 20 ms and a peer that is short of
 /// processor time, and it limits the delay caused by a peer that is gone.
@@ -41,9 +41,9 @@
     async fn difference(revision: u64) -> Difference;
 }
 
-/// Sends parcels to their receivers. One that can't be sent is lost, as any datagram may be.
-pub async fn send(socket: &UdpSocket, parcels: Vec<Parcel>, secret: &Secret) {
-    for Parcel { to, message } in parcels.into_iter().filter(|parcel| !parcel.to.is_empty()) {
+/// Sends outgoing to their receivers. One that can't be sent is lost, as any datagram may be.
+pub async fn send(socket: &UdpSocket, outgoing: Vec<Outgoing>, secret: &Secret) {
+    for Outgoing { to, message } in outgoing.into_iter().filter(|one| !one.to.is_empty()) {
         let envelope = Envelope {
             // These balancers are identified by address, not by number.
             sender: 0,
--- a/crates/node/src/cookie/follow.rs
+++ b/crates/node/src/cookie/follow.rs
@@ -33,7 +33,7 @@
     prime(control, client).await;
     let mut needs_full_read = false;
     loop {
-        let turn = control.core(|core, now| core.turn(now));
+        let turn = control.core(|core, now| core.next_store_action(now));
         let wait = match turn {
             spread::Action::Wait(wait) => {
                 tokio::select! {
@@ -42,7 +42,7 @@
                 }
                 continue;
             }
-            spread::Action::Watch => control.core(|core, _| core.pace().watch_timeout),
+            spread::Action::Watch => control.core(|core, _| core.timing().watch_timeout),
             spread::Action::Poll => POLL_TIMEOUT,
         };
         let sent = clock::now();
@@ -66,7 +66,7 @@
                 );
                 needs_full_read = true;
             }
-            Err(error) => control.core(|core, now| core.failed(&error, now)),
+            Err(error) => control.core(|core, now| core.record_store_failure(&error, now)),
         }
     }
 }
@@ -85,7 +85,7 @@
                 .apply(|core, now| core.prime(changes, revision, now))
                 .await;
         }
-        Err(error) => control.core(|core, now| core.failed(&error, now)),
+        Err(error) => control.core(|core, now| core.record_store_failure(&error, now)),
     }
 }
 
@@ -94,7 +94,7 @@
     let (items, revision) = client.range(&prefix, Consistency::Linearizable).await?;
     let changes: Vec<Change> = items.iter().filter_map(entry::item).collect();
     control
-        .apply(|core, now| core.read(changes, revision, sent, now))
+        .apply(|core, now| core.apply_full_read(changes, revision, sent, now))
         .await;
     Ok(())
 }
@@ -119,7 +119,7 @@
     };
     let fresh = fresh.min(clock::now());
     control
-        .apply(|core, now| core.changed(changes, answer.revision, fresh, now))
+        .apply(|core, now| core.apply_store_changes(changes, answer.revision, fresh, now))
         .await;
     Ok(())
 }
--- a/crates/node/src/cookie/mod.rs
+++ b/crates/node/src/cookie/mod.rs
@@ -1,5 +1,6 @@
-//! The balancer where packets carry a cookie: flows are resolved from the packet and the list of
-//! servers, and control threads only spread the two documents that all must know.
+//! The balancer for packets that carry a cookie. Flows are resolved from the packet and the list of
+//! servers alone, so that the control threads only distribute what all balancers need: the
+//! configuration, the servers and the evacuations.
 
 pub mod answer;
 mod burn;
@@ -13,6 +14,7 @@
 pub mod leave;
 pub mod message;
 pub mod meters;
+pub mod permit;
 pub mod publish;
 pub mod receive;
 pub mod reload;
@@ -21,6 +23,5 @@
 pub mod settings;
 mod status;
 pub mod traffic;
-pub mod turn;
 
 pub use settings::Settings;
--- a/crates/node/src/cookie/receive.rs
+++ b/crates/node/src/cookie/receive.rs
@@ -13,7 +13,7 @@
     control::{Control, lock},
     exchange,
     message::Message,
-    turn::Turn,
+    permit::Permit,
 };
 
 /// Interval between two gossip rounds. The loss of a balancer is detected within six rounds.
@@ -28,13 +28,13 @@
 /// Never; the result type is that of the other tasks.
 pub async fn gossip(control: Arc<Control>) -> Result<(), BoxError> {
     loop {
-        let (parcels, weights_changed) =
-            control.core(|core, now| (core.gossip(now), core.judge(now)));
+        let (outgoing, weights_changed) =
+            control.core(|core, now| (core.gossip(now), core.evaluate_speeds(now)));
         control.detect_lost_routers();
         if weights_changed {
             control.changed.notify_one();
         }
-        control.send(parcels).await;
+        control.send(outgoing).await;
         time::sleep(GOSSIP_INTERVAL).await;
     }
 }
@@ -79,7 +79,7 @@
     let mut missing = false;
     control
         .apply(|core, now| {
-            let outcome = core.hear(message, now);
+            let outcome = core.receive(message, now);
             missing = outcome.fetch;
             outcome
         })
@@ -87,19 +87,19 @@
     if !missing {
         return None;
     }
-    let turn = Turn::take(&control.fetching)?;
+    let permit = Permit::try_acquire(&control.fetching)?;
     let control = Arc::clone(control);
     Some(async move {
-        let revision = control.core(|core, _| core.wanted());
+        let revision = control.core(|core, _| core.fetch_base());
         match exchange::fetch(from, revision).await {
             Ok(difference) => {
                 control
-                    .apply(|core, now| core.fetched(difference, &source, now))
+                    .apply(|core, now| core.apply_fetched(difference, &source, now))
                     .await;
             }
             Err(error) => log::info!("event=fetch-failed peer={from} error=\"{error}\""),
         }
-        drop(turn);
+        drop(permit);
         control.wake.notify_one();
     })
 }
--- a/crates/node/src/cookie/reload.rs
+++ b/crates/node/src/cookie/reload.rs
@@ -41,7 +41,7 @@
         last_text = text;
         match Settings::parse(last_text.as_deref().unwrap_or_default()) {
             Ok(settings) => {
-                control.core(|core, _| core.renew(&settings));
+                control.core(|core, _| core.update_settings(&settings));
                 *lock(&control.settings) = settings;
                 log::info!("event=settings-reloaded");
             }
--- a/crates/node/src/cookie/status.rs
+++ b/crates/node/src/cookie/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a balancer where packets carry a cookie.
+//! Status of a cookie balancer, for operators.
 
 use std::{
     net::{SocketAddr, SocketAddrV4},
@@ -9,15 +9,15 @@
 
 use super::{
     control::{Control, lock},
-    core::{Evacuation, Standing},
+    core::{Evacuation, Summary},
     rotation::Phase,
 };
 
-/// The balancer's account of itself. `admin` is where it answers; peers answer on the same port.
+/// Builds the balancer's status. `admin` is the address of its admin API; peers use the same port.
 pub fn status(control: &Control, admin: SocketAddrV4) -> Status {
-    let (standing, own, list) = control.core(|core, now| {
-        let list: Vec<SocketAddrV4> = core.list().iter().map(|member| member.address).collect();
-        (core.standing(now), core.own().clone(), list)
+    let (summary, own, list) = control.core(|core, now| {
+        let list: Vec<SocketAddrV4> = core.peers().iter().map(|member| member.address).collect();
+        (core.summary(now), core.own().clone(), list)
     });
     let phase = *lock(&control.phase);
     let peer = |address: &SocketAddrV4| status::Peer {
@@ -30,11 +30,11 @@
     Status {
         name: lock(&control.settings).name.clone(),
         data_centre: own.data_centre,
-        phase: shown(phase),
-        revision: (standing.version > 0).then_some(standing.version),
-        enforced_ms: enforced_ms(&standing),
-        evacuations: standing.evacuations.iter().map(evacuation).collect(),
-        store_ms: standing.age.map(|age| age.as_millis() as u64),
+        phase: api_phase(phase),
+        revision: (summary.version > 0).then_some(summary.version),
+        enforced_ms: enforced_ms(&summary),
+        evacuations: summary.evacuations.iter().map(evacuation).collect(),
+        store_ms: summary.age.map(|age| age.as_millis() as u64),
         peers: list.iter().map(peer).collect(),
         ..Status::default()
     }
@@ -48,11 +48,11 @@
     }
 }
 
-fn enforced_ms(standing: &Standing) -> u64 {
-    standing.enforced.map_or(0, |age| age.as_millis() as u64)
+fn enforced_ms(summary: &Summary) -> u64 {
+    summary.enforced.map_or(0, |age| age.as_millis() as u64)
 }
 
-const fn shown(phase: Phase) -> status::Phase {
+const fn api_phase(phase: Phase) -> status::Phase {
     match phase {
         Phase::Starting => status::Phase::Starting,
         Phase::Serving => status::Phase::Serving,
--- a/crates/node/tests/it/cookie/mod.rs
+++ b/crates/node/tests/it/cookie/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the balancer where packets carry a cookie.
+//! Tests of the balancer for packets that carry a cookie.
 
 mod core;
 mod cut;
@@ -7,7 +7,7 @@
 mod exchange;
 mod failing;
 mod fixture;
+mod permit;
 mod refused;
 mod settings;
 mod speed;
-mod turn;
--- a/crates/node/tests/it/cookie/refused.rs
+++ b/crates/node/tests/it/cookie/refused.rs
@@ -48,7 +48,7 @@
     });
     let known: Vec<Change> = known.collect();
     for core in fleet.cores.values_mut() {
-        core.read(known.clone(), SERVERS, now, now);
+        core.apply_full_read(known.clone(), SERVERS, now, now);
         core.snapshot(now);
     }
     fleet
@@ -59,7 +59,7 @@
 fn examine(fleet: &mut Fleet) -> usize {
     let now = fleet.now;
     let end = now + ms(EXAMINATION_MS);
-    let mut parcels = Vec::new();
+    let mut outgoing = Vec::new();
     let mut examined = 0;
     for core in fleet.cores.values_mut() {
         let (examination, _) = core.examination(now);
@@ -77,10 +77,10 @@
             };
             (Arc::clone(&target.server), finding)
         });
-        parcels.extend(core.examined(findings.collect(), end).parcels);
+        outgoing.extend(core.record_findings(findings.collect(), end).outgoing);
     }
     fleet.now = end;
-    fleet.deliver(parcels);
+    fleet.deliver(outgoing);
     examined
 }
 
@@ -89,7 +89,7 @@
     let now = fleet.now;
     let cores = fleet.cores.values();
     let cores = cores.filter(|core| centre.is_none_or(|centre| &*core.own().data_centre == centre));
-    cores.map(|core| core.standing(now).silent).collect()
+    cores.map(|core| core.summary(now).silent).collect()
 }
 
 /// Guards against examinations whose control is itself down. If the balancers of a data centre took their
@@ -105,7 +105,7 @@
     let now = fleet.now;
     let mut near = fleet.cores.values_mut();
     let near = near.find(|core| &*core.own().data_centre == centre);
-    near.expect("a balancer").unanswered(&name(3), now);
+    near.expect("a balancer").record_unanswered(&name(3), now);
 
     let mut examined = 0;
     for _ in 0..4 {
