--- a/crates/accept/src/lib.rs
+++ b/crates/accept/src/lib.rs
@@ -7,7 +7,7 @@
 //! have deadlines. Connections that are closed early are counted in [`Stats`] and logged, at most
 //! one line a second.
 //!
-//! [`ConnectionTable`] makes these decisions and uses neither sockets nor clocks.
+//! [`Table`] makes these decisions and uses neither sockets nor clocks.
 
 mod limiter;
 mod listen;
@@ -17,4 +17,4 @@
 pub use limiter::{Limiter, Slot};
 pub use listen::listen;
 pub use stats::Stats;
-pub use table::{Activation, Admission, ConnectionTable, Limits};
+pub use table::{Activation, Admission, Limits, Table};
--- a/crates/accept/src/limiter.rs
+++ b/crates/accept/src/limiter.rs
@@ -9,7 +9,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    Activation, ConnectionTable, Limits, Stats,
+    Activation, Limits, Stats, Table,
     stats::{Counters, increment},
 };
 
@@ -24,7 +24,7 @@
 
 #[derive(Debug)]
 struct State {
-    table: ConnectionTable,
+    table: Table,
     /// The token that closes each connection, by the connection's id.
     cancellations: Map<u64, CancellationToken>,
 }
@@ -47,7 +47,7 @@
         Limiter {
             name,
             state: Mutex::new(State {
-                table: ConnectionTable::new(limits),
+                table: Table::new(limits),
                 cancellations: Map::default(),
             }),
             counters: Counters::default(),
--- a/crates/accept/src/table.rs
+++ b/crates/accept/src/table.rs
@@ -46,7 +46,7 @@
 /// paused, cut off or without power never close theirs. Without limits such connections would
 /// exhaust the listener, and no working peer could connect any more.
 #[derive(Debug)]
-pub struct ConnectionTable {
+pub struct Table {
     limits: Limits,
     connections: Map<u64, Connection>,
     last_id: u64,
@@ -60,11 +60,11 @@
     is_active: bool,
 }
 
-impl ConnectionTable {
+impl Table {
     /// Creates a table without connections.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
-        ConnectionTable {
+        Table {
             limits,
             connections: Map::default(),
             last_id: 0,
@@ -76,13 +76,13 @@
     ///
     /// ```
     /// use std::{net::Ipv4Addr, time::Duration};
-    /// use acacia_accept::{Admission, Limits, ConnectionTable};
+    /// use acacia_accept::{Admission, Limits, Table};
     /// let second = Duration::from_secs(1);
     /// let limits = Limits {
     ///     pending: 1, active: 1,
     ///     pending_timeout: second, idle_timeout: second, stalled_after: second,
     /// };
-    /// let mut table = ConnectionTable::new(limits);
+    /// let mut table = Table::new(limits);
     /// let first = table.admit(Ipv4Addr::LOCALHOST.into(), Duration::ZERO);
     /// let second = table.admit(Ipv4Addr::LOCALHOST.into(), Duration::ZERO);
     /// assert_eq!(second.displaced, Some(first.id));
--- a/crates/accept/tests/it/table.rs
+++ b/crates/accept/tests/it/table.rs
@@ -1,6 +1,6 @@
 use std::{collections::BTreeSet, net::IpAddr, time::Duration};
 
-use acacia_accept::{Activation, ConnectionTable, Limits};
+use acacia_accept::{Activation, Limits, Table};
 use proptest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -21,7 +21,7 @@
 
 #[test]
 fn one_address_with_many_connections_does_not_displace_another() {
-    let mut table = ConnectionTable::new(limits());
+    let mut table = Table::new(limits());
     let other = table.admit(address(1), Duration::ZERO);
 
     let displaced: Vec<_> = (0..20)
@@ -34,7 +34,7 @@
 
 #[test]
 fn an_active_connection_is_displaced_only_if_it_is_stalled() {
-    let mut table = ConnectionTable::new(limits());
+    let mut table = Table::new(limits());
     let ids: Vec<u64> = (0..3)
         .map(|_| table.admit(address(1), Duration::ZERO).id)
         .collect();
@@ -51,7 +51,7 @@
 
 #[test]
 fn deadlines_start_with_the_last_valid_message() {
-    let mut table = ConnectionTable::new(limits());
+    let mut table = Table::new(limits());
     let id = table.admit(address(1), SECOND).id;
     assert_eq!(table.deadline(id), Some(SECOND * 2));
 
@@ -84,7 +84,7 @@
     /// carried a valid message.
     #[test]
     fn a_pending_connection_never_displaces_an_active_one(steps in steps()) {
-        let mut table = ConnectionTable::new(limits());
+        let mut table = Table::new(limits());
         let mut active = BTreeSet::new();
         for (round, step) in steps.into_iter().enumerate() {
             let now = Duration::from_millis(round as u64 * 100);
