--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -7,7 +7,7 @@
     snapshot::State,
 };
 use acacia_node::{control::core::Outgoing, message::Message, view::View};
-use acacia_peer::{Bucket, Class, Echo, FramePayload};
+use acacia_peer::{Bucket, Class, Echo, Payload};
 use acacia_wire::{
     control::{Envelope, open, seal},
     flow::{Key, Protocol, mix},
@@ -319,7 +319,7 @@
             incarnation: own.incarnation,
             sequence: own.sequence,
         };
-        let payload = FramePayload {
+        let payload = Payload {
             to: outgoing.to,
             echo: Some(Echo {
                 incarnation: own.incarnation,
@@ -341,7 +341,7 @@
     }
 
     fn receive(&mut self, to: usize, frame: &[u8]) {
-        let Ok((envelope, payload)) = open::<FramePayload>(frame, &scene::secret()) else {
+        let Ok((envelope, payload)) = open::<Payload>(frame, &scene::secret()) else {
             return;
         };
         let body = payload.body.unwrap_or_default();
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -42,9 +42,9 @@
     /// Adds what has been sent and received since the previous call, and returns the total.
     ///
     /// ```
-    /// use acacia_peer::{PeerStats, Stats};
+    /// use acacia_peer::Stats;
     /// let stats = |sent_bytes| {
-    ///     let peer = PeerStats { sent_bytes, ..PeerStats::default() };
+    ///     let peer = acacia_peer::Traffic { sent_bytes, ..acacia_peer::Traffic::default() };
     ///     Stats { peers: [(1, peer)].into(), ..Stats::default() }
     /// };
     /// let mut meter = acacia_node::metrics::Meter::default();
--- a/crates/peer/src/filter.rs
+++ b/crates/peer/src/filter.rs
@@ -9,22 +9,22 @@
 
 /// Rejects frames that are not newer than the last one accepted from the same sender.
 #[derive(Debug, Default)]
-pub struct ReplayFilter {
+pub struct Filter {
     /// For each sender its last accepted frame, and the value of `accepted` at that frame.
     last: Map<u16, (Echo, u64)>,
     /// Number of accepted frames. It orders the senders by when they were last heard from.
     accepted: u64,
 }
 
-impl ReplayFilter {
+impl Filter {
     /// Accepts a frame that is newer than all earlier ones of its sender. If too many senders are
     /// remembered, the one not heard from for the longest time is forgotten.
     ///
     /// ```
-    /// use acacia_peer::{Error, ReplayFilter};
+    /// use acacia_peer::{Error, Filter};
     /// use acacia_wire::control::Envelope;
     /// let envelope = Envelope { sender: 1, incarnation: 5, sequence: 9 };
-    /// let mut filter = ReplayFilter::default();
+    /// let mut filter = Filter::default();
     /// assert_eq!(filter.accept(&envelope), Ok(()));
     /// assert_eq!(filter.accept(&envelope), Err(Error::Replayed));
     /// ```
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -9,9 +9,9 @@
 //! Every frame carries an echo, which identifies the last frame that its sender received from its
 //! receiver. When a peer's echo doesn't advance although we send to it, our connection to it counts
 //! as silent, even if TCP still reports it as open, and is replaced by a new one.
-//! [`SilenceDetector`] decides when.
+//! [`Detector`] decides when.
 //!
-//! [`SilenceDetector`], [`Bucket`], [`Queue`] and [`ReplayFilter`] use neither sockets nor clocks.
+//! [`Detector`], [`Bucket`], [`Queue`] and [`Filter`] use neither sockets nor clocks.
 
 mod bucket;
 mod error;
@@ -30,10 +30,10 @@
 
 pub use bucket::Bucket;
 pub use error::Error;
-pub use filter::ReplayFilter;
+pub use filter::Filter;
 pub use mesh::{Mesh, Received};
-pub use payload::{Echo, FramePayload};
+pub use payload::{Echo, Payload};
 pub use queue::{Class, Queue};
 pub use settings::Settings;
-pub use silence::SilenceDetector;
-pub use stats::{PeerStats, Stats};
+pub use silence::Detector;
+pub use stats::{Stats, Traffic};
--- a/crates/peer/src/payload.rs
+++ b/crates/peer/src/payload.rs
@@ -11,7 +11,7 @@
 
 /// The authenticated content of a frame.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FramePayload {
+pub struct Payload {
     /// The id of the receiver. Without it, a recorded frame could be replayed to another balancer.
     pub to: u16,
     /// The last frame that the sender received from `to`; none if it has received none.
--- a/crates/peer/src/receive.rs
+++ b/crates/peer/src/receive.rs
@@ -14,7 +14,7 @@
 
 use crate::frame;
 use crate::shared::Shared;
-use crate::{Error, FramePayload, Received};
+use crate::{Error, Payload, Received};
 
 /// Accepts connections and receives frames from them, until `stop` is cancelled.
 pub(crate) async fn run<T: DeserializeOwned + Send + 'static>(
@@ -132,7 +132,7 @@
     frame: &[u8],
 ) -> Result<(Envelope, Option<T>), Error> {
     let secret = shared.lock().secret.clone();
-    let (envelope, payload) = open::<FramePayload>(frame, &secret)?;
+    let (envelope, payload) = open::<Payload>(frame, &secret)?;
     let body = shared
         .lock()
         .accept_frame(&envelope, payload, frame.len())?;
--- a/crates/peer/src/silence.rs
+++ b/crates/peer/src/silence.rs
@@ -11,7 +11,7 @@
 /// replace ours in vain. The peer still receives our frames, but they don't echo what it sends, so
 /// it replaces the connection that is at fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SilenceDetector {
+pub struct Detector {
     /// The first frame on this connection that the peer has not confirmed by an echo of it or of a
     /// later one: its sequence number, and the time since which its echo is awaited.
     unechoed: Option<(u64, Duration)>,
@@ -27,11 +27,11 @@
 /// each other at the same moment would redial at the same moment every time.
 const JITTER_FRACTION: f64 = 0.25;
 
-impl SilenceDetector {
+impl Detector {
     /// Creates the detector of a connection that is about to be dialled.
     #[must_use]
     pub fn new() -> Self {
-        SilenceDetector {
+        Detector {
             unechoed: None,
             latest: 0,
             failures: 0,
@@ -70,9 +70,9 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use acacia_peer::SilenceDetector;
+    /// use acacia_peer::Detector;
     /// let (timeout, max_timeout) = (Duration::from_secs(2), Duration::from_secs(30));
-    /// let mut detector = SilenceDetector::new();
+    /// let mut detector = Detector::new();
     /// detector.sent(Duration::ZERO, 1);
     /// assert!(!detector.is_silent(Duration::from_secs(1), timeout, max_timeout, 0.5));
     /// assert!(detector.is_silent(Duration::from_secs(3), timeout, max_timeout, 0.5));
@@ -100,8 +100,8 @@
     }
 }
 
-impl Default for SilenceDetector {
+impl Default for Detector {
     fn default() -> Self {
-        SilenceDetector::new()
+        Detector::new()
     }
 }
--- a/crates/peer/src/state.rs
+++ b/crates/peer/src/state.rs
@@ -8,14 +8,14 @@
 use tokio::sync::Notify;
 
 use crate::frame::LENGTH_FIELD_BYTES;
-use crate::{Bucket, Error, FramePayload, Queue, ReplayFilter, Settings, SilenceDetector, Stats};
+use crate::{Bucket, Detector, Error, Filter, Payload, Queue, Settings, Stats};
 
 /// What is kept for a peer across its connections.
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) address: SocketAddr,
     pub(crate) queue: Queue,
-    pub(crate) detector: SilenceDetector,
+    pub(crate) detector: Detector,
     /// Wakes the task that sends to this peer, after a message was queued.
     pub(crate) queued: Arc<Notify>,
     /// When the last frame was sealed for this peer.
@@ -28,7 +28,7 @@
     pub(crate) settings: Settings,
     pub(crate) secret: Secret,
     pub(crate) peers: BTreeMap<u16, Peer>,
-    pub(crate) filter: ReplayFilter,
+    pub(crate) filter: Filter,
     pub(crate) stats: Stats,
     bucket: Bucket,
     sequence: u64,
@@ -50,7 +50,7 @@
             settings,
             secret,
             peers: BTreeMap::new(),
-            filter: ReplayFilter::default(),
+            filter: Filter::default(),
             stats: Stats::default(),
             sequence: 0,
             start: Instant::now(),
@@ -107,7 +107,7 @@
             self.peers.entry(*id).or_insert_with(|| Peer {
                 address: *address,
                 queue,
-                detector: SilenceDetector::new(),
+                detector: Detector::new(),
                 queued: Arc::new(Notify::new()),
                 last_frame: None,
             });
@@ -129,7 +129,7 @@
         self.sequence = 0;
         for peer in self.peers.values_mut() {
             peer.queue = Queue::new(self.settings.queue_messages, self.settings.queue_bytes);
-            peer.detector = SilenceDetector::new();
+            peer.detector = Detector::new();
         }
     }
 
@@ -174,7 +174,7 @@
         let sequence = self.sequence;
         peer.detector.sent(now, sequence);
         let (sender, incarnation) = (self.settings.id, self.settings.incarnation);
-        let payload = FramePayload {
+        let payload = Payload {
             to: id,
             echo: self.filter.last(id),
             body,
@@ -211,7 +211,7 @@
     pub(crate) fn accept_frame(
         &mut self,
         envelope: &Envelope,
-        payload: FramePayload,
+        payload: Payload,
         bytes: usize,
     ) -> Result<Option<Vec<u8>>, Error> {
         if payload.to != self.settings.id || envelope.sender == self.settings.id {
--- a/crates/peer/src/stats.rs
+++ b/crates/peer/src/stats.rs
@@ -4,7 +4,7 @@
 
 /// Counters of one peer since it was set.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PeerStats {
+pub struct Traffic {
     /// Frames sent.
     pub sent_frames: u64,
     /// Bytes of these frames with their length fields, without TCP and IP headers.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Counters of each peer, by its id.
-    pub peers: BTreeMap<u16, PeerStats>,
+    pub peers: BTreeMap<u16, Traffic>,
     /// Received frames that were dropped, by result code.
     pub refused: BTreeMap<Code, u64>,
     /// Received messages dropped because the control thread had not taken earlier ones yet.
@@ -42,7 +42,7 @@
     /// ```
     #[must_use]
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
-        let sum = |of: fn(&PeerStats) -> u64| self.peers.values().map(of).sum();
+        let sum = |of: fn(&Traffic) -> u64| self.peers.values().map(of).sum();
         let mut counts = BTreeMap::from(self.connections.closed());
         counts.insert("control_inbox_full", self.inbox_full);
         counts.insert("control_dropped", sum(|peer| peer.dropped));
--- a/crates/peer/tests/it/frame.rs
+++ b/crates/peer/tests/it/frame.rs
@@ -1,5 +1,5 @@
 use acacia_member::{FRAME_BYTES, Heartbeat, Phase};
-use acacia_peer::{Echo, FramePayload};
+use acacia_peer::{Echo, Payload};
 use acacia_wire::control::{Envelope, Secret, seal};
 use serde::Serialize;
 
@@ -42,7 +42,7 @@
 
     let frame = seal(
         &envelope,
-        &FramePayload {
+        &Payload {
             to: 3899,
             echo,
             body: Some(body),
--- a/crates/peer/tests/it/limits.rs
+++ b/crates/peer/tests/it/limits.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use acacia_peer::{Bucket, Class, Queue, ReplayFilter};
+use acacia_peer::{Bucket, Class, Filter, Queue};
 use acacia_wire::control::Envelope;
 
 /// When a third of the backend servers drains, copies of pins are requested at fifty times the
@@ -66,7 +66,7 @@
 
 #[test]
 fn the_filter_remembers_a_bounded_number_of_senders() {
-    let mut filter = ReplayFilter::default();
+    let mut filter = Filter::default();
     let envelope = |sender| Envelope {
         sender,
         incarnation: 1,
--- a/crates/peer/tests/it/mesh.rs
+++ b/crates/peer/tests/it/mesh.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use acacia_code::Code;
-use acacia_peer::{Class, Error, FramePayload, Mesh, Received, Settings};
+use acacia_peer::{Class, Error, Mesh, Payload, Received, Settings};
 use acacia_wire::control::{Envelope, MAX_FRAME, Secret, seal};
 use crossbeam_channel::Receiver;
 
@@ -74,7 +74,7 @@
         incarnation: 1,
         sequence,
     };
-    let payload = |to, body: &[u8]| FramePayload {
+    let payload = |to, body: &[u8]| Payload {
         to,
         echo: None,
         body: Some(body.to_vec()),
--- a/crates/peer/tests/it/silence.rs
+++ b/crates/peer/tests/it/silence.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use acacia_peer::SilenceDetector;
+use acacia_peer::Detector;
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -14,7 +14,7 @@
 /// Sends every half second for a minute over connections that carry no data. Returns the times in
 /// milliseconds at which they are replaced.
 fn replacements(random: f64) -> Vec<u64> {
-    let mut detector = SilenceDetector::new();
+    let mut detector = Detector::new();
     let mut times = Vec::new();
     for tick in 0..1200 {
         let now = tick * 50;
@@ -52,7 +52,7 @@
 
 #[test]
 fn an_echo_from_before_the_connection_does_not_count() {
-    let mut detector = SilenceDetector::new();
+    let mut detector = Detector::new();
     detector.sent(ms(0), 10);
 
     detector.echoed(ms(1500), 9);
@@ -71,7 +71,7 @@
     /// Echoes may lag by up to two frames, but keep advancing.
     #[test]
     fn a_live_connection_is_never_replaced(lags in prop::collection::vec(0u64..3, 200)) {
-        let mut detector = SilenceDetector::new();
+        let mut detector = Detector::new();
         for (round, lag) in lags.into_iter().enumerate() {
             let (now, sequence) = (ms(round as u64 * 500), round as u64 + 1);
             detector.sent(now, sequence);
