--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -17,7 +17,7 @@
     limit::{Bucket, Rate},
     machine::Machine,
     retry::Schedule,
-    revisions::{Freshness, HighestRevisions},
+    revisions::{Freshness, Highest},
     service,
     store::{Entry, Events, Item, Lease, Outcome, Refusal, Swap},
     transport::{Answer, Call, Consistency, Failure, Transport},
@@ -25,7 +25,7 @@
 
 mod slot;
 
-use slot::ConnectionSlot;
+use slot::Slot;
 
 /// Settings of a [`Client`].
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -77,8 +77,8 @@
     options: Options,
     start: Instant,
     state: Mutex<State>,
-    calls: ConnectionSlot,
-    watches: ConnectionSlot,
+    calls: Slot,
+    watches: Slot,
     made: AtomicU64,
 }
 
@@ -86,13 +86,13 @@
 #[derive(Debug)]
 struct State {
     bucket: Bucket,
-    revisions: HighestRevisions,
+    revisions: Highest,
     random: Pcg64,
 }
 
 /// Whether a call that was not answered may have had an effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CallKind {
+enum Kind {
     /// It reads only, so it has had none.
     Read,
     /// It may have taken effect.
@@ -131,11 +131,11 @@
             start: Instant::now(),
             state: Mutex::new(State {
                 bucket: Bucket::new(options.rate),
-                revisions: HighestRevisions::default(),
+                revisions: Highest::default(),
                 random: Pcg64::seed_from_u64(options.seed),
             }),
-            calls: ConnectionSlot::default(),
-            watches: ConnectionSlot::default(),
+            calls: Slot::default(),
+            watches: Slot::default(),
             made: AtomicU64::new(0),
         }
     }
@@ -220,7 +220,7 @@
             wait,
         };
         let wait = wait + self.options.deadline;
-        match self.call(&self.watches, wait, CallKind::Read, call).await {
+        match self.call(&self.watches, wait, Kind::Read, call).await {
             Ok(answer) => answer.entry().ok_or(Error::Malformed),
             Err(_) => self.retry(async || self.read(key).await).await,
         }
@@ -312,7 +312,7 @@
             wait,
         };
         let wait = wait + self.options.deadline;
-        let answer = self.call(&self.watches, wait, CallKind::Read, call).await?;
+        let answer = self.call(&self.watches, wait, Kind::Read, call).await?;
         answer.events().ok_or(Error::Malformed)
     }
 
@@ -333,7 +333,7 @@
         extract: impl FnOnce(Answer) -> Option<Result<T, Refusal>>,
     ) -> Result<T, Error> {
         let wait = self.options.deadline;
-        let answer = self.call(&self.calls, wait, CallKind::Write, call).await?;
+        let answer = self.call(&self.calls, wait, Kind::Write, call).await?;
         extract(answer)
             .ok_or(Error::Malformed)?
             .map_err(Error::Refused)
@@ -345,7 +345,7 @@
         extract: impl FnOnce(Answer) -> Option<T>,
     ) -> Result<T, Error> {
         let wait = self.options.deadline;
-        let answer = self.call(&self.calls, wait, CallKind::Read, call).await?;
+        let answer = self.call(&self.calls, wait, Kind::Read, call).await?;
         extract(answer).ok_or(Error::Malformed)
     }
 
@@ -353,9 +353,9 @@
     /// discarded; the next call opens a new one.
     async fn call(
         &self,
-        slot: &ConnectionSlot,
+        slot: &Slot,
         wait: Duration,
-        kind: CallKind,
+        kind: Kind,
         call: Call,
     ) -> Result<Answer, Error> {
         self.wait_for_token().await?;
@@ -385,14 +385,14 @@
             Ok(Err(Failure::Deadline)) | Err(_) => self.discard(slot, &open, "silent"),
         }
         Err(match kind {
-            CallKind::Read => Error::Timeout,
-            CallKind::Write => Error::Unknown,
+            Kind::Read => Error::Timeout,
+            Kind::Write => Error::Unknown,
         })
     }
 
     /// Discards a connection and logs it: a rising rate of this event points to a faulty network
     /// path.
-    fn discard(&self, slot: &ConnectionSlot, open: &Arc<slot::OpenConnection>, reason: &str) {
+    fn discard(&self, slot: &Slot, open: &Arc<slot::Open>, reason: &str) {
         let address = self.address;
         log::warn!("event=platform-connection-replaced address={address} reason={reason:?}");
         slot.discard(open);
--- a/crates/platform/src/client/slot.rs
+++ b/crates/platform/src/client/slot.rs
@@ -20,27 +20,27 @@
 
 /// The connection in use, if any, and the tasks that drive connections.
 #[derive(Debug, Default)]
-pub(super) struct ConnectionSlot {
-    current: Mutex<Option<Arc<OpenConnection>>>,
+pub(super) struct Slot {
+    current: Mutex<Option<Arc<Open>>>,
     tasks: TaskTracker,
 }
 
 /// An open connection. The task that drives it is stopped when the last user drops it.
-pub(super) struct OpenConnection {
+pub(super) struct Open {
     call: CallFn,
     liveness: Mutex<Liveness>,
     _stop: DropGuard,
 }
 
-impl std::fmt::Debug for OpenConnection {
+impl std::fmt::Debug for Open {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("OpenConnection")
-            .field("liveness", &self.liveness)
+        f.debug_struct("Open")
+            .field("link", &self.liveness)
             .finish_non_exhaustive()
     }
 }
 
-impl OpenConnection {
+impl Open {
     /// Makes one call over this connection.
     pub(super) async fn call(&self, call: Call, deadline: Instant) -> Result<Answer, Failure> {
         (self.call)(call, deadline).await
@@ -57,7 +57,7 @@
     }
 }
 
-impl ConnectionSlot {
+impl Slot {
     /// Returns the connection in use or opens a new one. If two callers connect at the same time,
     /// the later connection remains in use and the other is closed after its call.
     pub(super) async fn get_or_open(
@@ -65,7 +65,7 @@
         transport: &Transport,
         address: SocketAddr,
         start: Instant,
-    ) -> io::Result<Arc<OpenConnection>> {
+    ) -> io::Result<Arc<Open>> {
         if let Some(open) = self.current() {
             return Ok(open);
         }
@@ -79,7 +79,7 @@
                 () = stopped.cancelled() => {}
             }
         });
-        let open = Arc::new(OpenConnection {
+        let open = Arc::new(Open {
             call: connection.call,
             liveness: Mutex::new(Liveness::new(start.elapsed())),
             _stop: stop.drop_guard(),
@@ -89,7 +89,7 @@
     }
 
     /// Stops using a connection, unless another one has already replaced it.
-    pub(super) fn discard(&self, open: &Arc<OpenConnection>) {
+    pub(super) fn discard(&self, open: &Arc<Open>) {
         let mut current = self.lock();
         if current.as_ref().is_some_and(|now| Arc::ptr_eq(now, open)) {
             *current = None;
@@ -103,11 +103,11 @@
         self.tasks.wait().await;
     }
 
-    fn current(&self) -> Option<Arc<OpenConnection>> {
+    fn current(&self) -> Option<Arc<Open>> {
         self.lock().clone()
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Option<Arc<OpenConnection>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Option<Arc<Open>>> {
         self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/platform/src/revisions.rs
+++ b/crates/platform/src/revisions.rs
@@ -18,16 +18,16 @@
 /// The highest revision seen for each key. It is unbounded, as the project reads only a few keys,
 /// all of them its own.
 #[derive(Debug, Clone, Default)]
-pub struct HighestRevisions {
+pub struct Highest {
     highest: BTreeMap<Arc<str>, u64>,
 }
 
-impl HighestRevisions {
+impl Highest {
     /// Compares an answer's revision with the highest one seen, and records it if it is not lower.
     ///
     /// ```
-    /// use acacia_platform::revisions::{Freshness, HighestRevisions};
-    /// let mut revisions = HighestRevisions::default();
+    /// use acacia_platform::revisions::{Freshness, Highest};
+    /// let mut revisions = Highest::default();
     /// let key = "config".into();
     /// assert_eq!(revisions.check(&key, 5), Freshness::Current);
     /// assert_eq!(revisions.check(&key, 4), Freshness::Stale { seen: 5 });
@@ -44,8 +44,8 @@
     /// The highest revision seen for a key; 0 if there was none.
     ///
     /// ```
-    /// use acacia_platform::revisions::HighestRevisions;
-    /// let mut revisions = HighestRevisions::default();
+    /// use acacia_platform::revisions::Highest;
+    /// let mut revisions = Highest::default();
     /// revisions.check(&"config".into(), 5);
     /// revisions.check(&"config".into(), 4);
     /// assert_eq!(revisions.highest("config"), 5);
--- a/crates/platform/tests/it/revisions.rs
+++ b/crates/platform/tests/it/revisions.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
 use crate::fixture::cases;
-use acacia_platform::revisions::{Freshness, HighestRevisions};
+use acacia_platform::revisions::{Freshness, Highest};
 use proptest::prelude::*;
 
 proptest! {
@@ -12,7 +12,7 @@
     #[test]
     fn accepted_revisions_never_decrease(answers in prop::collection::vec(0_u64..20, 1..100)) {
         let key: Arc<str> = "key".into();
-        let mut revisions = HighestRevisions::default();
+        let mut revisions = Highest::default();
         let mut highest = 0;
         for revision in answers {
             let freshness = revisions.check(&key, revision);
