--- a/crates/bench/src/control/store.rs
+++ b/crates/bench/src/control/store.rs
@@ -5,7 +5,6 @@
     agreement::{Entry, PlatformCall},
     platform::PlatformEvent,
 };
-use acacia_rollout::StoreEntry;
 use acacia_tables::writer;
 
 /// How long the client lets a watch wait for something new (`acacia_platform::Options`).
@@ -76,7 +75,7 @@
     fn answer(&mut self, order: &PlatformCall, late: bool) -> Option<PlatformEvent> {
         match order {
             PlatformCall::WatchConfig { above } => {
-                let answer = StoreEntry {
+                let answer = acacia_rollout::Entry {
                     revision: self.config.revision,
                     document: Some(Arc::clone(&self.config)),
                 };
--- a/crates/node/src/control/agreement.rs
+++ b/crates/node/src/control/agreement.rs
@@ -8,9 +8,7 @@
 use acacia_config::document::Document as Config;
 use acacia_flow::{control::Tables, snapshot::Address};
 use acacia_member::{State, View};
-use acacia_rollout::{
-    Action, ActiveConfig, Event, Options, Peer, Rollout, StoreEntry, Version, WATCHERS,
-};
+use acacia_rollout::{Action, ActiveConfig, Event, Options, Peer, Rollout, Version, WATCHERS};
 use acacia_tables::{
     Document, tables,
     writer::{self, Moment, Writer},
@@ -219,7 +217,7 @@
 
     /// Handles the result of [`PlatformCall::WatchConfig`]; `None` if the store could not be
     /// reached.
-    pub fn saw_config(&mut self, now: Duration, answer: Option<StoreEntry>) -> Outcome {
+    pub fn saw_config(&mut self, now: Duration, answer: Option<acacia_rollout::Entry>) -> Outcome {
         self.step_rollout(now, Event::WatchEnded(answer))
     }
 
--- a/crates/node/src/control/platform.rs
+++ b/crates/node/src/control/platform.rs
@@ -16,7 +16,6 @@
     machine::Machine,
     store::{Outcome, Swap},
 };
-use acacia_rollout::StoreEntry;
 use acacia_tables::writer;
 use crossbeam_channel::{Sender, TrySendError};
 use tokio::{
@@ -38,7 +37,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlatformEvent {
     /// The result of [`PlatformCall::WatchConfig`]; `None` if the call failed.
-    Config(Option<StoreEntry>),
+    Config(Option<acacia_rollout::Entry>),
     /// The result of [`PlatformCall::WatchTables`]; `None` if the call failed.
     Tables(Option<Entry>),
     /// The result of [`PlatformCall::ReadTables`]; `None` if the call failed.
@@ -169,7 +168,7 @@
     match call {
         PlatformCall::WatchConfig { above } => {
             let entry = client.watch(&config, above).await;
-            PlatformEvent::Config(log_failure(entry).map(|entry| StoreEntry {
+            PlatformEvent::Config(log_failure(entry).map(|entry| acacia_rollout::Entry {
                 revision: entry.revision,
                 document: entry.value.and_then(|value| decode(&value)),
             }))
--- a/crates/node/tests/it/status.rs
+++ b/crates/node/tests/it/status.rs
@@ -12,7 +12,6 @@
     control::{agreement::Entry, core::Core, platform::PlatformEvent},
     settings::Settings,
 };
-use acacia_rollout::StoreEntry;
 use acacia_tables::{UpdateContext, next_document};
 
 use crate::settings::valid;
@@ -52,7 +51,7 @@
 }
 
 pub fn config_event(document: &Document) -> PlatformEvent {
-    PlatformEvent::Config(Some(StoreEntry {
+    PlatformEvent::Config(Some(acacia_rollout::Entry {
         revision: document.revision,
         document: Some(Arc::new(document.clone())),
     }))
--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -15,26 +15,26 @@
 
 /// The content of the store's key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoreEntry {
+pub struct Entry {
     /// The key's revision in the store, for the next watch.
     pub revision: u64,
     /// The document; `None` if the key has no value, or one that can't be decoded.
     pub document: Option<Arc<Document>>,
 }
 
-impl StoreEntry {
+impl Entry {
     /// Decodes the value that a read or watch of the store's key returned. A value that can't be
     /// decoded is treated as missing, so the configuration in force stays.
     ///
     /// ```
-    /// use acacia_rollout::StoreEntry;
-    /// assert_eq!(StoreEntry::read(7, Some("no document")).document, None);
-    /// assert_eq!(StoreEntry::read(7, None).revision, 7);
+    /// use acacia_rollout::Entry;
+    /// assert_eq!(Entry::read(7, Some("no document")).document, None);
+    /// assert_eq!(Entry::read(7, None).revision, 7);
     /// ```
     #[must_use]
     pub fn read(revision: u64, value: Option<&str>) -> Self {
         let document = value.and_then(|value| Document::decode(value).ok());
-        StoreEntry {
+        Entry {
             revision,
             document: document.map(Arc::new),
         }
@@ -54,7 +54,7 @@
         version: Option<Version>,
     },
     /// The result of the last [`Action::Watch`]; `None` if the store could not be reached.
-    WatchEnded(Option<StoreEntry>),
+    WatchEnded(Option<Entry>),
     /// The result of the last [`Action::Fetch`].
     Fetched {
         /// The peer's id.
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -22,7 +22,7 @@
 mod version;
 mod watch;
 
-pub use event::{Action, Event, Peer, StoreEntry};
+pub use event::{Action, Entry, Event, Peer};
 pub use rollout::{ActiveConfig, Options, Rollout};
 pub use version::Version;
 pub use watch::WATCHERS;
--- a/crates/rollout/src/peers.rs
+++ b/crates/rollout/src/peers.rs
@@ -10,11 +10,11 @@
 /// The live peers, with the version that each of them announced last.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
-    by_id: BTreeMap<u16, PeerState>,
+    by_id: BTreeMap<u16, State>,
 }
 
 #[derive(Debug)]
-struct PeerState {
+struct State {
     data_centre: Arc<str>,
     version: Option<Version>,
 }
@@ -26,7 +26,7 @@
         for peer in peers {
             let version = before.remove(&peer.id).and_then(|state| state.version);
             let data_centre = peer.data_centre;
-            let state = PeerState {
+            let state = State {
                 data_centre,
                 version,
             };
@@ -55,7 +55,7 @@
     /// Returns the peers that have `version`: those in `data_centre`, or all if none is there.
     pub(crate) fn holders(&self, version: Version, data_centre: &str) -> Vec<u16> {
         let holders = |local_only: bool| -> Vec<u16> {
-            let holds = |state: &PeerState| {
+            let holds = |state: &State| {
                 state.version == Some(version)
                     && (!local_only || *state.data_centre == *data_centre)
             };
--- a/crates/rollout/tests/it/fixture.rs
+++ b/crates/rollout/tests/it/fixture.rs
@@ -5,7 +5,7 @@
     Config, Service,
     document::{Document, Draft, Id},
 };
-use acacia_rollout::{Options, Peer, Rollout, StoreEntry};
+use acacia_rollout::{Entry, Options, Peer, Rollout};
 
 /// Runs a number of cases from a fixed seed, so that every run has the same result.
 pub fn cases(cases: u32) -> ProptestConfig {
@@ -57,8 +57,8 @@
 }
 
 /// The answer of a store that has the document of a revision.
-pub fn answer(revision: u64) -> StoreEntry {
-    StoreEntry {
+pub fn answer(revision: u64) -> Entry {
+    Entry {
         revision,
         document: Some(document(revision)),
     }
--- a/crates/rollout/tests/it/simulation.rs
+++ b/crates/rollout/tests/it/simulation.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use acacia_config::document::Document;
-use acacia_rollout::{Action, Event, Options, Peer, Rollout, StoreEntry, Version};
+use acacia_rollout::{Action, Entry, Event, Options, Peer, Rollout, Version};
 
 use crate::fixture::{document, ms, peer};
 
@@ -219,7 +219,7 @@
                 let document = revision
                     .checked_sub(1)
                     .map(|at| self.accepted[at as usize].clone());
-                Event::WatchEnded(Some(StoreEntry { revision, document }))
+                Event::WatchEnded(Some(Entry { revision, document }))
             }
             _ => return,
         };
