--- a/crates/bench/src/control/document.rs
+++ b/crates/bench/src/control/document.rs
@@ -1,5 +1,5 @@
 use acacia_platform::machine::{Machine, State};
-use acacia_tables::{UpdateContext, next_document};
+use acacia_tables::next_document;
 
 use super::{
     line::Line,
@@ -78,7 +78,7 @@
 /// Bytes of the configuration and of the tables, as the store holds them.
 fn measure(size: &Size) -> anyhow::Result<[usize; 2]> {
     let config = change(None, size.config(), 0)?;
-    let situation = UpdateContext {
+    let situation = acacia_tables::Context {
         now: 0,
         is_known: &|_| false,
         weight: &|_, _| None,
--- a/crates/node/src/control/core/status.rs
+++ b/crates/node/src/control/core/status.rs
@@ -9,7 +9,7 @@
 use acacia_flow::{Shards, control::Stage};
 use acacia_member::{Member, State};
 use acacia_rollout::Version;
-use acacia_tables::{UpdateContext, next_document};
+use acacia_tables::next_document;
 use acacia_wire::collections::Map;
 
 use super::{Core, member::VM_NAME_PREFIX};
@@ -150,7 +150,7 @@
             return true;
         };
         // Only the immediate part of a change counts: bases move later, when all balancers know it.
-        let situation = UpdateContext {
+        let situation = acacia_tables::Context {
             now: unix.as_secs(),
             is_known: &|_| false,
             weight: &|_, _| None,
--- a/crates/node/tests/it/status.rs
+++ b/crates/node/tests/it/status.rs
@@ -12,7 +12,7 @@
     control::{agreement::Entry, core::Core, platform::PlatformEvent},
     settings::Settings,
 };
-use acacia_tables::{UpdateContext, next_document};
+use acacia_tables::next_document;
 
 use crate::settings::valid;
 
@@ -58,7 +58,7 @@
 }
 
 pub fn tables(before: Option<&acacia_tables::Document>, of: &Document) -> acacia_tables::Document {
-    let situation = UpdateContext {
+    let situation = acacia_tables::Context {
         now: 0,
         is_known: &|_| true,
         weight: &|_, _| None,
--- a/crates/tables/src/document.rs
+++ b/crates/tables/src/document.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     Error,
-    number::{Released, Retired, RetiredSummary},
+    number::{Released, Retired, Summary},
     pack,
 };
 
@@ -38,7 +38,7 @@
     /// Addresses whose service was removed.
     pub retired: Vec<Retired>,
     /// Summary of the retired addresses that were dropped from `retired`.
-    pub fold: RetiredSummary,
+    pub fold: Summary,
     /// Backend servers to which some balancers may still send packets of their former service.
     pub released: Vec<Released>,
 }
@@ -144,7 +144,7 @@
         if size > MAX_SIZE {
             return Err(Error::TooLarge { size });
         }
-        let header: FormatHeader = serde_json::from_str(value).map_err(undecodable)?;
+        let header: Header = serde_json::from_str(value).map_err(undecodable)?;
         if header.format > FORMAT {
             return Err(Error::Later {
                 format: header.format,
@@ -223,7 +223,7 @@
 
 /// The part that all formats share, read to tell them apart.
 #[derive(Deserialize)]
-struct FormatHeader {
+struct Header {
     format: u32,
 }
 
--- a/crates/tables/src/lib.rs
+++ b/crates/tables/src/lib.rs
@@ -22,6 +22,6 @@
 pub use document::{BUCKETS, Document, FORMAT, KEY, MAX_SIZE, NO_SERVER, Server, Service, State};
 pub use error::Error;
 pub use lookup::{Lookup, tables};
-pub use number::{MAX_RELEASED, MAX_RETIRED, Released, Retired, RetiredSummary};
-pub use update::{NOMINAL_WEIGHT, UpdateContext, next_document};
+pub use number::{MAX_RELEASED, MAX_RETIRED, Released, Retired, Summary};
+pub use update::{Context, NOMINAL_WEIGHT, next_document};
 pub use writer::Writer;
--- a/crates/tables/src/number.rs
+++ b/crates/tables/src/number.rs
@@ -11,7 +11,7 @@
 /// Services are added and removed at most a few thousand times a day. An unbounded list would
 /// eventually exceed the store's limit of a megabyte. 4,096 entries take about 300 KB and cover
 /// more than a day at the design rate of 3,800 changes. Further entries are merged into the
-/// [`RetiredSummary`], which keeps numbers unique.
+/// [`Summary`], which keeps numbers unique.
 pub const MAX_RETIRED: usize = 4_096;
 /// Maximum number of backend servers remembered until all balancers have stopped using them.
 ///
@@ -33,7 +33,7 @@
 
 /// Summary of all retired addresses that are no longer listed individually.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RetiredSummary {
+pub struct Summary {
     /// The first server number for a service at an address that is not listed. It is above every
     /// number used at any of the addresses merged into the summary.
     pub next_number: u32,
@@ -42,9 +42,9 @@
     pub strict_until: u64,
 }
 
-impl Default for RetiredSummary {
+impl Default for Summary {
     fn default() -> Self {
-        RetiredSummary {
+        Summary {
             next_number: 1,
             strict_until: 0,
         }
@@ -70,7 +70,7 @@
 /// number to use and the time until which the service is strict, if any.
 pub(crate) fn take_retired(
     retired: &mut Vec<Retired>,
-    summary: &RetiredSummary,
+    summary: &Summary,
     address: &Address,
     now: u64,
 ) -> (u32, Option<u64>) {
@@ -85,7 +85,7 @@
 /// Merges the retired addresses beyond [`MAX_RETIRED`] into the summary. Addresses that can have
 /// no live flows any more go first, and among these the ones with the lowest next number, as they
 /// skip the fewest numbers at other addresses.
-pub(crate) fn merge_excess(retired: &mut Vec<Retired>, summary: &mut RetiredSummary, now: u64) {
+pub(crate) fn merge_excess(retired: &mut Vec<Retired>, summary: &mut Summary, now: u64) {
     let may_have_flows = |old: &Retired| now < old.at + STRICT_SECONDS;
     while retired.len() > MAX_RETIRED {
         let order = |at: &usize| (may_have_flows(&retired[*at]), retired[*at].next_number);
--- a/crates/tables/src/update.rs
+++ b/crates/tables/src/update.rs
@@ -20,7 +20,7 @@
 
 /// Inputs of an update of the tables, besides the previous tables and the configuration.
 #[derive(Clone, Copy)]
-pub struct UpdateContext<'a> {
+pub struct Context<'a> {
     /// The Unix time in seconds.
     pub now: u64,
     /// Whether every balancer is known to have the tables of a version, or later ones
@@ -47,7 +47,7 @@
 ///
 /// ```
 /// use acacia_config::{Config, Server, Service, document};
-/// use acacia_tables::{UpdateContext, next_document};
+/// use acacia_tables::{Context, next_document};
 ///
 /// let mut config = Config::default();
 /// config
@@ -61,7 +61,7 @@
 ///     in_force: None,
 /// };
 /// let accepted = document::Document::follow(None, &draft)?;
-/// let context = UpdateContext { now: 0, is_known: &|_| false, weight: &|_, _| None };
+/// let context = Context { now: 0, is_known: &|_| false, weight: &|_, _| None };
 /// let first = next_document(None, &accepted, &context)?.ok_or("a document")?;
 /// assert_eq!((first.version, first.config), (1, 1));
 /// assert_eq!(first.services[0].base, first.services[0].next);
@@ -71,7 +71,7 @@
 pub fn next_document(
     previous: Option<&Document>,
     accepted: &config::document::Document,
-    context: &UpdateContext<'_>,
+    context: &Context<'_>,
 ) -> Result<Option<Document>, Error> {
     let empty = Document::default();
     let before = previous.unwrap_or(&empty);
@@ -139,14 +139,14 @@
 struct Update<'a> {
     before: &'a Document,
     config: &'a Config,
-    context: &'a UpdateContext<'a>,
+    context: &'a Context<'a>,
     version: u64,
     retired: Vec<Retired>,
     released: Vec<Released>,
 }
 
 impl<'a> Update<'a> {
-    fn new(before: &'a Document, config: &'a Config, context: &'a UpdateContext<'a>) -> Self {
+    fn new(before: &'a Document, config: &'a Config, context: &'a Context<'a>) -> Self {
         let waiting = |released: &&Released| !(context.is_known)(released.version);
         Update {
             before,
--- a/crates/tables/src/writer.rs
+++ b/crates/tables/src/writer.rs
@@ -15,7 +15,7 @@
 use crate::{
     Error,
     document::{Document, State},
-    update::{UpdateContext, next_document},
+    update::{Context, next_document},
 };
 
 mod event;
@@ -57,7 +57,7 @@
 /// What an update of the tables depends on: their version, the configuration's revision and the
 /// number of due updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct UpdateTrigger {
+struct Trigger {
     version: u64,
     config: u64,
     due: usize,
@@ -109,7 +109,7 @@
     weights_changed_at: u64,
     write_due_since: Option<u64>,
     /// The state for which the last update found nothing to write.
-    idle_trigger: Option<UpdateTrigger>,
+    idle_trigger: Option<Trigger>,
     backoff_until: u64,
     failures: u32,
 }
@@ -305,9 +305,9 @@
         }
     }
 
-    fn trigger(&self, now: Moment, is_known: &dyn Fn(u64) -> bool) -> Option<UpdateTrigger> {
+    fn trigger(&self, now: Moment, is_known: &dyn Fn(u64) -> bool) -> Option<Trigger> {
         let current = self.current.as_ref()?;
-        Some(UpdateTrigger {
+        Some(Trigger {
             version: current.version,
             config: self.config.as_ref()?.revision,
             due: current.due_updates(now.unix, is_known),
@@ -326,8 +326,7 @@
         let Some(current) = &self.current else {
             return self.config.is_some();
         };
-        let may_update =
-            |trigger: UpdateTrigger| trigger.config > current.config || trigger.due > 0;
+        let may_update = |trigger: Trigger| trigger.config > current.config || trigger.due > 0;
         let trigger = self
             .trigger(now, is_known)
             .filter(|trigger| may_update(*trigger));
@@ -363,7 +362,7 @@
                 && current.is_some_and(|c| gets_new_flows(c, service, server));
             self.weights.get(server).filter(|_| !is_kept).copied()
         };
-        let context = UpdateContext {
+        let context = Context {
             now: now.unix,
             is_known,
             weight: &weight,
--- a/crates/tables/tests/it/fixture.rs
+++ b/crates/tables/tests/it/fixture.rs
@@ -5,7 +5,7 @@
     document::{self, Draft, Id},
 };
 use acacia_flow::snapshot::Address;
-use acacia_tables::{Document, UpdateContext, next_document};
+use acacia_tables::{Context, Document, next_document};
 use acacia_wire::flow::Protocol;
 
 /// The address of the server on a host.
@@ -129,7 +129,7 @@
 
     /// Builds the next tables. Returns whether they changed.
     pub fn step(&mut self) -> bool {
-        let context = UpdateContext {
+        let context = Context {
             now: self.now,
             is_known: &|version| version <= self.known,
             weight: &|_, _| None,
--- a/crates/tables/tests/it/fleet.rs
+++ b/crates/tables/tests/it/fleet.rs
@@ -28,7 +28,7 @@
     /// A balancer steps its writer and starts the resulting call.
     Decide(usize),
     /// A balancer's call ends.
-    Finish(usize, CallEnd),
+    Finish(usize, End),
     /// A balancer's watch returns the store's content as of some writes ago.
     Watch(usize, usize),
     /// The second balancer receives the tables of the first.
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum CallEnd {
+enum End {
     Answered,
     /// The store carries out the call, and its answer is lost.
     Lost,
@@ -61,7 +61,7 @@
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    use CallEnd::{Answered, Late, Lost, Unreached};
+    use End::{Answered, Late, Lost, Unreached};
     let (at, ago) = (|| 0..BALANCERS, || 0_usize..3);
     let end_kind = prop::sample::select(vec![Answered, Answered, Answered, Lost, Late, Unreached]);
     prop_oneof![
@@ -132,21 +132,21 @@
         }
     }
 
-    fn finish(&mut self, at: usize, end_kind: CallEnd) {
+    fn finish(&mut self, at: usize, end_kind: End) {
         let answer = match (self.calls.remove(&at), end_kind) {
             (None | Some(Action::Idle), _) => return,
-            (Some(Action::Read), CallEnd::Answered) => {
+            (Some(Action::Read), End::Answered) => {
                 self.handle(Event::Watch(at, 0));
                 Answer::Read
             }
-            (Some(Action::Read), _) | (_, CallEnd::Unreached) => Answer::Unreached,
-            (Some(Action::Write { expected, document }), CallEnd::Late) => {
+            (Some(Action::Read), _) | (_, End::Unreached) => Answer::Unreached,
+            (Some(Action::Write { expected, document }), End::Late) => {
                 self.late.push((expected, document));
                 Answer::Lost
             }
             (Some(Action::Write { expected, document }), end_kind) => {
                 let answer = self.compare_and_swap(expected, &document);
-                if end_kind == CallEnd::Lost {
+                if end_kind == End::Lost {
                     Answer::Lost
                 } else {
                     answer
@@ -204,7 +204,7 @@
         for _ in 0..60 {
             self.now += 500;
             for at in 0..BALANCERS {
-                self.finish(at, CallEnd::Answered);
+                self.finish(at, End::Answered);
                 self.handle(Event::Rank(at, Some(at as u16)));
                 self.handle(Event::ReceiveConfig(at, 0));
                 self.handle(Event::Watch(at, 0));
