--- a/crates/bench/src/control/store.rs
+++ b/crates/bench/src/control/store.rs
@@ -1,10 +1,7 @@
 use std::{sync::Arc, time::Duration};
 
 use acacia_config::document::Document;
-use acacia_node::control::{
-    agreement::{Entry, PlatformCall},
-    platform::PlatformEvent,
-};
+use acacia_node::control::{agreement, platform};
 use acacia_tables::writer;
 
 /// How long the client lets a watch wait for something new (`acacia_platform::Options`).
@@ -15,7 +12,7 @@
 struct Waiting {
     by: usize,
     since: Duration,
-    order: PlatformCall,
+    order: agreement::Call,
 }
 
 /// The platform's store: two keys, compare-and-swap, watches that wait.
@@ -23,7 +20,7 @@
 pub struct Store {
     /// The configuration.
     pub config: Arc<Document>,
-    tables: Entry,
+    tables: agreement::Entry,
     waiting: Vec<Waiting>,
     /// Calls taken since the start.
     pub calls: u64,
@@ -35,7 +32,7 @@
     pub fn new(config: Arc<Document>) -> Self {
         Store {
             config,
-            tables: Entry {
+            tables: agreement::Entry {
                 revision: 0,
                 value: None,
             },
@@ -45,7 +42,7 @@
     }
 
     /// Takes a call of the balancer at place `by`. Answers come from [`Store::answers`].
-    pub fn call(&mut self, by: usize, order: PlatformCall, now: Duration) {
+    pub fn call(&mut self, by: usize, order: agreement::Call, now: Duration) {
         self.calls += 1;
         let same = |waiting: &Waiting| {
             let kind = std::mem::discriminant(&waiting.order);
@@ -60,7 +57,7 @@
     }
 
     /// What can be answered now, and to whom.
-    pub fn answers(&mut self, now: Duration) -> Vec<(usize, PlatformEvent)> {
+    pub fn answers(&mut self, now: Duration) -> Vec<(usize, platform::Event)> {
         let mut answers = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
             let late = now >= waiting.since + WATCH;
@@ -72,19 +69,21 @@
         answers
     }
 
-    fn answer(&mut self, order: &PlatformCall, late: bool) -> Option<PlatformEvent> {
+    fn answer(&mut self, order: &agreement::Call, late: bool) -> Option<platform::Event> {
         match order {
-            PlatformCall::WatchConfig { above } => {
+            agreement::Call::WatchConfig { above } => {
                 let answer = acacia_rollout::Entry {
                     revision: self.config.revision,
                     document: Some(Arc::clone(&self.config)),
                 };
-                (late || answer.revision > *above).then_some(PlatformEvent::Config(Some(answer)))
+                (late || answer.revision > *above).then_some(platform::Event::Config(Some(answer)))
             }
-            PlatformCall::WatchTables { above } => (late || self.tables.revision > *above)
-                .then(|| PlatformEvent::Tables(Some(self.tables.clone()))),
-            PlatformCall::ReadTables => Some(PlatformEvent::ReadTables(Some(self.tables.clone()))),
-            PlatformCall::WriteTables { expected, text } => Some(PlatformEvent::WroteTables(
+            agreement::Call::WatchTables { above } => (late || self.tables.revision > *above)
+                .then(|| platform::Event::Tables(Some(self.tables.clone()))),
+            agreement::Call::ReadTables => {
+                Some(platform::Event::ReadTables(Some(self.tables.clone())))
+            }
+            agreement::Call::WriteTables { expected, text } => Some(platform::Event::WroteTables(
                 self.swap(*expected, Arc::clone(text)),
             )),
         }
@@ -94,7 +93,7 @@
         if expected != self.tables.revision {
             return writer::Answer::Conflict;
         }
-        self.tables = Entry {
+        self.tables = agreement::Entry {
             revision: expected + 1,
             value: Some(text),
         };
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     clock,
-    control::core::{Core, ServingState},
+    control::core::{Core, Progress},
     ledger::Ledger,
     metrics::{Meter, Traffic},
 };
@@ -51,7 +51,7 @@
 pub struct StatusPublisher {
     published: Published,
     meter: Meter,
-    last: Option<(Duration, ServingState)>,
+    last: Option<(Duration, Progress)>,
 }
 
 impl StatusPublisher {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Publishes a new snapshot once a second, or at once if the serving state has changed.
+    /// Publishes a new snapshot once a second, or at once if the progress has changed.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -73,14 +73,14 @@
         shards: &Shards,
         stats: impl FnOnce() -> acacia_peer::Stats,
     ) {
-        let state = core.serving_state();
+        let progress = core.progress();
         let is_due = self
             .last
-            .is_none_or(|(at, before)| before != state || now.saturating_sub(at) >= INTERVAL);
+            .is_none_or(|(at, before)| before != progress || now.saturating_sub(at) >= INTERVAL);
         if !is_due {
             return;
         }
-        self.last = Some((now, state));
+        self.last = Some((now, progress));
         let before = self.published.load();
         let status = core.status(now, clock::time_of_day(), shards);
         // Encoding the document takes milliseconds, and it is the same while its revision and
--- a/crates/node/src/control/agreement.rs
+++ b/crates/node/src/control/agreement.rs
@@ -1,6 +1,6 @@
 //! The state that all balancers must agree on: the configuration and the bucket tables, fetched
-//! from the platform's store or from peers. This module does no I/O; it returns the
-//! [`PlatformCall`]s to be made by the platform thread and the requests to be sent to peers.
+//! from the platform's store or from peers. This module does no I/O; it returns the [`Call`]s to be
+//! made by the platform thread and the requests to be sent to peers.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -17,7 +17,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 
-use super::table_fetch::TableFetcher;
+use super::table_fetch::Fetcher;
 use crate::{clock::millis, settings::Settings};
 
 /// Maximum pause after a watch of the tables failed. The pause is random: all watchers lose the
@@ -29,7 +29,7 @@
 
 /// A call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PlatformCall {
+pub enum Call {
     /// Watch the configuration's key. Replaces a pending watch of it.
     WatchConfig {
         /// The watch ends when the key's revision is higher than this.
@@ -62,7 +62,7 @@
 
 /// A request to be sent to a peer, by the peer's number.
 #[derive(Debug, Clone, PartialEq)]
-pub enum PeerRequest {
+pub enum Request {
     /// Request the configuration in force.
     Config(u16),
     /// Request the tables in force.
@@ -73,9 +73,9 @@
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// Calls to make to the platform.
-    pub platform_calls: Vec<PlatformCall>,
+    pub platform_calls: Vec<Call>,
     /// Requests to send to peers.
-    pub peer_requests: Vec<PeerRequest>,
+    pub peer_requests: Vec<Request>,
     /// Whether new tables have come into force.
     pub tables: bool,
 }
@@ -85,7 +85,7 @@
 pub struct Agreement {
     rollout: Rollout,
     writer: Writer,
-    table_fetcher: TableFetcher,
+    table_fetcher: Fetcher,
     watch: Watch,
     random: Pcg64,
     id: u16,
@@ -112,7 +112,7 @@
         Agreement {
             rollout: Rollout::new(Options { me, seed }, now),
             writer: Writer::new(millis(now)),
-            table_fetcher: TableFetcher::default(),
+            table_fetcher: Fetcher::default(),
             watch: Watch::default(),
             random: Pcg64::seed_from_u64(seed),
             id: settings.id,
@@ -215,13 +215,12 @@
         )
     }
 
-    /// Handles the result of [`PlatformCall::WatchConfig`]; `None` if the store could not be
-    /// reached.
+    /// Handles the result of [`Call::WatchConfig`]; `None` if the store could not be reached.
     pub fn saw_config(&mut self, now: Duration, answer: Option<acacia_rollout::Entry>) -> Outcome {
         self.step_rollout(now, Event::WatchEnded(answer))
     }
 
-    /// Handles a peer's answer to [`PeerRequest::Config`].
+    /// Handles a peer's answer to [`Request::Config`].
     pub fn fetched_config(
         &mut self,
         now: Duration,
@@ -231,8 +230,7 @@
         self.step_rollout(now, Event::Fetched { peer, document })
     }
 
-    /// Handles the result of [`PlatformCall::WatchTables`]; `None` if the store could not be
-    /// reached.
+    /// Handles the result of [`Call::WatchTables`]; `None` if the store could not be reached.
     pub fn saw_tables(&mut self, now: Duration, entry: Option<Entry>) -> Outcome {
         self.watch.since = None;
         match &entry {
@@ -245,8 +243,7 @@
         self.take_entry(now, entry.as_ref())
     }
 
-    /// Handles the result of [`PlatformCall::ReadTables`]; `None` if the store could not be
-    /// reached.
+    /// Handles the result of [`Call::ReadTables`]; `None` if the store could not be reached.
     pub fn read_tables(&mut self, now: Duration, entry: Option<Entry>) -> Outcome {
         let mut outcome = self.take_entry(now, entry.as_ref());
         let answer = match entry {
@@ -257,7 +254,7 @@
         outcome
     }
 
-    /// Handles the result of [`PlatformCall::WriteTables`].
+    /// Handles the result of [`Call::WriteTables`].
     pub fn wrote_tables(&mut self, now: Duration, answer: writer::Answer) -> Outcome {
         let tables = self.writer.answered(answer, millis(now));
         Outcome {
@@ -266,7 +263,7 @@
         }
     }
 
-    /// Handles a peer's answer to [`PeerRequest::Tables`]. The error is the code for tables that
+    /// Handles a peer's answer to [`Request::Tables`]. The error is the code for tables that
     /// can't be decoded.
     pub fn fetched_tables(
         &mut self,
@@ -298,7 +295,7 @@
         self.watch_tables(now, &mut outcome);
         let version = self.document().map_or(0, |document| document.version);
         if let Some(peer) = self.table_fetcher.fetch(now, version) {
-            outcome.peer_requests.push(PeerRequest::Tables(peer));
+            outcome.peer_requests.push(Request::Tables(peer));
         }
         let moment = Moment {
             monotonic: millis(now),
@@ -306,7 +303,7 @@
         };
         match self.writer.step(moment, is_known) {
             Ok(writer::Action::Idle) => {}
-            Ok(writer::Action::Read) => outcome.platform_calls.push(PlatformCall::ReadTables),
+            Ok(writer::Action::Read) => outcome.platform_calls.push(Call::ReadTables),
             Ok(writer::Action::Write { expected, document }) => {
                 self.write(now, expected, &document, &mut outcome);
             }
@@ -317,7 +314,7 @@
 
     fn write(&mut self, now: Duration, expected: u64, document: &Document, out: &mut Outcome) {
         match document.encode() {
-            Ok(text) => out.platform_calls.push(PlatformCall::WriteTables {
+            Ok(text) => out.platform_calls.push(Call::WriteTables {
                 expected,
                 text: text.into(),
             }),
@@ -337,7 +334,7 @@
         let wanted = self.is_watcher || self.document().is_none();
         if wanted && !is_pending && now >= self.watch.not_before {
             self.watch.since = Some(now);
-            outcome.platform_calls.push(PlatformCall::WatchTables {
+            outcome.platform_calls.push(Call::WatchTables {
                 above: self.watch.above,
             });
         }
@@ -367,10 +364,8 @@
         let mut outcome = Outcome::default();
         for action in self.rollout.step(now, event) {
             match action {
-                Action::Watch { above } => outcome
-                    .platform_calls
-                    .push(PlatformCall::WatchConfig { above }),
-                Action::Fetch { peer } => outcome.peer_requests.push(PeerRequest::Config(peer)),
+                Action::Watch { above } => outcome.platform_calls.push(Call::WatchConfig { above }),
+                Action::Fetch { peer } => outcome.peer_requests.push(Request::Config(peer)),
                 Action::Enforce(held) => {
                     log::info!("event=config-in-force revision={}", held.document.revision);
                     self.writer.saw_config(held.document);
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -31,9 +31,9 @@
 };
 
 use super::{
-    agreement::{self, Agreement, PeerRequest, PlatformCall},
+    agreement::{self, Agreement, Request},
     load::Pools,
-    platform::PlatformEvent,
+    platform,
 };
 use crate::{
     clock::millis,
@@ -44,7 +44,7 @@
 };
 
 use rejoin::Rejoin;
-pub use status::ServingState;
+pub use status::Progress;
 
 /// Number of shards swept in one tick. With 16 shards and 20 ticks per second a whole pass
 /// takes 0.8 s, and traffic threads wait for one shard at most.
@@ -73,7 +73,7 @@
     /// The view for the traffic threads; `None` while this balancer must not serve.
     pub view: Option<View>,
     /// Calls to make to the platform.
-    pub platform_calls: Vec<PlatformCall>,
+    pub platform_calls: Vec<agreement::Call>,
     /// Whether to clear all pins and caches, once the view is published.
     pub forget: bool,
 }
@@ -110,12 +110,12 @@
     closing: Vec<(Address, u16)>,
     tables: Tables,
     servers: Arc<Map<(Address, u16), SocketAddrV4>>,
-    platform_calls: Vec<PlatformCall>,
+    platform_calls: Vec<agreement::Call>,
     outgoing: Vec<Outgoing>,
     /// The shard that the next sweep starts with, modulo the number of shards.
     next_shard: usize,
     leaving: bool,
-    last_seen: status::LastSeen,
+    last_seen: status::Times,
 }
 
 impl Core {
@@ -157,7 +157,7 @@
             outgoing: Vec::new(),
             next_shard: 0,
             leaving: false,
-            last_seen: status::LastSeen::default(),
+            last_seen: status::Times::default(),
             settings,
         }
     }
@@ -235,16 +235,16 @@
     }
 
     /// Handles the result of a call to the platform, or its list of VMs.
-    pub fn handle_platform_event(&mut self, now: Duration, event: PlatformEvent) {
+    pub fn handle_platform_event(&mut self, now: Duration, event: platform::Event) {
         if event.is_answer() {
             self.last_seen.store(now);
         }
         let outcome = match event {
-            PlatformEvent::Config(answer) => self.agreement.saw_config(now, answer),
-            PlatformEvent::Tables(entry) => self.agreement.saw_tables(now, entry),
-            PlatformEvent::ReadTables(entry) => self.agreement.read_tables(now, entry),
-            PlatformEvent::WroteTables(answer) => self.agreement.wrote_tables(now, answer),
-            PlatformEvent::Machines(machines) => return self.set_machines(now, &machines),
+            platform::Event::Config(answer) => self.agreement.saw_config(now, answer),
+            platform::Event::Tables(entry) => self.agreement.saw_tables(now, entry),
+            platform::Event::ReadTables(entry) => self.agreement.read_tables(now, entry),
+            platform::Event::WroteTables(answer) => self.agreement.wrote_tables(now, answer),
+            platform::Event::Machines(machines) => return self.set_machines(now, &machines),
         };
         self.apply_outcome(now, outcome);
     }
@@ -255,8 +255,8 @@
         self.platform_calls.extend(outcome.platform_calls);
         for request in outcome.peer_requests {
             match request {
-                PeerRequest::Config(peer) => self.send(peer, Class::Urgent, Message::AskConfig),
-                PeerRequest::Tables(peer) => self.send(peer, Class::Urgent, Message::AskTables),
+                Request::Config(peer) => self.send(peer, Class::Urgent, Message::AskConfig),
+                Request::Tables(peer) => self.send(peer, Class::Urgent, Message::AskTables),
             }
         }
         if outcome.tables {
--- a/crates/node/src/control/core/status.rs
+++ b/crates/node/src/control/core/status.rs
@@ -17,24 +17,24 @@
 
 /// Times of the latest events, for the ages in the status.
 #[derive(Debug, Default)]
-pub(super) struct LastSeen {
+pub(super) struct Times {
     store: Option<Duration>,
     heartbeats: Map<u16, Duration>,
     revision: Option<(u64, Duration)>,
-    follow_check: Option<FollowCheck>,
+    follow_check: Option<Check>,
 }
 
 /// Cached result of whether the tables in force follow a configuration. Computing the tables that
 /// follow a configuration takes milliseconds; done for every status, it would cost the control
 /// thread more than everything else.
 #[derive(Debug, Clone, Copy)]
-struct FollowCheck {
+struct Check {
     config: Version,
     table: u64,
     behind: bool,
 }
 
-impl LastSeen {
+impl Times {
     /// Records an answer of the platform's store.
     pub(super) fn store(&mut self, now: Duration) {
         self.store = Some(now);
@@ -55,7 +55,7 @@
 
 /// The part of the status that operators wait for. A change of it is published at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ServingState {
+pub struct Progress {
     phase: Phase,
     revision: Option<u64>,
     table: u64,
@@ -64,7 +64,7 @@
 impl Core {
     /// Returns the part of the status that operators wait for.
     #[must_use]
-    pub fn serving_state(&self) -> ServingState {
+    pub fn progress(&self) -> Progress {
         let phase = if self.leaving {
             Phase::Leaving
         } else if self.agreement.is_ready() {
@@ -72,7 +72,7 @@
         } else {
             Phase::Starting
         };
-        ServingState {
+        Progress {
             phase,
             revision: self.agreement.version().map(|version| version.revision),
             table: self.tables.version,
@@ -92,15 +92,15 @@
     pub fn status(&mut self, now: Duration, unix: Duration, shards: &Shards) -> Status {
         let behind = self.is_behind(unix);
         let age = |since: Duration| millis(now.saturating_sub(since));
-        let state = self.serving_state();
+        let progress = self.progress();
         let view = self.group.view(now);
         let peers = view.members.iter().filter(|member| self.is_live(member));
         Status {
             name: name(self.settings.id),
             id: self.settings.id,
             data_centre: Arc::clone(&self.settings.data_centre),
-            phase: state.phase,
-            revision: state.revision,
+            phase: progress.phase,
+            revision: progress.revision,
             change: self.agreement.version().map(|version| version.change),
             behind,
             enforced_ms: self.last_seen.revision.map_or(0, |(_, since)| age(since)),
@@ -136,7 +136,7 @@
             return known.behind;
         }
         let behind = self.would_change_tables(unix);
-        self.last_seen.follow_check = Some(FollowCheck {
+        self.last_seen.follow_check = Some(Check {
             config,
             table,
             behind,
--- a/crates/node/src/control/platform.rs
+++ b/crates/node/src/control/platform.rs
@@ -24,7 +24,7 @@
 };
 use tokio_util::task::AbortOnDropHandle;
 
-use super::agreement::{Entry, PlatformCall};
+use super::agreement::{self, Call};
 use crate::settings::Settings;
 
 /// Interval between reads of the list of VMs. The list lags by more than that anyway, and 8
@@ -35,34 +35,34 @@
 
 /// The result of a call to the platform, or its list of VMs.
 #[derive(Debug, Clone, PartialEq)]
-pub enum PlatformEvent {
-    /// The result of [`PlatformCall::WatchConfig`]; `None` if the call failed.
+pub enum Event {
+    /// The result of [`Call::WatchConfig`]; `None` if the call failed.
     Config(Option<acacia_rollout::Entry>),
-    /// The result of [`PlatformCall::WatchTables`]; `None` if the call failed.
-    Tables(Option<Entry>),
-    /// The result of [`PlatformCall::ReadTables`]; `None` if the call failed.
-    ReadTables(Option<Entry>),
-    /// The result of [`PlatformCall::WriteTables`].
+    /// The result of [`Call::WatchTables`]; `None` if the call failed.
+    Tables(Option<agreement::Entry>),
+    /// The result of [`Call::ReadTables`]; `None` if the call failed.
+    ReadTables(Option<agreement::Entry>),
+    /// The result of [`Call::WriteTables`].
     WroteTables(writer::Answer),
     /// The platform's list of VMs.
     Machines(Vec<Machine>),
 }
 
-impl PlatformEvent {
+impl Event {
     /// Returns the result of a call that was not completed.
     ///
     /// ```
-    /// use acacia_node::control::{agreement::PlatformCall, platform::PlatformEvent};
-    /// assert!(!PlatformEvent::failed(&PlatformCall::ReadTables).is_answer());
+    /// use acacia_node::control::{agreement::Call, platform::Event};
+    /// assert!(!Event::failed(&Call::ReadTables).is_answer());
     /// ```
     #[must_use]
-    pub fn failed(call: &PlatformCall) -> PlatformEvent {
+    pub fn failed(call: &Call) -> Event {
         match call {
-            PlatformCall::WatchConfig { .. } => PlatformEvent::Config(None),
-            PlatformCall::WatchTables { .. } => PlatformEvent::Tables(None),
-            PlatformCall::ReadTables => PlatformEvent::ReadTables(None),
+            Call::WatchConfig { .. } => Event::Config(None),
+            Call::WatchTables { .. } => Event::Tables(None),
+            Call::ReadTables => Event::ReadTables(None),
             // The write may have taken effect; the next read shows whether it has.
-            PlatformCall::WriteTables { .. } => PlatformEvent::WroteTables(writer::Answer::Lost),
+            Call::WriteTables { .. } => Event::WroteTables(writer::Answer::Lost),
         }
     }
 
@@ -70,15 +70,15 @@
     #[must_use]
     pub fn is_answer(&self) -> bool {
         match self {
-            PlatformEvent::Config(answer) => answer.is_some(),
-            PlatformEvent::Tables(entry) | PlatformEvent::ReadTables(entry) => entry.is_some(),
-            PlatformEvent::WroteTables(answer) => {
+            Event::Config(answer) => answer.is_some(),
+            Event::Tables(entry) | Event::ReadTables(entry) => entry.is_some(),
+            Event::WroteTables(answer) => {
                 matches!(
                     answer,
                     writer::Answer::Written { .. } | writer::Answer::Conflict
                 )
             }
-            PlatformEvent::Machines(_) => false,
+            Event::Machines(_) => false,
         }
     }
 }
@@ -86,8 +86,8 @@
 /// Makes calls to the platform until `stop` is set.
 pub fn run(
     settings: &Settings,
-    platform_calls: &mut Receiver<PlatformCall>,
-    events: &Sender<PlatformEvent>,
+    platform_calls: &mut Receiver<Call>,
+    events: &Sender<Event>,
     stop: &AtomicBool,
 ) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -133,21 +133,21 @@
 
 struct Calls {
     client: Arc<Client>,
-    events: Sender<PlatformEvent>,
+    events: Sender<Event>,
     tasks: JoinSet<()>,
 }
 
 impl Calls {
     /// Starts a call. A watch replaces a pending watch of the same key.
-    fn start(&mut self, call: PlatformCall, watching: &mut [Option<AbortHandle>; 2]) {
+    fn start(&mut self, call: Call, watching: &mut [Option<AbortHandle>; 2]) {
         let slot = match call {
-            PlatformCall::WatchConfig { .. } => Some(0),
-            PlatformCall::WatchTables { .. } => Some(1),
-            PlatformCall::ReadTables | PlatformCall::WriteTables { .. } => None,
+            Call::WatchConfig { .. } => Some(0),
+            Call::WatchTables { .. } => Some(1),
+            Call::ReadTables | Call::WriteTables { .. } => None,
         };
         let (client, events) = (Arc::clone(&self.client), self.events.clone());
         let task = self.tasks.spawn_local(async move {
-            let failed = PlatformEvent::failed(&call);
+            let failed = Event::failed(&call);
             let event = AbortOnDropHandle::new(task::spawn_local(make_call(client, call)));
             let event = event.await.unwrap_or_else(|error| {
                 log::error!("event=platform-call-panicked error=\"{error}\"");
@@ -163,38 +163,38 @@
     }
 }
 
-async fn make_call(client: Arc<Client>, call: PlatformCall) -> PlatformEvent {
+async fn make_call(client: Arc<Client>, call: Call) -> Event {
     let (config, tables): (Arc<str>, Arc<str>) = (document::KEY.into(), acacia_tables::KEY.into());
     match call {
-        PlatformCall::WatchConfig { above } => {
+        Call::WatchConfig { above } => {
             let entry = client.watch(&config, above).await;
-            PlatformEvent::Config(log_failure(entry).map(|entry| acacia_rollout::Entry {
+            Event::Config(log_failure(entry).map(|entry| acacia_rollout::Entry {
                 revision: entry.revision,
                 document: entry.value.and_then(|value| decode(&value)),
             }))
         }
-        PlatformCall::WatchTables { above } => {
+        Call::WatchTables { above } => {
             let entry = client.watch(&tables, above).await;
-            PlatformEvent::Tables(log_failure(entry).map(|e| Entry {
+            Event::Tables(log_failure(entry).map(|e| agreement::Entry {
                 revision: e.revision,
                 value: e.value,
             }))
         }
-        PlatformCall::ReadTables => {
+        Call::ReadTables => {
             let entry = client.get(&tables).await;
-            PlatformEvent::ReadTables(log_failure(entry).map(|e| Entry {
+            Event::ReadTables(log_failure(entry).map(|e| agreement::Entry {
                 revision: e.revision,
                 value: e.value,
             }))
         }
-        PlatformCall::WriteTables { expected, text } => {
+        Call::WriteTables { expected, text } => {
             let swap = Swap {
                 key: tables,
                 expected,
                 value: Some(text),
                 lease: None,
             };
-            PlatformEvent::WroteTables(match client.swap(swap).await {
+            Event::WroteTables(match client.swap(swap).await {
                 Ok(Outcome::Written { revision }) => writer::Answer::Written { revision },
                 Ok(Outcome::Conflict { .. }) => writer::Answer::Conflict,
                 Err(Error::Unknown) => writer::Answer::Lost,
@@ -229,7 +229,7 @@
 /// Sends an event to the control thread, waiting until its queue has room. The part of the control
 /// thread that made a call makes no other before it has the result, so it would never call again if
 /// the result were dropped.
-async fn send_event(events: &Sender<PlatformEvent>, mut event: PlatformEvent) {
+async fn send_event(events: &Sender<Event>, mut event: Event) {
     let mut is_logged = false;
     while let Err(TrySendError::Full(unsent)) = events.try_send(event) {
         if !is_logged {
@@ -249,10 +249,10 @@
     }
 }
 
-async fn follow_machines(client: Arc<Client>, events: Sender<PlatformEvent>) -> ! {
+async fn follow_machines(client: Arc<Client>, events: Sender<Event>) -> ! {
     loop {
         if let Some(machines) = log_failure(client.machines().await) {
-            send_event(&events, PlatformEvent::Machines(machines)).await;
+            send_event(&events, Event::Machines(machines)).await;
         }
         tokio::time::sleep(MACHINES_INTERVAL).await;
     }
--- a/crates/node/src/control/service.rs
+++ b/crates/node/src/control/service.rs
@@ -15,9 +15,9 @@
 use tokio::sync::mpsc;
 
 use super::{
-    agreement::PlatformCall,
+    agreement,
     core::{self, Core, Outgoing},
-    platform::PlatformEvent,
+    platform,
 };
 use crate::{
     admin,
@@ -45,9 +45,9 @@
     /// Settings of the daemon.
     pub settings: Arc<Settings>,
     /// Results from the platform thread.
-    pub platform_events: Receiver<PlatformEvent>,
+    pub platform_events: Receiver<platform::Event>,
     /// Calls for the platform thread to make.
-    pub platform_calls: mpsc::Sender<PlatformCall>,
+    pub platform_calls: mpsc::Sender<agreement::Call>,
     /// Notices of the traffic threads, to be sent to peers.
     pub notices: Receiver<(u16, Notice)>,
     /// Load counts of the traffic threads.
@@ -187,12 +187,12 @@
 
     /// Passes a call to the platform thread without blocking. If the queue is full, the call is
     /// handled as failed, so that the part of the core that waits for its result can go on.
-    fn call_platform(&mut self, now: Duration, call: PlatformCall) {
+    fn call_platform(&mut self, now: Duration, call: agreement::Call) {
         if let Err(error) = self.context.platform_calls.try_send(call) {
             let call = error.into_inner();
             log::warn!("event=platform-order-dropped order={call:?}");
             self.core
-                .handle_platform_event(now, PlatformEvent::failed(&call));
+                .handle_platform_event(now, platform::Event::failed(&call));
         }
     }
 
--- a/crates/node/src/control/table_fetch.rs
+++ b/crates/node/src/control/table_fetch.rs
@@ -10,14 +10,14 @@
 
 /// The versions of the tables that peers report, and the pending request.
 #[derive(Debug, Default)]
-pub struct TableFetcher {
+pub struct Fetcher {
     versions: BTreeMap<u16, u64>,
     own: u64,
     pending: Option<(u16, Duration)>,
     last: Option<u16>,
 }
 
-impl TableFetcher {
+impl Fetcher {
     /// Removes peers that are no longer heard.
     pub fn saw_view(&mut self, view: &View) {
         self.versions
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -23,11 +23,7 @@
 
 use crate::{
     admin,
-    control::{
-        self,
-        agreement::PlatformCall,
-        platform::{self, PlatformEvent},
-    },
+    control::{self, agreement, platform},
     counter::Counter,
     journal,
     ledger::Ledger,
@@ -67,8 +63,8 @@
 
 /// The platform thread's ends of its channels.
 struct Platform {
-    events: Receiver<PlatformEvent>,
-    calls: mpsc::Sender<PlatformCall>,
+    events: Receiver<platform::Event>,
+    calls: mpsc::Sender<agreement::Call>,
 }
 
 /// The control thread's ends of its channels.
@@ -147,8 +143,8 @@
 
 fn platform_service(shared: Arc<Shared>) -> Service {
     Service::new("platform", [], move |context| {
-        let (sender, events) = bounded::<PlatformEvent>(QUEUE);
-        let (calls, mut received) = mpsc::channel::<PlatformCall>(QUEUE);
+        let (sender, events) = bounded::<platform::Event>(QUEUE);
+        let (calls, mut received) = mpsc::channel::<agreement::Call>(QUEUE);
         let stop = Arc::new(AtomicBool::new(false));
         let flag = Arc::clone(&stop);
         context.spawn(move || {
--- a/crates/node/tests/it/platform.rs
+++ b/crates/node/tests/it/platform.rs
@@ -8,10 +8,7 @@
 };
 
 use acacia_node::{
-    control::{
-        agreement::PlatformCall,
-        platform::{self, PlatformEvent},
-    },
+    control::{agreement, platform},
     settings::Settings,
 };
 use acacia_stand::platform::Stand;
@@ -37,9 +34,11 @@
     let settings = settings(stand.address());
     let (sender, events) = bounded(1);
     let (calls, mut received) = mpsc::channel(8);
-    sender.send(PlatformEvent::Machines(vec![])).expect("room");
+    sender
+        .send(platform::Event::Machines(vec![]))
+        .expect("room");
     for _ in 0..2 {
-        calls.try_send(PlatformCall::ReadTables).expect("room");
+        calls.try_send(agreement::Call::ReadTables).expect("room");
     }
     let stop = AtomicBool::new(false);
 
@@ -47,7 +46,8 @@
         scope.spawn(|| platform::run(&settings, &mut received, &sender, &stop));
         // By then the store has answered both calls.
         thread::sleep(Duration::from_secs(2));
-        let is_read = |event: &PlatformEvent| matches!(event, PlatformEvent::ReadTables(Some(_)));
+        let is_read =
+            |event: &platform::Event| matches!(event, platform::Event::ReadTables(Some(_)));
         let end = Instant::now() + DEADLINE;
         let answers = std::iter::from_fn(|| events.recv_deadline(end).ok());
         let answers = answers.filter(is_read).take(2).count();
--- a/crates/node/tests/it/status.rs
+++ b/crates/node/tests/it/status.rs
@@ -9,7 +9,7 @@
 };
 use acacia_flow::{Shards, shard::Limits};
 use acacia_node::{
-    control::{agreement::Entry, core::Core, platform::PlatformEvent},
+    control::{agreement, core::Core, platform},
     settings::Settings,
 };
 use acacia_tables::next_document;
@@ -50,8 +50,8 @@
     Document::follow(before, &draft).unwrap()
 }
 
-pub fn config_event(document: &Document) -> PlatformEvent {
-    PlatformEvent::Config(Some(acacia_rollout::Entry {
+pub fn config_event(document: &Document) -> platform::Event {
+    platform::Event::Config(Some(acacia_rollout::Entry {
         revision: document.revision,
         document: Some(Arc::new(document.clone())),
     }))
@@ -66,8 +66,8 @@
     next_document(before, of, &situation).unwrap().unwrap()
 }
 
-pub fn tables_event(tables: &acacia_tables::Document) -> PlatformEvent {
-    PlatformEvent::Tables(Some(Entry {
+pub fn tables_event(tables: &acacia_tables::Document) -> platform::Event {
+    platform::Event::Tables(Some(agreement::Entry {
         revision: tables.version,
         value: Some(tables.encode().unwrap().into()),
     }))
