--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -7,7 +7,6 @@
     time::{Duration, Instant},
 };
 
-use acacia_api::Status;
 use acacia_flow::Shards;
 use acacia_kernel::BoxError;
 use arc_swap::ArcSwap;
@@ -30,11 +29,11 @@
 
 /// The status of the balancer at one moment, as published by the control thread.
 #[derive(Debug, Clone, Default)]
-pub struct StatusSnapshot {
+pub struct Status {
     /// When the snapshot was taken, by [`clock::now`].
     pub at: Duration,
-    /// The balancer's status, with ages as of [`StatusSnapshot::at`].
-    pub status: Status,
+    /// The balancer's status, with ages as of [`Status::at`].
+    pub status: acacia_api::Status,
     /// The configuration document in force, encoded.
     pub document: Option<Arc<str>>,
     /// Bytes of control messages since the process started.
@@ -44,21 +43,21 @@
 }
 
 /// The latest snapshot, shared between threads.
-pub type Published = Arc<ArcSwap<StatusSnapshot>>;
+pub type Published = Arc<ArcSwap<Status>>;
 
 /// Decides when the control thread publishes a new snapshot.
 #[derive(Debug)]
-pub struct StatusPublisher {
+pub struct Publisher {
     published: Published,
     meter: Meter,
     last: Option<(Duration, Progress)>,
 }
 
-impl StatusPublisher {
+impl Publisher {
     /// Creates a publisher that stores snapshots in `published`.
     #[must_use]
     pub fn new(published: Published) -> Self {
-        StatusPublisher {
+        Publisher {
             published,
             meter: Meter::default(),
             last: None,
@@ -85,7 +84,7 @@
         let status = core.status(now, clock::time_of_day(), shards);
         // Encoding the document takes milliseconds, and it is the same while its revision and
         // change are.
-        let version = |status: &Status| (status.revision, status.change);
+        let version = |status: &acacia_api::Status| (status.revision, status.change);
         let is_same = before.document.is_some() && version(&before.status) == version(&status);
         let document = if is_same {
             before.document.clone()
@@ -93,7 +92,7 @@
             core.document()
         };
         let stats = stats();
-        self.published.store(Arc::new(StatusSnapshot {
+        self.published.store(Arc::new(Status {
             at: now,
             status,
             document,
--- a/crates/node/src/control/service.rs
+++ b/crates/node/src/control/service.rs
@@ -81,7 +81,7 @@
     incarnation: u64,
     leaving: Option<Leaving>,
     counted: Duration,
-    status_publisher: admin::StatusPublisher,
+    status_publisher: admin::Publisher,
 }
 
 /// Progress of a graceful shutdown.
@@ -108,7 +108,7 @@
         incarnation,
         leaving: None,
         counted: now,
-        status_publisher: admin::StatusPublisher::new(Arc::clone(&context.status)),
+        status_publisher: admin::Publisher::new(Arc::clone(&context.status)),
     };
     let ticks = tick(TICK);
     while !context.stop.load(Ordering::Relaxed) {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -12,7 +12,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 
 use crate::{
-    admin::{Published, StatusSnapshot},
+    admin::{self, Published},
     counter::{Counter, KINDS},
 };
 
@@ -116,13 +116,13 @@
 
     /// Reports changes since the previous report, which was sent [`PERIOD`] ago. Errors are
     /// ignored: UDP may lose any report, and nothing depends on a single one.
-    pub fn report(&mut self, snapshot: &StatusSnapshot, counter: &Counter) {
+    pub fn report(&mut self, snapshot: &admin::Status, counter: &Counter) {
         self.counts(snapshot, counter);
         self.gauges(snapshot);
         let _ = self.client.flush();
     }
 
-    fn counts(&mut self, snapshot: &StatusSnapshot, counter: &Counter) {
+    fn counts(&mut self, snapshot: &admin::Status, counter: &Counter) {
         let kinds = KINDS.iter().map(|(kind, name)| (*name, counter.of(*kind)));
         let codes = counter.codes();
         let codes = codes.iter().map(|(code, count)| (code.label(), *count));
@@ -139,7 +139,7 @@
         }
     }
 
-    fn gauges(&mut self, snapshot: &StatusSnapshot) {
+    fn gauges(&mut self, snapshot: &admin::Status) {
         let status = &snapshot.status;
         let fresh = |age: Option<u64>| age.is_some_and(|ms| ms <= PERIOD.as_millis() as u64);
         let heard = status.peers.iter().filter(|peer| fresh(peer.heard_ms));
--- a/crates/node/tests/it/admin.rs
+++ b/crates/node/tests/it/admin.rs
@@ -2,10 +2,9 @@
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
-use acacia_api::Status;
 use acacia_burn::{Count, Mark};
 use acacia_node::{
-    admin::{self, Published, StatusSnapshot},
+    admin::{self, Published},
     ledger::Ledger,
 };
 use tokio_util::sync::CancellationToken;
@@ -17,15 +16,15 @@
 #[test]
 fn ages_grow_while_the_control_thread_hangs_and_the_ledger_is_served() {
     let published = Published::default();
-    let status = Status {
+    let status = acacia_api::Status {
         store_ms: Some(7),
-        ..Status::default()
+        ..acacia_api::Status::default()
     };
     // Its default `at` is the machine's boot, long ago.
-    published.store(Arc::new(StatusSnapshot {
+    published.store(Arc::new(admin::Status {
         status,
         document: Some("text".into()),
-        ..StatusSnapshot::default()
+        ..admin::Status::default()
     }));
     let ledger = Arc::new(Ledger::new(3));
     let good = Count {
--- a/crates/node/tests/it/metrics.rs
+++ b/crates/node/tests/it/metrics.rs
@@ -5,10 +5,9 @@
     time::Duration,
 };
 
-use acacia_api::Status;
 use acacia_code::Code;
 use acacia_node::{
-    admin::StatusSnapshot,
+    admin,
     counter::{Counter, KINDS, Kind},
     metrics::{Reporter, Traffic},
 };
@@ -42,17 +41,17 @@
     let (socket, address) = statsd();
     let mut reporter = Reporter::open(address, 3).unwrap();
     let counter = Counter::default();
-    let snapshot = |sent| StatusSnapshot {
-        status: Status {
+    let snapshot = |sent| admin::Status {
+        status: acacia_api::Status {
             revision: Some(8),
-            ..Status::default()
+            ..acacia_api::Status::default()
         },
         traffic: Traffic { sent, received: 0 },
         mesh: Stats {
             inbox_full: sent / 1_000,
             ..Stats::default()
         },
-        ..StatusSnapshot::default()
+        ..admin::Status::default()
     };
 
     counter.kind(Kind::Ingress, 5);
