--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -55,7 +55,7 @@
     let sink = Sink {
         sender: sender.clone(),
         line: Vec::new(),
-        limit: LineLimit::default(),
+        limit: Limit::default(),
         start: Instant::now(),
     };
     WriteLogger::init(level, config, sink)?;
@@ -138,7 +138,7 @@
 struct Sink {
     sender: Sender<Entry>,
     line: Vec<u8>,
-    limit: LineLimit,
+    limit: Limit,
     start: Instant,
 }
 
@@ -191,19 +191,19 @@
 
 /// Limits the lines per second of each kind of event, and counts those left out.
 #[derive(Debug, Default)]
-pub struct LineLimit {
+pub struct Limit {
     second: u64,
     used: Map<String, u32>,
     left_out: Map<String, u64>,
 }
 
-impl LineLimit {
+impl Limit {
     /// Returns whether a line of this event may be logged in the current second. If not, counts it
     /// as left out.
     ///
     /// ```
     /// use std::time::Duration;
-    /// let mut limit = acacia_node::journal::LineLimit::default();
+    /// let mut limit = acacia_node::journal::Limit::default();
     /// let admitted = (0..300).filter(|_| limit.admit("server")).count();
     /// assert_eq!(admitted, 250);
     /// assert_eq!(limit.start_second(Duration::from_secs(1)), [("server".to_owned(), 50)]);
--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -144,7 +144,7 @@
 
 /// State of one traffic thread for one service.
 #[derive(Debug)]
-struct ServiceState {
+struct State {
     revision: u64,
     gate: Gate,
     tracker: Tracker,
@@ -153,18 +153,18 @@
 
 /// Admits and places the new flows of one traffic thread, and counts them.
 #[derive(Debug)]
-pub struct FlowPlacer {
-    services: Map<Address, ServiceState>,
+pub struct Placer {
+    services: Map<Address, State>,
     random: Pcg64,
     drained: Duration,
 }
 
-impl FlowPlacer {
+impl Placer {
     /// Creates the state of a thread that has placed no flow yet. `seed` is for its random choices,
     /// such as the retry times of refused callers.
     #[must_use]
     pub fn new(seed: u64) -> Self {
-        FlowPlacer {
+        Placer {
             services: Map::default(),
             random: Pcg64::seed_from_u64(seed),
             drained: Duration::ZERO,
@@ -182,7 +182,7 @@
             return place::by_table(request);
         };
         let class = policy.class(IpAddr::V4(request.packet.key.client));
-        let FlowPlacer {
+        let Placer {
             services, random, ..
         } = self;
         let state = service_state(services, request.service.address, policy);
@@ -225,7 +225,7 @@
             return;
         };
         let class = policy.class(IpAddr::V4(packet.key.client));
-        let ServiceState { gate, tracker, .. } = service_state(&mut self.services, address, policy);
+        let State { gate, tracker, .. } = service_state(&mut self.services, address, policy);
         tracker.observe(packet, server, class, now, gate.tally());
     }
 
@@ -248,13 +248,13 @@
 }
 
 fn service_state<'a>(
-    services: &'a mut Map<Address, ServiceState>,
+    services: &'a mut Map<Address, State>,
     address: Address,
     policy: &Policy,
-) -> &'a mut ServiceState {
+) -> &'a mut State {
     let fresh = || {
         let limits = Limits::default();
-        ServiceState {
+        State {
             revision: policy.pool.revision,
             tracker: Tracker::new(MAX_SAMPLES, limits.slow),
             gate: Gate::new(&policy.pool, limits),
--- a/crates/node/src/traffic/worker.rs
+++ b/crates/node/src/traffic/worker.rs
@@ -27,7 +27,7 @@
 use crate::{
     clock,
     counter::{Counter, Kind},
-    load::{Counts, FlowPlacer},
+    load::{Counts, Placer},
     view::{Published, View},
 };
 
@@ -54,7 +54,7 @@
 
 /// Resolves and forwards packets until `stop` is set.
 pub fn run(socket: &UdpSocket, context: &Context, stop: &AtomicBool) -> std::io::Result<()> {
-    let mut placer = FlowPlacer::new(context.seed);
+    let mut placer = Placer::new(context.seed);
     process_batches(socket, &context.counter, stop, |received, to_send| {
         // Loaded once per batch: a view stays valid far longer than a batch takes.
         let view = context.published.load();
@@ -63,7 +63,7 @@
         };
         let now = clock::now();
         for index in 0..received.len() {
-            let mut handler = DatagramHandler {
+            let mut handler = Handler {
                 context,
                 view,
                 now,
@@ -106,16 +106,16 @@
 }
 
 /// The handling of one received datagram.
-struct DatagramHandler<'a> {
+struct Handler<'a> {
     context: &'a Context,
     view: &'a View,
     now: Duration,
     index: usize,
     to_send: &'a mut ToSend,
-    placer: &'a mut FlowPlacer,
+    placer: &'a mut Placer,
 }
 
-impl DatagramHandler<'_> {
+impl Handler<'_> {
     /// Decodes the datagram, resolves its flow and carries out the verdict. The error is the code
     /// under which the datagram is dropped.
     fn handle(&mut self, datagram: &[u8]) -> Result<(), Code> {
