--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -207,7 +207,7 @@
             tally.note(end);
             match end {
                 End::Answered => {}
-                End::Mixed => tally.mixed.push(request),
+                End::WrongAnswer => tally.mixed.push(request),
                 End::Reset if !excused && !shared.excused.load(Ordering::Relaxed) => {
                     tally.broken.push(request)
                 }
--- a/crates/soak/src/watch.rs
+++ b/crates/soak/src/watch.rs
@@ -26,7 +26,7 @@
             End::Refused => "refused",
             End::Reset => "reset",
             End::Silent => "silent",
-            End::Mixed => "mixed",
+            End::WrongAnswer => "mixed",
         };
         *self.ends.entry(name).or_default() += 1;
     }
