--- a/crates/soak/tests/it/path.rs
+++ b/crates/soak/tests/it/path.rs
@@ -46,12 +46,12 @@
         );
     }
 
-    let strange: u64 = fleet
+    let rejected: u64 = fleet
         .servers
         .values()
-        .map(|server| server.host.take_seen().strange)
+        .map(|server| server.host.take_seen().rejected)
         .sum();
-    assert_eq!(strange, 0);
+    assert_eq!(rejected, 0);
 }
 
 /// A balancer is told to end while flows are open. It leaves the rotation and forwards what still
