--- a/crates/bench/src/speed/decide.rs
+++ b/crates/bench/src/speed/decide.rs
@@ -9,7 +9,7 @@
 };
 use acacia_wire::{
     control::Secret,
-    encap::{self, Frame, NO_SERVER, Purpose, Redirect, Told},
+    encap::{self, Frame, NO_SERVER, Notified, Purpose, Redirect},
     flow::Key,
     packet::{self, Packet},
 };
@@ -88,7 +88,7 @@
         sender: 1,
         server: NO_SERVER,
         passed_on: false,
-        told: Told::default(),
+        notified: Notified::default(),
     }
 }
 
--- a/crates/e2e/tests/it/bad_input.rs
+++ b/crates/e2e/tests/it/bad_input.rs
@@ -8,7 +8,7 @@
 use acacia_e2e::deployment::Deployment;
 use acacia_wire::{
     control::{MAX_FRAME, Secret},
-    encap::{MAX_HOPS, NO_SERVER, PORT, Purpose, Redirect, Told, encode},
+    encap::{MAX_HOPS, NO_SERVER, Notified, PORT, Purpose, Redirect, encode},
 };
 use etherparse::PacketBuilder;
 use nix::sys::signal::Signal;
@@ -49,7 +49,7 @@
         sender: 2,
         server: 1,
         passed_on: false,
-        told: Told::default(),
+        notified: Notified::default(),
     };
     let mut bytes = Vec::new();
     encode(
@@ -69,7 +69,7 @@
         sender: 2,
         server: NO_SERVER,
         passed_on: false,
-        told: Told::default(),
+        notified: Notified::default(),
     };
     let mut bytes = Vec::new();
     encode(&redirect, &opening(), &deployment.secret(), &mut bytes);
--- a/crates/flow/src/resolve.rs
+++ b/crates/flow/src/resolve.rs
@@ -2,7 +2,7 @@
 
 use acacia_code::Code;
 use acacia_wire::{
-    encap::{MAX_HOPS, NO_SERVER, Purpose, Redirect, Told},
+    encap::{MAX_HOPS, NO_SERVER, Notified, Purpose, Redirect},
     packet::{Kind, Packet},
 };
 
@@ -202,11 +202,11 @@
         match self.first_available(&chain) {
             None => drop(Code::OwnersUnreachable),
             Some(id) if id == self.snapshot.me.id => self.decide(&chain),
-            Some(id) => self.redirect(id, Purpose::Resolve, NO_SERVER, Told::default()),
+            Some(id) => self.redirect(id, Purpose::Resolve, NO_SERVER, Notified::default()),
         }
     }
 
-    fn redirect(&self, to: u16, purpose: Purpose, server: u16, told: Told) -> Verdict {
+    fn redirect(&self, to: u16, purpose: Purpose, server: u16, told: Notified) -> Verdict {
         if self.hops >= MAX_HOPS {
             return drop(Code::RedirectHops);
         }
@@ -217,7 +217,7 @@
             server,
             // Set if this balancer is not the ingress: the sender considered this one the owner.
             passed_on: purpose == Purpose::Resolve && self.hops > 0,
-            told,
+            notified: told,
         };
         Action::Redirect { to, header }.into()
     }
@@ -235,7 +235,7 @@
             // Two balancers that each consider the other the first owner would redirect the packet
             // back and forth.
             Some(_) if header.passed_on => drop(Code::OwnersDisagree),
-            Some(id) => self.redirect(id, Purpose::Resolve, NO_SERVER, Told::default()),
+            Some(id) => self.redirect(id, Purpose::Resolve, NO_SERVER, Notified::default()),
         };
         if let Action::Forward { server } = verdict.action
             && matches!(self.packet.kind, Kind::Middle | Kind::Datagram)
--- a/crates/flow/src/resolve/owner.rs
+++ b/crates/flow/src/resolve/owner.rs
@@ -1,6 +1,6 @@
 use acacia_code::Code;
 use acacia_wire::{
-    encap::{MAX_HOPS, Purpose, Redirect, Told},
+    encap::{MAX_HOPS, Notified, Purpose, Redirect},
     flow::Protocol,
     packet::Kind,
 };
@@ -88,7 +88,7 @@
             // on the other side of a partition and with another server. Every packet therefore goes
             // through the other owners until one of them has corrected the pin or queried it. Used
             // alone, the pin could send the flow's next packet to a server that resets it.
-            return self.pass_on(&Pin { phase, ..pin }, chain, Told::default());
+            return self.pass_on(&Pin { phase, ..pin }, chain, Notified::default());
         }
         let is_opening = matches!(self.packet.kind, Kind::Opening { .. });
         if is_opening && pin.short_lived && pin.phase == Phase::Opening && self.is_base_closed() {
@@ -108,7 +108,7 @@
             ..pin
         };
         self.shard.store(self.packet.key, pin);
-        self.pass_on(&pin, chain, Told::default())
+        self.pass_on(&pin, chain, Notified::default())
     }
 
     /// Whether every balancer in the chain is reachable.
@@ -242,7 +242,7 @@
             queries: 0,
         };
         self.shard.store(self.packet.key, pin);
-        self.pass_on(&pin, chain, Told::default())
+        self.pass_on(&pin, chain, Notified::default())
     }
 
     /// Whether an unreachable owner may hold a pin of the flow that was never replicated to this
@@ -270,7 +270,7 @@
     /// opening of a flow off its base is therefore dropped while one of them is unreachable.
     ///
     /// `told` lists the balancers that already know.
-    pub(super) fn pass_on(&self, pin: &Pin, chain: &Chain, told: Told) -> Verdict {
+    pub(super) fn pass_on(&self, pin: &Pin, chain: &Chain, told: Notified) -> Verdict {
         let me = self.snapshot.me.id;
         let is_told = |id: u16| id == me || told.contains(id);
         // A balancer that does not know of a flow on its base sends it to the base, which is
@@ -327,7 +327,7 @@
         if !self.shard.store(self.packet.key, pin) {
             return drop(Code::PinsFull);
         }
-        let mut verdict = self.pass_on(&pin, &chain, header.told);
+        let mut verdict = self.pass_on(&pin, &chain, header.notified);
         if server != header.server {
             let key = self.packet.key;
             verdict.notice = Some((header.sender, Notice::Correct { key, server }));
@@ -361,7 +361,10 @@
                 .position(|owner| *owner == Some(id))
                 .unwrap_or(2)
         };
-        let told = chain.ids().iter().filter(|&&id| header.told.contains(id));
+        let told = chain
+            .ids()
+            .iter()
+            .filter(|&&id| header.notified.contains(id));
         told.map(|&id| rank(id))
             .min()
             .is_some_and(|best| rank(self.snapshot.me.id) < best)
--- a/crates/wire/src/encap.rs
+++ b/crates/wire/src/encap.rs
@@ -46,7 +46,7 @@
     /// Whether a balancer that was taken for the flow's owner passed the packet on.
     pub passed_on: bool,
     /// Balancers that know of the flow already.
-    pub told: Told,
+    pub notified: Notified,
 }
 
 /// The numbers of some balancers, at most as many as a packet may pass.
@@ -55,18 +55,18 @@
 /// with different views of the owners would read such a bit each in its own way, and hand the
 /// packet to and fro.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told([u16; MAX_HOPS as usize]);
+pub struct Notified([u16; MAX_HOPS as usize]);
 
-/// Stands in a free place of [`Told`]. No balancer has this number.
+/// Stands in a free place of [`Notified`]. No balancer has this number.
 const NOBODY: u16 = u16::MAX;
 
-impl Default for Told {
+impl Default for Notified {
     fn default() -> Self {
-        Told([NOBODY; MAX_HOPS as usize])
+        Notified([NOBODY; MAX_HOPS as usize])
     }
 }
 
-impl Told {
+impl Notified {
     /// Whether `balancer` is listed.
     #[must_use]
     pub fn contains(&self, balancer: u16) -> bool {
@@ -77,9 +77,9 @@
     /// hops anyway.
     ///
     /// ```
-    /// use acacia_wire::encap::Told;
-    /// let told = Told::default().with(3).with(3).with(7);
-    /// assert!(told.contains(3) && told.contains(7) && !told.contains(4));
+    /// use acacia_wire::encap::Notified;
+    /// let notified = Notified::default().with(3).with(3).with(7);
+    /// assert!(notified.contains(3) && notified.contains(7) && !notified.contains(4));
     /// ```
     #[must_use]
     pub fn with(mut self, balancer: u16) -> Self {
@@ -135,7 +135,7 @@
 /// ```
 /// use acacia_wire::{control::Secret, encap::*};
 /// let secret = Secret::new(&[7; 32], None);
-/// let redirect = Redirect { purpose: Purpose::Resolve, hops: 1, sender: 3, server: NO_SERVER, passed_on: false, told: Told::default() };
+/// let redirect = Redirect { purpose: Purpose::Resolve, hops: 1, sender: 3, server: NO_SERVER, passed_on: false, notified: Notified::default() };
 /// let mut out = Vec::new();
 /// encode(&redirect, &[0x45, 0, 0, 20], &secret, &mut out);
 /// assert_eq!(decode(&out, &secret), Ok(Frame::Redirected(redirect, &[0x45, 0, 0, 20])));
@@ -147,7 +147,7 @@
     out.extend(redirect.sender.to_be_bytes());
     out.extend(redirect.server.to_be_bytes());
     out.extend([u8::from(redirect.passed_on), 0]);
-    for balancer in redirect.told.0 {
+    for balancer in redirect.notified.0 {
         out.extend(balancer.to_be_bytes());
     }
     let tag = secret.tag(&[&out[..], authenticated(packet)]);
@@ -184,7 +184,7 @@
         sender: u16::from_be_bytes([fields[6], fields[7]]),
         server: u16::from_be_bytes([fields[8], fields[9]]),
         passed_on: fields[10] != 0,
-        told: Told(std::array::from_fn(|at| {
+        notified: Notified(std::array::from_fn(|at| {
             u16::from_be_bytes([fields[12 + 2 * at], fields[13 + 2 * at]])
         })),
     };
--- a/crates/wire/tests/it/encap.rs
+++ b/crates/wire/tests/it/encap.rs
@@ -1,6 +1,6 @@
 use acacia_wire::{
     control::Secret,
-    encap::{Error, Frame, MAX_HOPS, NO_SERVER, Purpose, Redirect, Told, decode, encode},
+    encap::{Error, Frame, MAX_HOPS, NO_SERVER, Notified, Purpose, Redirect, decode, encode},
 };
 use proptest::prelude::*;
 
@@ -13,7 +13,7 @@
         sender: 5,
         server: 9,
         passed_on: true,
-        told: Told::default().with(5),
+        notified: Notified::default().with(5),
     }
 }
 
@@ -74,7 +74,7 @@
         hops in 0..=MAX_HOPS, sender: u16, server: u16, passed_on: bool, a: u16, b: u16, purpose in 0usize..3,
     ) {
         let purpose = [Purpose::Resolve, Purpose::Replicate, Purpose::Release][purpose];
-        let redirect = Redirect { purpose, hops, sender, server, passed_on, told: Told::default().with(a).with(b) };
+        let redirect = Redirect { purpose, hops, sender, server, passed_on, notified: Notified::default().with(a).with(b) };
         let packet = tcp(b"payload", |h| h.ack = true);
         let bytes = encoded(&redirect);
         let packet_len = packet.len() - 6;
