--- a/crates/node/src/traffic/worker.rs
+++ b/crates/node/src/traffic/worker.rs
@@ -196,7 +196,7 @@
                 );
                 // The packet with the retry time is sent first, because the reset closes the
                 // caller's socket.
-                let retry = reply::come_back(&packet.key, bytes, retry_after);
+                let retry = reply::icmp_refusal(&packet.key, bytes, retry_after);
                 self.to_send.build(self.context.gateway, |out| *out = retry);
                 self.reset_caller(packet);
             }
--- a/crates/wire/src/reply.rs
+++ b/crates/wire/src/reply.rs
@@ -100,11 +100,11 @@
 /// use acacia_wire::{flow::{Key, Protocol}, reply};
 /// let key = Key { client: [192, 0, 2, 1].into(), service: [198, 51, 100, 1].into(),
 ///                 client_port: 1, service_port: 2, protocol: Protocol::Tcp };
-/// let bytes = reply::come_back(&key, &[0x45; 40], 1500);
-/// assert_eq!(reply::read_come_back(&bytes), Some(1500));
+/// let bytes = reply::icmp_refusal(&key, &[0x45; 40], 1500);
+/// assert_eq!(reply::parse_icmp_refusal(&bytes), Some(1500));
 /// ```
 #[must_use]
-pub fn come_back(key: &Key, packet: &[u8], millis: u32) -> Vec<u8> {
+pub fn icmp_refusal(key: &Key, packet: &[u8], millis: u32) -> Vec<u8> {
     let mut payload = packet[..packet.len().min(QUOTED)].to_vec();
     payload.resize(QUOTED, 0);
     payload.extend(extension(millis));
@@ -121,9 +121,9 @@
     bytes
 }
 
-/// Reads the milliseconds of [`come_back`] from an IP packet; none if it is another packet.
+/// Reads the milliseconds of [`icmp_refusal`] from an IP packet; none if it is another packet.
 #[must_use]
-pub fn read_come_back(bytes: &[u8]) -> Option<u32> {
+pub fn parse_icmp_refusal(bytes: &[u8]) -> Option<u32> {
     const HEADERS: usize = 20 + 8;
     let kind = bytes.get(20..22)?;
     let extension = bytes.get(HEADERS + QUOTED..)?;
--- a/crates/wire/tests/it/reply.rs
+++ b/crates/wire/tests/it/reply.rs
@@ -1,6 +1,6 @@
 use acacia_wire::{
     packet::parse,
-    reply::{come_back, read_come_back, reset, reset_server},
+    reply::{icmp_refusal, parse_icmp_refusal, reset, reset_server},
 };
 use etherparse::{Ipv4HeaderSlice, TcpHeaderSlice};
 use proptest::prelude::*;
@@ -39,9 +39,9 @@
     let opening = tcp(b"", |h| h.syn = true);
     let packet = parse(&opening, ENCAP).unwrap();
 
-    let bytes = come_back(&packet.key, &opening, 2_500);
+    let bytes = icmp_refusal(&packet.key, &opening, 2_500);
 
-    assert_eq!(read_come_back(&bytes), Some(2_500));
+    assert_eq!(parse_icmp_refusal(&bytes), Some(2_500));
     let ip = Ipv4HeaderSlice::from_slice(&bytes).unwrap();
     assert_eq!((ip.source(), ip.destination()), (SERVICE, CLIENT));
     assert_eq!(&bytes[28..28 + opening.len()], &opening[..]);
@@ -67,6 +67,6 @@
     fn arbitrary_bytes_are_no_refusal_and_never_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..220),
     ) {
-        prop_assert_eq!(read_come_back(&bytes), None);
+        prop_assert_eq!(parse_icmp_refusal(&bytes), None);
     }
 }
