--- a/crates/wire/src/encap.rs
+++ b/crates/wire/src/encap.rs
@@ -6,9 +6,9 @@
 pub const PORT: u16 = 6080;
 
 /// Length of a redirect header, in bytes: 4 of GUE, 16 of fields, 8 of authenticator.
-pub const REDIRECT: usize = 28;
+pub const REDIRECT_LEN: usize = 28;
 /// Length of the private fields and authenticator in GUE's unit of 32-bit words.
-const PRIVATE_WORDS: u8 = ((REDIRECT - 4) / 4) as u8;
+const PRIVATE_WORDS: u8 = ((REDIRECT_LEN - 4) / 4) as u8;
 /// GUE protocol number of an encapsulated IPv4 packet.
 const IPV4: u8 = 4;
 /// Length of the truncated authenticator, in bytes.
@@ -166,8 +166,10 @@
 }
 
 fn redirected<'a>(bytes: &'a [u8], secret: &Secret) -> Result<Frame<'a>, Error> {
-    let (header, packet) = bytes.split_at_checked(REDIRECT).ok_or(Error::Truncated)?;
-    let (fields, tag) = header.split_at(REDIRECT - AUTHENTICATOR);
+    let (header, packet) = bytes
+        .split_at_checked(REDIRECT_LEN)
+        .ok_or(Error::Truncated)?;
+    let (fields, tag) = header.split_at(REDIRECT_LEN - AUTHENTICATOR);
     if fields[..4] != [PRIVATE_WORDS, IPV4, 0, 0] {
         return Err(Error::Unknown);
     }
--- a/crates/wire/tests/it/encap.rs
+++ b/crates/wire/tests/it/encap.rs
@@ -50,7 +50,7 @@
 #[test]
 fn a_redirect_is_bound_to_its_flow() {
     let mut bytes = encoded(&redirect());
-    let port = acacia_wire::encap::REDIRECT + 21;
+    let port = acacia_wire::encap::REDIRECT_LEN + 21;
     bytes[port] ^= 1;
 
     assert_eq!(decode(&bytes, &secret()), Err(Error::Forged));
