--- a/crates/kernel/src/context.rs
+++ b/crates/kernel/src/context.rs
@@ -6,7 +6,7 @@
 
 use acacia_wire::collections::Map;
 
-use crate::run::{Death, Signal};
+use crate::run::{Signal, UnexpectedExit};
 use crate::{BoxError, Error};
 
 /// What a service hands to those that need it.
@@ -40,7 +40,7 @@
     /// }));
     /// let kernel = registry.start().unwrap();
     /// kernel.stopper().stop();
-    /// assert!(kernel.wait().death.is_none());
+    /// assert!(kernel.wait().unexpected_exit.is_none());
     /// ```
     pub fn find<T: Any + Send + Sync>(&self, name: &str) -> Result<Arc<T>, Error> {
         let handle = self
@@ -76,7 +76,7 @@
                 Err(panic) => panic_text(panic.as_ref()),
             };
             // The kernel may be past listening: then the end was asked for.
-            let _ = signals.send(Signal::Ended(Death { service, reason }));
+            let _ = signals.send(Signal::Ended(UnexpectedExit { service, reason }));
         })?;
         self.threads.push(thread);
         Ok(())
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -17,4 +17,4 @@
 pub use context::Context;
 pub use error::{BoxError, Error};
 pub use registry::{Registry, Service};
-pub use run::{Death, Kernel, Outcome, Stopper};
+pub use run::{Kernel, Outcome, Stopper, UnexpectedExit};
--- a/crates/kernel/src/run.rs
+++ b/crates/kernel/src/run.rs
@@ -9,7 +9,7 @@
 /// What the kernel waits for.
 pub(crate) enum Signal {
     /// A thread has ended.
-    Ended(Death),
+    Ended(UnexpectedExit),
     /// A stop was asked for.
     Stop,
 }
@@ -23,7 +23,7 @@
 
 /// A service that ended unasked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Death {
+pub struct UnexpectedExit {
     /// Its name.
     pub service: Arc<str>,
     /// Its error or panic, in words.
@@ -35,19 +35,19 @@
 pub struct Outcome {
     /// The service that ended first without having been told to; none after a stop that was asked
     /// for.
-    pub death: Option<Death>,
+    pub unexpected_exit: Option<UnexpectedExit>,
 }
 
 impl Outcome {
     /// The numbered code, for the exit status.
     ///
     /// ```
-    /// let outcome = acacia_kernel::Outcome { death: None };
+    /// let outcome = acacia_kernel::Outcome { unexpected_exit: None };
     /// assert_eq!(outcome.code().exit_status(), 0);
     /// ```
     #[must_use]
     pub fn code(&self) -> Code {
-        match self.death {
+        match self.unexpected_exit {
             Some(_) => Code::ServiceDied,
             None => Code::Success,
         }
@@ -105,20 +105,20 @@
     /// }));
     /// let outcome = registry.start().unwrap().wait();
     /// assert_eq!(outcome.code(), acacia_code::Code::ServiceDied);
-    /// assert_eq!(outcome.death.unwrap().reason, "socket closed");
+    /// assert_eq!(outcome.unexpected_exit.unwrap().reason, "socket closed");
     /// ```
     #[must_use]
     pub fn wait(mut self) -> Outcome {
-        let death = match self.received.recv() {
-            Ok(Signal::Ended(death)) => Some(death),
+        let unexpected_exit = match self.received.recv() {
+            Ok(Signal::Ended(exit)) => Some(exit),
             Ok(Signal::Stop) | Err(_) => None,
         };
-        if let Some(Death { service, reason }) = &death {
+        if let Some(UnexpectedExit { service, reason }) = &unexpected_exit {
             let code = Code::ServiceDied;
             log::error!("event=service_died code={code} service={service} reason={reason:?}");
         }
         self.stop_all();
-        Outcome { death }
+        Outcome { unexpected_exit }
     }
 
     /// Stops in reverse order: a service may use those it needs until its own end.
--- a/crates/kernel/tests/it/run.rs
+++ b/crates/kernel/tests/it/run.rs
@@ -43,7 +43,7 @@
     let outcome = registry.start().expect("starts").wait();
 
     assert_eq!(outcome.code(), Code::ServiceDied);
-    let death = outcome.death.expect("a death is reported");
+    let death = outcome.unexpected_exit.expect("a death is reported");
     assert_eq!((&*death.service, &*death.reason), ("dying", reason));
     assert!(ended.load(Ordering::SeqCst), "the other service was joined");
 }
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -135,7 +135,7 @@
         .join()
         .map_err(|_| anyhow::anyhow!("the signal thread panicked"))?;
     log::info!("event=ended id={} {}", settings.id, shared.counter.line());
-    if let Some(death) = &outcome.death {
+    if let Some(death) = &outcome.unexpected_exit {
         log::error!(
             "event=service-died service={} reason=\"{}\"",
             death.service,
