--- a/crates/burn/examples/page.rs
+++ b/crates/burn/examples/page.rs
@@ -27,7 +27,7 @@
             ledger.add(source, NOW - minute * 60, &service.into(), mark, count);
         }
     }
-    let report = report(&ledger, NOW, &[7], |_, mark| Objective::usual(mark));
+    let report = report(&ledger, NOW, &[7], |_, mark| Objective::default_for(mark));
     if std::env::args().any(|argument| argument == "table") {
         print!("{}", table(&report));
     } else {
--- a/crates/burn/src/alert.rs
+++ b/crates/burn/src/alert.rs
@@ -1,7 +1,7 @@
 use serde::Serialize;
 
 use crate::Window;
-use crate::tape::{HOUR, MINUTE};
+use crate::time_series::{HOUR, MINUTE};
 
 /// What an alert asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
--- a/crates/burn/src/ledger.rs
+++ b/crates/burn/src/ledger.rs
@@ -3,8 +3,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::tape::MINUTE;
-use crate::{Count, Mark, Tape};
+use crate::time_series::MINUTE;
+use crate::{Count, Mark, TimeSeries};
 
 /// Services that one balancer counts apart. 256 with two marks each bound the memory at 9 MB;
 /// today there are two services. Flows of further ones are added up under [`OTHERS`].
@@ -28,7 +28,7 @@
     pub(crate) since: u64,
     /// When it last counted, or last said that there was nothing to count.
     pub(crate) until: u64,
-    tapes: Vec<(Arc<str>, Mark, Tape)>,
+    tapes: Vec<(Arc<str>, Mark, TimeSeries)>,
 }
 
 /// The counts of any number of balancers.
@@ -154,7 +154,7 @@
         end.saturating_sub(start)
     }
 
-    fn tape(&mut self, service: &Arc<str>, mark: Mark) -> &mut Tape {
+    fn tape(&mut self, service: &Arc<str>, mark: Mark) -> &mut TimeSeries {
         let find = |book: &Book, name: &str| {
             book.tapes
                 .binary_search_by(|(other, m, _)| (&**other, *m).cmp(&(name, mark)))
@@ -164,7 +164,7 @@
             name = OTHERS.into();
         }
         let at = find(self, &name).unwrap_or_else(|at| {
-            self.tapes.insert(at, (name, mark, Tape::default()));
+            self.tapes.insert(at, (name, mark, TimeSeries::default()));
             at
         });
         &mut self.tapes[at].2
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -17,7 +17,7 @@
 mod plot;
 mod report;
 mod table;
-mod tape;
+mod time_series;
 
 pub use alert::{Alert, RULES, Rule, Severity, alerts};
 pub use count::{Count, Mark};
@@ -26,4 +26,4 @@
 pub use page::page;
 pub use report::{Objective, Report, Row, WINDOWS, Window, json, report};
 pub use table::table;
-pub use tape::Tape;
+pub use time_series::TimeSeries;
--- a/crates/burn/src/page.rs
+++ b/crates/burn/src/page.rs
@@ -13,7 +13,7 @@
 /// ```
 /// use acacia_burn::{Ledger, Objective, Source, page, report};
 /// let ledger = Ledger::new(Source { balancer: 1, incarnation: 1 }, 1_000_000);
-/// let report = report(&ledger, 1_000_000, &[], |_, mark| Objective::usual(mark));
+/// let report = report(&ledger, 1_000_000, &[], |_, mark| Objective::default_for(mark));
 /// assert!(page(&report).unwrap().starts_with("<!DOCTYPE html>"));
 /// ```
 pub fn page(report: &Report) -> Result<String, Error> {
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use crate::ledger::Book;
-use crate::tape::{HOUR, MINUTE};
+use crate::time_series::{HOUR, MINUTE};
 use crate::{Alert, Count, Error, Ledger, Mark, alerts};
 
 /// The windows of a report, in seconds: 5 min, 30 min, 1 h, 6 h, 3 days.
@@ -33,12 +33,12 @@
     /// ```
     /// use acacia_burn::{Count, Mark, Objective};
     /// let count = Count { good: 998, refused: 1, broken: 1, ..Count::default() };
-    /// let paying = Objective::usual(Mark::Paying).burn(&count).unwrap();
-    /// let trial = Objective::usual(Mark::Trial).burn(&count).unwrap();
+    /// let paying = Objective::default_for(Mark::Paying).burn(&count).unwrap();
+    /// let trial = Objective::default_for(Mark::Trial).burn(&count).unwrap();
     /// assert!((paying - 2.0).abs() < 1e-9 && (trial - 1.0).abs() < 1e-9);
     /// ```
     #[must_use]
-    pub fn usual(mark: Mark) -> Self {
+    pub fn default_for(mark: Mark) -> Self {
         Objective {
             target: 0.999,
             days: 30,
@@ -124,7 +124,7 @@
 /// let mut ledger = Ledger::new(source, 1_000_000);
 /// let count = Count { good: 99, broken: 1, ..Count::default() };
 /// ledger.add(source, 1_000_060, &"talkoo-live".into(), Mark::Paying, count);
-/// let report = report(&ledger, 1_000_060, &[], |_, mark| Objective::usual(mark));
+/// let report = report(&ledger, 1_000_060, &[], |_, mark| Objective::default_for(mark));
 /// assert_eq!(report.rows[0].windows[0].covered, 60);
 /// ```
 #[must_use]
--- a/crates/burn/src/table.rs
+++ b/crates/burn/src/table.rs
@@ -7,7 +7,7 @@
 /// ```
 /// use acacia_burn::{Ledger, Objective, Source, report, table};
 /// let ledger = Ledger::new(Source { balancer: 1, incarnation: 1 }, 1_000_000);
-/// let report = report(&ledger, 1_000_000, &[7], |_, mark| Objective::usual(mark));
+/// let report = report(&ledger, 1_000_000, &[7], |_, mark| Objective::default_for(mark));
 /// assert!(table(&report).contains("No answer came from balancers 7"));
 /// ```
 #[must_use]
--- a/crates/burn/src/tape.rs
+++ b/crates/burn/src/time_series.rs
@@ -16,18 +16,18 @@
 /// One service's counts at one balancer, in slots of wall-clock time: by the minute for 6 hours
 /// and by the hour for 3 days. At most 434 slots, about 17 KB; slots without flows take nothing.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tape {
+pub struct TimeSeries {
     minutes: BTreeMap<u64, Count>,
     hours: BTreeMap<u64, Count>,
 }
 
-impl Tape {
+impl TimeSeries {
     /// Adds flows that ended at `now`, in seconds since 1970. Those from before the kept time are
     /// dropped: only a clock that was set back gives them.
     ///
     /// ```
-    /// use acacia_burn::{Count, Tape};
-    /// let mut tape = Tape::default();
+    /// use acacia_burn::{Count, TimeSeries};
+    /// let mut tape = TimeSeries::default();
     /// tape.add(1_000_000, Count { good: 3, ..Count::default() });
     /// assert_eq!(tape.sum(1_000_030, 300).good, 3);
     /// assert_eq!(tape.sum(1_000_600, 300).good, 0);
@@ -57,7 +57,7 @@
     }
 
     /// Takes in another snapshot of the same counts: per slot the larger, for each only rises.
-    pub fn merge(&mut self, other: &Tape) {
+    pub fn merge(&mut self, other: &TimeSeries) {
         let pairs = [
             (&mut self.minutes, &other.minutes),
             (&mut self.hours, &other.hours),
--- a/crates/burn/tests/it/alert.rs
+++ b/crates/burn/tests/it/alert.rs
@@ -34,7 +34,7 @@
             );
         }
     }
-    report(&ledger, NOW, &[], |_, mark| Objective::usual(mark))
+    report(&ledger, NOW, &[], |_, mark| Objective::default_for(mark))
 }
 
 fn fired(report: &Report) -> Vec<Severity> {
@@ -130,7 +130,7 @@
         );
     }
 
-    let report = report(&ledger, NOW, &[], |_, mark| Objective::usual(mark));
+    let report = report(&ledger, NOW, &[], |_, mark| Objective::default_for(mark));
 
     let hour = report.rows[0].windows[2];
     assert!(hour.certain > hour.burn.map(|burn| burn * 0.95), "{hour:?}");
@@ -151,7 +151,7 @@
     };
     ledger.add(source, NOW, &"talkoo-live".into(), Mark::Paying, count);
 
-    let report = report(&ledger, NOW, &[], |_, mark| Objective::usual(mark));
+    let report = report(&ledger, NOW, &[], |_, mark| Objective::default_for(mark));
 
     assert_eq!(fired(&report), []);
 }
@@ -188,7 +188,7 @@
     };
     ledger.touch(old, NOW);
 
-    let report = report(&ledger, NOW, &[], |_, mark| Objective::usual(mark));
+    let report = report(&ledger, NOW, &[], |_, mark| Objective::default_for(mark));
 
     let hour = report.rows[0].windows[2];
     assert_eq!((hour.covered, hour.partly, hour.burn), (100, 1800, None));
--- a/crates/burn/tests/it/show.rs
+++ b/crates/burn/tests/it/show.rs
@@ -26,7 +26,9 @@
             ledger.add(source, NOW - minute * 60, &service.into(), mark, count);
         }
     }
-    report(&ledger, NOW, &[4, 7], |_, mark| Objective::usual(mark))
+    report(&ledger, NOW, &[4, 7], |_, mark| {
+        Objective::default_for(mark)
+    })
 }
 
 /// The names of the tags in order; panics where a tag is not closed in order.
--- a/crates/ctl/src/verb/burn.rs
+++ b/crates/ctl/src/verb/burn.rs
@@ -63,7 +63,7 @@
 }
 
 fn objective(config: &Config, service: &str, mark: Mark) -> Objective {
-    let usual = Objective::usual(mark);
+    let usual = Objective::default_for(mark);
     let service = config.service(service);
     match service.and_then(|service| service.objective) {
         Some(promised) => Objective {
