--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,18 +1,19 @@
-//! What travels: decoding of callers' packets, the encapsulation between fabric, balancers and
-//! backend servers, and the authenticated frames of the control protocol.
+//! Wire formats: decoding of callers' packets, the encapsulation between the fabric, the balancers
+//! and the backend servers, and the authenticated frames of the control protocol.
 //!
-//! Nothing here opens a socket or reads a clock. Every decoder takes arbitrary bytes and answers
-//! with a typed error; none panics.
+//! This crate performs no I/O and reads no clock. Decoders accept arbitrary bytes, never panic and
+//! return a typed error for invalid input.
 
-/// Hash maps with a fast, seeded hasher, used wherever keys come from callers.
+/// Hash maps and sets with a fast, randomly seeded hasher, for keys that callers choose.
 pub mod collections;
-/// Control frames between balancers: sender, sequence number and keyed authenticator.
+/// Control frames between balancers: sender, incarnation, sequence number, message and keyed
+/// authenticator.
 pub mod control;
-/// The encapsulation: an IP packet directly in UDP, and the redirect header between balancers.
+/// Encapsulation: IP packets directly in UDP, and the redirect header between balancers.
 pub mod encap;
 /// The identity of a transport flow.
 pub mod flow;
-/// Decoding of a caller's IP packet into what the balancer needs to know of it.
+/// Decoding of a caller's IP packet into the fields that a balancer uses.
 pub mod packet;
-/// Construction of the packets a balancer sends on its own account (resets, ICMP refusals).
+/// Packets that a balancer generates itself: TCP resets and ICMP refusals.
 pub mod reply;
