--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -2,15 +2,16 @@
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-/// Length of a control frame's authenticator, in bytes.
-const TAG: usize = 16;
-/// Length of the fixed part of a frame: sender, incarnation, sequence number.
-const HEADER: usize = 2 + 8 + 8;
-/// Largest accepted frame, in bytes: a whole configuration (a megabyte) and its envelope.
+/// Length of a control frame's authenticator, in bytes. The keyed hash is truncated to it.
+const TAG_LEN: usize = 16;
+/// Length of the fixed part of a frame, in bytes: sender, incarnation and sequence number.
+const HEADER_LEN: usize = 2 + 8 + 8;
+/// Maximum length of an accepted frame, in bytes. It fits a whole configuration (1 MB) and its
+/// envelope.
 pub const MAX_FRAME: usize = 1_100_000;
 
-/// The keys that authenticate traffic between balancers: one to sign with, and during a change of
-/// key the previous one, still accepted.
+/// The keys that authenticate traffic between balancers: the current key, which signs, and during
+/// a key rotation a second one that is only accepted.
 #[derive(Clone)]
 pub struct Secret {
     current: [u8; 32],
@@ -24,7 +25,7 @@
 }
 
 impl Secret {
-    /// Takes the key in force and, during a change of key, the other one that stays valid.
+    /// Creates a secret from the current key and, during a key rotation, the other valid key.
     ///
     /// ```
     /// use acacia_wire::control::Secret;
@@ -40,18 +41,18 @@
         }
     }
 
-    /// The authenticator of the concatenation of `parts` under the key in force.
+    /// Returns the authenticator of the concatenated `parts` under the current key.
     #[must_use]
     pub fn tag(&self, parts: &[&[u8]]) -> [u8; 32] {
-        keyed(&self.current, parts)
+        keyed_hash(&self.current, parts)
     }
 
-    /// Whether `tag`, possibly truncated, authenticates `parts` under either key. An empty tag
-    /// never does.
+    /// Returns whether `tag`, which may be truncated, authenticates the concatenated `parts` under
+    /// either key. An empty tag is never valid.
     #[must_use]
     pub fn verify(&self, parts: &[&[u8]], tag: &[u8]) -> bool {
         let matches = |key: &[u8; 32]| {
-            keyed(key, parts)
+            keyed_hash(key, parts)
                 .get(..tag.len())
                 .is_some_and(|full| bool::from(full.ct_eq(tag)))
         };
@@ -59,7 +60,7 @@
     }
 }
 
-fn keyed(key: &[u8; 32], parts: &[&[u8]]) -> [u8; 32] {
+fn keyed_hash(key: &[u8; 32], parts: &[&[u8]]) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new_keyed(key);
     for part in parts {
         hasher.update(part);
@@ -67,35 +68,37 @@
     *hasher.finalize().as_bytes()
 }
 
-/// Who sent a frame, and where it stands in the sender's order.
+/// The sender of a frame and the frame's position in the sender's sequence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Envelope {
     /// The sending balancer.
     pub sender: u16,
-    /// The sender's incarnation: rises with every start of its process.
+    /// The sender's incarnation, which increases with every start of its process.
     pub incarnation: u64,
-    /// Rises with every frame of one incarnation; a receiver drops what it has seen (replay).
+    /// The sequence number, which increases with every frame of an incarnation. Receivers use it
+    /// to drop replayed frames.
     pub sequence: u64,
 }
 
 /// Why a control frame was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The bytes end inside the envelope.
+    /// The frame is shorter than its envelope and authenticator.
     #[error("control frame is truncated")]
     Truncated,
-    /// Longer than [`MAX_FRAME`].
+    /// The frame is longer than [`MAX_FRAME`].
     #[error("control frame is too large")]
     Oversized,
     /// The authenticator matches no valid key.
     #[error("control frame is not authentic")]
     Forged,
-    /// Authentic, but the message can't be decoded: another version of the program.
+    /// The frame is authentic but its message can't be decoded, for example because the sender
+    /// runs another version.
     #[error("control message can't be decoded")]
     Undecodable,
 }
 
-/// Seals `message` into a frame.
+/// Encodes `message` as an authenticated frame.
 ///
 /// ```
 /// use acacia_wire::control::{open, seal, Envelope, Secret};
@@ -110,34 +113,34 @@
     frame.extend(envelope.incarnation.to_be_bytes());
     frame.extend(envelope.sequence.to_be_bytes());
     let mut frame = postcard::to_extend(message, frame)
-        .expect("a message of owned values serializes into memory without fail");
+        .expect("serializing owned values into memory can't fail");
     let tag = secret.tag(&[&frame]);
-    frame.extend(&tag[..TAG]);
+    frame.extend(&tag[..TAG_LEN]);
     frame
 }
 
-/// Checks and decodes a frame.
+/// Authenticates a frame, then decodes its envelope and message.
 pub fn open<T: DeserializeOwned>(frame: &[u8], secret: &Secret) -> Result<(Envelope, T), Error> {
     if frame.len() > MAX_FRAME {
         return Err(Error::Oversized);
     }
-    if frame.len() < HEADER + TAG {
+    if frame.len() < HEADER_LEN + TAG_LEN {
         return Err(Error::Truncated);
     }
-    let (signed, tag) = frame.split_at(frame.len() - TAG);
+    let (signed, tag) = frame.split_at(frame.len() - TAG_LEN);
     if !secret.verify(&[signed], tag) {
         return Err(Error::Forged);
     }
-    let (header, body) = signed.split_at(HEADER);
-    let word = |at: usize| {
+    let (header, body) = signed.split_at(HEADER_LEN);
+    let read_u64 = |at: usize| {
         let mut bytes = [0; 8];
         bytes.copy_from_slice(&header[at..at + 8]);
         u64::from_be_bytes(bytes)
     };
     let envelope = Envelope {
         sender: u16::from_be_bytes([header[0], header[1]]),
-        incarnation: word(2),
-        sequence: word(10),
+        incarnation: read_u64(2),
+        sequence: read_u64(10),
     };
     let message = postcard::from_bytes(body).map_err(|_| Error::Undecodable)?;
     Ok((envelope, message))
