--- a/crates/wire/src/encap.rs
+++ b/crates/wire/src/encap.rs
@@ -5,76 +5,79 @@
 /// The UDP port that IANA assigned to Generic UDP Encapsulation.
 pub const PORT: u16 = 6080;
 
-/// Length of a redirect header, in bytes: 4 of GUE, 16 of fields, 8 of authenticator.
+/// Length of a redirect header, in bytes: 4 of GUE header, 16 of private fields and 8 of
+/// authenticator.
 pub const REDIRECT_LEN: usize = 28;
-/// Length of the private fields and authenticator in GUE's unit of 32-bit words.
+/// Length of the private fields and the authenticator in 32-bit words, the unit of GUE's header
+/// length.
 const PRIVATE_WORDS: u8 = ((REDIRECT_LEN - 4) / 4) as u8;
-/// GUE protocol number of an encapsulated IPv4 packet.
-const IPV4: u8 = 4;
+/// IP protocol number of an encapsulated IPv4 packet, in GUE's protocol field.
+const PROTOCOL_IPV4: u8 = 4;
 /// Length of the truncated authenticator, in bytes.
-const AUTHENTICATOR: usize = 8;
-/// How many balancers a packet may pass before it is dropped.
+const TAG_LEN: usize = 8;
+/// Maximum number of balancers that a packet may traverse before it is dropped.
 ///
-/// Two balancers whose views of the membership differ could hand a packet back and forth. The
-/// longest legal path is ingress, owner, backup and one predecessor of either; four redirects
-/// cover it.
+/// Without a limit, two balancers with different views of the membership could redirect a packet
+/// to each other forever. The longest legal path is ingress, owner, backup and one predecessor of
+/// either, which four redirects cover.
 pub const MAX_HOPS: u8 = 4;
 
-/// What the receiving balancer is asked to do with a redirected packet.
+/// What the receiving balancer has to do with a redirected packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Purpose {
     /// Resolve the packet as the flow's owner.
     Resolve = 1,
-    /// Store the pin that the header carries, then pass the packet on to its server.
+    /// Store the pin in the header, then forward the packet to the pinned server.
     Replicate = 2,
-    /// Forget the flow, then pass the packet on to its server.
+    /// Forget the flow, then forward the packet to its server.
     Release = 3,
 }
 
-/// The header that one balancer puts before a packet it hands to another.
+/// The header of a packet that one balancer redirects to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Redirect {
-    /// What is asked.
+    /// What the receiver has to do with the packet.
     pub purpose: Purpose,
-    /// How many balancers the packet has passed, the sender included.
+    /// Number of balancers that the packet has traversed, including the sender.
     pub hops: u8,
     /// The sending balancer.
     pub sender: u16,
     /// The pinned backend server, or [`NO_SERVER`].
     pub server: u16,
-    /// Whether a balancer that was taken for the flow's owner passed the packet on.
+    /// Whether the packet was redirected to the sender as the flow's owner, and the sender
+    /// redirected it again.
     pub passed_on: bool,
-    /// Balancers that know of the flow already.
+    /// Balancers that already know the flow.
     pub notified: Notified,
 }
 
-/// The numbers of some balancers, at most as many as a packet may pass.
+/// The balancers that have been notified of a flow, at most [`MAX_HOPS`] of them.
 ///
-/// They are listed by number, not by a bit for their place among the flow's owners: two balancers
-/// with different views of the owners would read such a bit each in its own way, and hand the
-/// packet to and fro.
+/// The list holds balancer numbers instead of one bit for each position among the flow's owners:
+/// two balancers with different views of the owners would interpret such a bit differently and
+/// redirect the packet to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Notified([u16; MAX_HOPS as usize]);
 
-/// Stands in a free place of [`Notified`]. No balancer has this number.
-const NOBODY: u16 = u16::MAX;
+/// Marks an unused slot of [`Notified`]. No balancer has this number.
+const VACANT: u16 = u16::MAX;
 
 impl Default for Notified {
     fn default() -> Self {
-        Notified([NOBODY; MAX_HOPS as usize])
+        Notified([VACANT; MAX_HOPS as usize])
     }
 }
 
 impl Notified {
-    /// Whether `balancer` is listed.
+    /// Returns whether `balancer` is in the list.
     #[must_use]
     pub fn contains(&self, balancer: u16) -> bool {
-        balancer != NOBODY && self.0.contains(&balancer)
+        balancer != VACANT && self.0.contains(&balancer)
     }
 
-    /// The same with `balancer`. A full list stays as it is: the packet ends at the bound on its
-    /// hops anyway.
+    /// Returns the list with `balancer` added. A full list stays unchanged: a packet that has
+    /// notified that many balancers is dropped at [`MAX_HOPS`] anyway.
     ///
     /// ```
     /// use acacia_wire::encap::Notified;
@@ -84,7 +87,7 @@
     #[must_use]
     pub fn with(mut self, balancer: u16) -> Self {
         if !self.contains(balancer)
-            && let Some(free) = self.0.iter_mut().find(|id| **id == NOBODY)
+            && let Some(free) = self.0.iter_mut().find(|id| **id == VACANT)
         {
             *free = balancer;
         }
@@ -92,15 +95,15 @@
     }
 }
 
-/// Stands in [`Redirect::server`] where no server is pinned.
+/// The value of [`Redirect::server`] if no server is pinned.
 pub const NO_SERVER: u16 = u16::MAX;
 
-/// A decoded datagram of the encapsulation.
+/// A decoded encapsulation datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Frame<'a> {
-    /// A packet directly from the fabric (GUE variant 1).
+    /// A packet received directly from the fabric (GUE variant 1).
     Plain(&'a [u8]),
-    /// A packet handed over by another balancer (GUE variant 0 with private fields).
+    /// A packet redirected by another balancer (GUE variant 0 with private fields).
     Redirected(Redirect, &'a [u8]),
 }
 
@@ -110,15 +113,15 @@
     /// The bytes end inside a header.
     #[error("encapsulation is truncated")]
     Truncated,
-    /// A GUE version, length, protocol or purpose that is not used here.
-    #[error("encapsulation header is unknown")]
+    /// The GUE version, length or protocol, or the purpose, is not supported.
+    #[error("unsupported encapsulation header")]
     Unknown,
-    /// The authenticator matches no valid key: a redirect that no balancer sent could otherwise
-    /// pin a caller's flow to a server of the sender's choice.
+    /// The authenticator matches no valid key. Without this check, any sender could pin a caller's
+    /// flow to a server of its choice.
     #[error("redirect is not authentic")]
     Forged,
-    /// The packet has passed more balancers than any legal path has.
-    #[error("redirect has passed too many balancers")]
+    /// The packet has traversed more than [`MAX_HOPS`] balancers.
+    #[error("redirect exceeds the hop limit")]
     Hops,
 }
 
@@ -130,7 +133,7 @@
     }
 }
 
-/// Writes `redirect` and then `packet` into `out`, which is cleared first.
+/// Encodes `redirect` followed by `packet` into `out`, which is cleared first.
 ///
 /// ```
 /// use acacia_wire::{control::Secret, encap::*};
@@ -142,7 +145,7 @@
 /// ```
 pub fn encode(redirect: &Redirect, packet: &[u8], secret: &Secret, out: &mut Vec<u8>) {
     out.clear();
-    out.extend([PRIVATE_WORDS, IPV4, 0, 0]);
+    out.extend([PRIVATE_WORDS, PROTOCOL_IPV4, 0, 0]);
     out.extend([redirect.purpose as u8, redirect.hops]);
     out.extend(redirect.sender.to_be_bytes());
     out.extend(redirect.server.to_be_bytes());
@@ -150,30 +153,30 @@
     for balancer in redirect.notified.0 {
         out.extend(balancer.to_be_bytes());
     }
-    let tag = secret.tag(&[&out[..], authenticated(packet)]);
-    out.extend(&tag[..AUTHENTICATOR]);
+    let tag = secret.tag(&[&out[..], authenticated_prefix(packet)]);
+    out.extend(&tag[..TAG_LEN]);
     out.extend(packet);
 }
 
-/// Decodes one datagram.
+/// Decodes one encapsulation datagram.
 pub fn decode<'a>(bytes: &'a [u8], secret: &Secret) -> Result<Frame<'a>, Error> {
     match bytes.first().map(|byte| byte >> 4) {
         None => Err(Error::Truncated),
         Some(4) => Ok(Frame::Plain(bytes)),
-        Some(0 | 1) => redirected(bytes, secret),
+        Some(0 | 1) => decode_redirect(bytes, secret),
         Some(_) => Err(Error::Unknown),
     }
 }
 
-fn redirected<'a>(bytes: &'a [u8], secret: &Secret) -> Result<Frame<'a>, Error> {
+fn decode_redirect<'a>(bytes: &'a [u8], secret: &Secret) -> Result<Frame<'a>, Error> {
     let (header, packet) = bytes
         .split_at_checked(REDIRECT_LEN)
         .ok_or(Error::Truncated)?;
-    let (fields, tag) = header.split_at(REDIRECT_LEN - AUTHENTICATOR);
-    if fields[..4] != [PRIVATE_WORDS, IPV4, 0, 0] {
+    let (fields, tag) = header.split_at(REDIRECT_LEN - TAG_LEN);
+    if fields[..4] != [PRIVATE_WORDS, PROTOCOL_IPV4, 0, 0] {
         return Err(Error::Unknown);
     }
-    if !secret.verify(&[fields, authenticated(packet)], tag) {
+    if !secret.verify(&[fields, authenticated_prefix(packet)], tag) {
         return Err(Error::Forged);
     }
     let purpose = Purpose::from_byte(fields[4]).ok_or(Error::Unknown)?;
@@ -193,10 +196,12 @@
     Ok(Frame::Redirected(redirect, packet))
 }
 
-/// The part of the packet that the authenticator covers: addresses, ports and TCP's sequence
-/// numbers, enough to bind the redirect to its flow. The payload is the caller's own affair, and
-/// hashing it would cost a microsecond a packet.
-fn authenticated(packet: &[u8]) -> &[u8] {
-    const COVERED: usize = 32;
-    &packet[..packet.len().min(COVERED)]
+/// Returns the part of the packet that the authenticator covers: addresses, ports and TCP sequence
+/// numbers, which bind the redirect to its flow.
+///
+/// The payload is not covered: its integrity is the caller's responsibility, and hashing it would
+/// cost a microsecond per packet.
+fn authenticated_prefix(packet: &[u8]) -> &[u8] {
+    const COVERED_LEN: usize = 32;
+    &packet[..packet.len().min(COVERED_LEN)]
 }
