--- a/crates/wire/src/flow.rs
+++ b/crates/wire/src/flow.rs
@@ -6,15 +6,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[repr(u8)]
 pub enum Protocol {
-    /// TCP, where an opening packet marks the start of a flow.
+    /// TCP, where a SYN marks the start of a flow.
     Tcp = 6,
-    /// UDP, where nothing marks the first packet.
+    /// UDP, where the first packet of a flow can't be told from later ones.
     Udp = 17,
 }
 
-/// The 5-tuple of a flow as a caller's packet shows it: the caller is the source.
+/// The 5-tuple of a flow, in the direction from the caller to the service.
 ///
-/// Fields are in network meaning, host byte order. 16 bytes in memory.
+/// Ports are in host byte order. A key takes 16 bytes in memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The caller's address.
@@ -25,15 +25,16 @@
     pub client_port: u16,
     /// The service's port.
     pub service_port: u16,
-    /// The transport.
+    /// The transport protocol.
     pub protocol: Protocol,
 }
 
 impl Key {
-    /// A hash of the flow that is the same on every balancer, in every version of the program.
+    /// Returns a hash of the flow that is the same on every balancer and in every version of the
+    /// program.
     ///
-    /// It picks the flow's bucket and ranks the flow's owners, so all balancers must agree on it;
-    /// hence a fixed mixing function (the finalizer of SplitMix64, twice) in place of a seeded
+    /// The hash selects the flow's bucket and ranks its owners, so all balancers must agree on it.
+    /// It is therefore a fixed function (the SplitMix64 finalizer, applied twice) and not a seeded
     /// hasher.
     ///
     /// ```
@@ -58,7 +59,7 @@
     }
 }
 
-/// The number from 0 to 1, both excluded, that a hash of 64 bits stands for.
+/// Maps a uniformly distributed 64-bit hash to a number in the open interval from 0 to 1.
 ///
 /// ```
 /// use acacia_wire::flow::uniform;
@@ -66,13 +67,14 @@
 /// ```
 #[must_use]
 pub fn uniform(hash: u64) -> f64 {
-    /// Bits that a number holds exactly, but for the half that is added.
+    /// Bits of the hash that are used: an `f64` has 53 significant bits, of which the added half
+    /// takes one.
     const BITS: u32 = 52;
     ((hash >> (u64::BITS - BITS)) as f64 + 0.5) / (1u64 << BITS) as f64
 }
 
-/// The finalizer of SplitMix64 (Steele, Lea and Flood, 2014): a bijection of 64 bits in which each
-/// input bit flips about half of the output bits.
+/// The finalizer of SplitMix64 (Steele, Lea and Flood, 2014): a bijection on 64-bit values in which
+/// flipping one input bit flips about half of the output bits.
 ///
 /// ```
 /// assert_ne!(acacia_wire::flow::mix(1), acacia_wire::flow::mix(2));
