--- a/crates/wire/src/packet.rs
+++ b/crates/wire/src/packet.rs
@@ -3,83 +3,85 @@
 
 use crate::flow::{Key, Protocol};
 
-/// Length of the smallest IPv4 header, in bytes.
-const IPV4_HEADER: usize = 20;
-/// Length of an ICMP header with its unused word, in bytes.
-const ICMP_HEADER: usize = 8;
-/// How much of a quoted transport header an ICMP error must carry (RFC 792), in bytes.
-const QUOTED_PORTS: usize = 4;
+/// Length of an IPv4 header without options, in bytes.
+const MIN_IPV4_HEADER_LEN: usize = 20;
+/// Length of an ICMP error's header including its unused word, in bytes.
+const ICMP_HEADER_LEN: usize = 8;
+/// Length of the two ports at the start of a quoted transport header, in bytes. ICMP errors quote
+/// at least 8 bytes of it (RFC 792).
+const QUOTED_PORTS_LEN: usize = 4;
 
-/// What a packet means for the life of its flow.
+/// What a packet means for the state of its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A TCP packet with SYN and without ACK. `isn` is its initial sequence number, by which a
-    /// repeated opening is told from a new one on the same ports.
+    /// A TCP packet with SYN and without ACK.
     Opening {
-        /// The caller's initial sequence number.
+        /// The caller's initial sequence number. It distinguishes a retransmitted SYN from a new
+        /// flow on the same ports.
         isn: u32,
     },
-    /// A TCP packet in the middle of a flow.
+    /// Any other TCP packet without FIN and RST.
     Middle,
     /// A TCP packet with FIN.
     Closing,
     /// A TCP packet with RST.
     Reset,
-    /// A UDP datagram: possibly the first, possibly not.
+    /// A UDP datagram, which may or may not be the first of its flow.
     Datagram,
-    /// An ICMP error about a packet that the service sent to the caller. The key is that of the
-    /// flow it quotes.
+    /// An ICMP error about a packet that the service sent to the caller. The packet's key is that
+    /// of the quoted flow.
     Error,
 }
 
-/// What a balancer needs to know of a caller's packet.
+/// The fields of a caller's packet that a balancer uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Packet {
     /// The flow, with the caller as its source.
     pub key: Key,
     /// What the packet means for the flow.
     pub kind: Kind,
-    /// Bytes of transport payload.
+    /// Length of the transport payload, in bytes.
     pub payload: u16,
-    /// TCP sequence number, 0 for other transports.
+    /// The TCP sequence number, or 0 for other protocols.
     pub sequence: u32,
-    /// TCP acknowledgement number, 0 where the packet carries none.
+    /// The TCP acknowledgement number, or 0 if the packet carries none.
     pub acknowledgement: u32,
 }
 
-/// Why a packet could not be assigned to a flow.
+/// Why a packet can't be assigned to a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The bytes end before the headers or the stated length do.
+    /// The packet is shorter than its headers or its stated length.
     #[error("packet is truncated")]
     Truncated,
-    /// A header contradicts itself (version, length, reserved values, SYN with FIN).
+    /// A header is inconsistent, for example in its version, its length or its flags (SYN with
+    /// FIN).
     #[error("packet is malformed")]
     Malformed,
-    /// A fragment other than the first carries no ports, and a first one would reach a server
-    /// that its successors can't follow it to.
+    /// The packet is a fragment. Fragments after the first carry no ports, so they can't be sent
+    /// to the server that would receive the first one.
     #[error("packet is a fragment")]
     Fragment,
-    /// Neither TCP, nor UDP, nor an ICMP error about one of them.
-    #[error("transport protocol is not carried")]
+    /// The packet is neither TCP, nor UDP, nor an ICMP error about one of them.
+    #[error("unsupported transport protocol")]
     Unsupported,
-    /// The packet is this system's own encapsulation wrapped again: forwarding it would loop.
-    #[error("packet contains the encapsulation itself")]
+    /// The packet is itself encapsulated. Forwarding it would encapsulate it again and could loop.
+    #[error("packet is already encapsulated")]
     Looping,
 }
 
-/// Decodes `bytes`, an IPv4 packet from a caller. Bytes past the stated length are ignored, as
-/// link layers pad.
+/// Decodes `bytes` as an IPv4 packet from a caller. Bytes past the stated length are ignored,
+/// because link layers pad packets.
 ///
-/// `encapsulation_port` is the UDP port of the encapsulation: a packet addressed to it is refused
-/// as [`Error::Looping`].
+/// `encapsulation_port` is the UDP port of the encapsulation: a packet to that port is rejected
+/// with [`Error::Looping`].
 ///
 /// ```
 /// use acacia_wire::packet::{parse, Error};
 /// assert_eq!(parse(&[0x45, 0, 0], 6080), Err(Error::Truncated));
 /// ```
 pub fn parse(bytes: &[u8], encapsulation_port: u16) -> Result<Packet, Error> {
-    if bytes.len() < IPV4_HEADER {
+    if bytes.len() < MIN_IPV4_HEADER_LEN {
         return Err(Error::Truncated);
     }
     let ip = Ipv4HeaderSlice::from_slice(bytes).map_err(|_| Error::Malformed)?;
@@ -128,7 +130,7 @@
     Ok(Packet {
         key: key(ip, Protocol::Tcp, tcp.source_port(), tcp.destination_port()),
         kind,
-        payload: payload(body.len() - tcp.slice().len()),
+        payload: payload_len(body.len() - tcp.slice().len()),
         sequence: tcp.sequence_number(),
         acknowledgement: if tcp.ack() {
             tcp.acknowledgment_number()
@@ -146,15 +148,17 @@
     Ok(Packet {
         key: key(ip, Protocol::Udp, udp.source_port(), udp.destination_port()),
         kind: Kind::Datagram,
-        payload: payload(body.len() - udp.slice().len()),
+        payload: payload_len(body.len() - udp.slice().len()),
         sequence: 0,
         acknowledgement: 0,
     })
 }
 
-/// An ICMP error quotes the packet that caused it, which went from service to caller: its source
-/// and destination are swapped to give the flow as the caller's packets show it. Sent anywhere
-/// but to that flow's server, path MTU discovery would fail and large answers would stall.
+/// Decodes an ICMP error. It quotes a packet from the service to the caller, so source and
+/// destination are swapped to get the flow's key.
+///
+/// The error has to reach the flow's server. At any other server, path MTU discovery would fail
+/// and large responses would stall.
 fn icmp(body: &[u8]) -> Result<Packet, Error> {
     let icmp = etherparse::Icmpv4Slice::from_slice(body).map_err(|_| Error::Truncated)?;
     if !matches!(
@@ -165,8 +169,8 @@
     ) {
         return Err(Error::Unsupported);
     }
-    let quoted = body.get(ICMP_HEADER..).ok_or(Error::Truncated)?;
-    if quoted.len() < IPV4_HEADER {
+    let quoted = body.get(ICMP_HEADER_LEN..).ok_or(Error::Truncated)?;
+    if quoted.len() < MIN_IPV4_HEADER_LEN {
         return Err(Error::Truncated);
     }
     let ip = Ipv4HeaderSlice::from_slice(quoted).map_err(|_| Error::Malformed)?;
@@ -175,7 +179,7 @@
     }
     let start = ip.slice().len();
     let ports = quoted
-        .get(start..start + QUOTED_PORTS)
+        .get(start..start + QUOTED_PORTS_LEN)
         .ok_or(Error::Truncated)?;
     let protocol = match ip.protocol() {
         IpNumber::TCP => Protocol::Tcp,
@@ -197,7 +201,7 @@
     })
 }
 
-/// A payload fits 16 bits because an IPv4 total length does.
-fn payload(len: usize) -> u16 {
+/// Converts a payload length. It fits 16 bits because the total length of an IPv4 packet does.
+fn payload_len(len: usize) -> u16 {
     u16::try_from(len).unwrap_or(u16::MAX)
 }
