--- a/crates/wire/src/reply.rs
+++ b/crates/wire/src/reply.rs
@@ -5,12 +5,13 @@
     packet::{Kind, Packet},
 };
 
-/// Hop limit of packets that a balancer sends on its own account.
+/// Time to live of packets that a balancer generates.
 const TTL: u8 = 64;
 
-/// A reset towards the caller, as if from the service, that answers `packet`.
+/// Builds the TCP reset from the service to the caller that responds to `packet`.
 ///
-/// Nothing for a UDP flow, which has no reset, and nothing in answer to a reset (RFC 9293, 3.10.7).
+/// Returns `None` for a UDP flow, which has no reset, and for a reset, which must not be answered
+/// by another (RFC 9293, 3.10.7).
 ///
 /// ```
 /// use acacia_wire::{flow::{Key, Protocol}, packet::{Kind, Packet}, reply};
@@ -45,10 +46,11 @@
     Some(bytes)
 }
 
-/// A reset towards the backend server, as if from the caller, that ends the flow of `packet`.
+/// Builds the TCP reset from the caller to the backend server that ends the flow of `packet`.
+/// Returns `None` for a UDP flow.
 ///
-/// It takes the packet's own sequence number, the next that the server expects of a caller that
-/// resends without progress.
+/// The reset has the sequence number of `packet`, which is the next one that the server expects
+/// from a caller that retransmits without progress.
 #[must_use]
 pub fn reset_server(packet: &Packet) -> Option<Vec<u8>> {
     if packet.key.protocol != Protocol::Tcp {
@@ -65,10 +67,10 @@
         .tcp(client_port, service_port, packet.sequence, 0)
         .rst()
         .ack(packet.acknowledgement);
-    Some(written(builder))
+    Some(serialize(builder))
 }
 
-fn written(builder: etherparse::PacketBuilderStep<etherparse::TcpHeader>) -> Vec<u8> {
+fn serialize(builder: etherparse::PacketBuilderStep<etherparse::TcpHeader>) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(builder.size(0));
     builder
         .write(&mut bytes, &[])
@@ -77,24 +79,25 @@
 }
 
 /// ICMP type "destination unreachable" (RFC 792).
-const UNREACHABLE: u8 = 3;
+const TYPE_UNREACHABLE: u8 = 3;
 /// ICMP code "communication administratively prohibited" (RFC 1812).
-const PROHIBITED: u8 = 13;
-/// Bytes of the quoted packet before an extension, padded with zeroes (RFC 4884, 5.4).
-const QUOTED: usize = 128;
-/// Class of the extension object, from the part of the range that is for private use.
+const CODE_PROHIBITED: u8 = 13;
+/// Length of the quoted packet before an extension, in bytes. Shorter packets are padded with
+/// zeroes (RFC 4884, 5.4).
+const QUOTED_LEN: usize = 128;
+/// Class of the extension object with the retry time, from the range for private use.
 const RETRY_CLASS: u8 = 247;
-/// Type of the object within its class: milliseconds until the caller may come back.
+/// Type of the extension object within its class: milliseconds until the caller may retry.
 const RETRY_TYPE: u8 = 1;
-/// Length of the object: its header and a number of 32 bits.
-const RETRY_LENGTH: u16 = 8;
+/// Length of the extension object, in bytes: its header and a 32-bit number.
+const RETRY_OBJECT_LEN: u16 = 8;
 
-/// An ICMP error towards the caller that says its packet was refused by policy, and in an
-/// extension object (RFC 4884) after how many milliseconds it may come back.
+/// Builds the ICMP error that tells the caller that its packet was refused by policy. An extension
+/// object (RFC 4884) holds the number of milliseconds after which the caller may retry.
 ///
-/// A reset alone tells the caller that its work did not run, but not when to ask again; callers
-/// that retry at once keep a full service full. Those that don't know the object still learn from
-/// the code that the refusal is deliberate.
+/// A TCP reset alone tells the caller that its request did not run, but not when to retry, and
+/// callers that retry immediately keep an overloaded service overloaded. Callers that don't know
+/// the extension object still see from the ICMP code that the refusal is deliberate.
 ///
 /// ```
 /// use acacia_wire::{flow::{Key, Protocol}, reply};
@@ -105,13 +108,13 @@
 /// ```
 #[must_use]
 pub fn icmp_refusal(key: &Key, packet: &[u8], millis: u32) -> Vec<u8> {
-    let mut payload = packet[..packet.len().min(QUOTED)].to_vec();
-    payload.resize(QUOTED, 0);
+    let mut payload = packet[..packet.len().min(QUOTED_LEN)].to_vec();
+    payload.resize(QUOTED_LEN, 0);
     payload.extend(extension(millis));
-    let words = (QUOTED / 4) as u8;
+    let words = (QUOTED_LEN / 4) as u8;
     let builder = PacketBuilder::ipv4(key.service.octets(), key.client.octets(), TTL).icmpv4_raw(
-        UNREACHABLE,
-        PROHIBITED,
+        TYPE_UNREACHABLE,
+        CODE_PROHIBITED,
         [0, words, 0, 0],
     );
     let mut bytes = Vec::with_capacity(builder.size(payload.len()));
@@ -121,33 +124,35 @@
     bytes
 }
 
-/// Reads the milliseconds of [`icmp_refusal`] from an IP packet; none if it is another packet.
+/// Returns the retry time in milliseconds from a packet built by [`icmp_refusal`], or `None` if
+/// `bytes` is any other packet.
 #[must_use]
 pub fn parse_icmp_refusal(bytes: &[u8]) -> Option<u32> {
-    const HEADERS: usize = 20 + 8;
+    const HEADERS_LEN: usize = 20 + 8;
     let kind = bytes.get(20..22)?;
-    let extension = bytes.get(HEADERS + QUOTED..)?;
+    let extension = bytes.get(HEADERS_LEN + QUOTED_LEN..)?;
     let object = extension.get(4..12)?;
-    let expected = [0, RETRY_LENGTH as u8, RETRY_CLASS, RETRY_TYPE];
+    let expected = [0, RETRY_OBJECT_LEN as u8, RETRY_CLASS, RETRY_TYPE];
     let millis: [u8; 4] = object[4..8].try_into().ok()?;
-    let is_ours = kind == [UNREACHABLE, PROHIBITED] && object[..4] == expected;
-    (is_ours && sum(extension) == u16::MAX).then_some(u32::from_be_bytes(millis))
+    let is_refusal = kind == [TYPE_UNREACHABLE, CODE_PROHIBITED] && object[..4] == expected;
+    (is_refusal && checksum_sum(extension) == u16::MAX).then_some(u32::from_be_bytes(millis))
 }
 
-/// The extension structure: version 2, checksum, one object.
+/// Encodes the extension structure: version 2, checksum and one object.
 fn extension(millis: u32) -> Vec<u8> {
     const VERSION: u8 = 2 << 4;
     let mut bytes = vec![VERSION, 0, 0, 0];
-    bytes.extend(RETRY_LENGTH.to_be_bytes());
+    bytes.extend(RETRY_OBJECT_LEN.to_be_bytes());
     bytes.extend([RETRY_CLASS, RETRY_TYPE]);
     bytes.extend(millis.to_be_bytes());
-    let checksum = !sum(&bytes);
+    let checksum = !checksum_sum(&bytes);
     bytes[2..4].copy_from_slice(&checksum.to_be_bytes());
     bytes
 }
 
-/// The Internet checksum's sum (RFC 1071) of an even number of bytes.
-fn sum(bytes: &[u8]) -> u16 {
+/// Returns the ones' complement sum of the Internet checksum (RFC 1071) over an even number of
+/// bytes.
+fn checksum_sum(bytes: &[u8]) -> u16 {
     let words = bytes
         .chunks_exact(2)
         .map(|pair| u32::from(u16::from_be_bytes([pair[0], pair[1]])));
