--- a/crates/kernel/src/context.rs
+++ b/crates/kernel/src/context.rs
@@ -6,29 +6,30 @@
 
 use acacia_wire::collections::Map;
 
-use crate::run::{Signal, UnexpectedExit};
+use crate::run::{Event, UnexpectedExit};
 use crate::{BoxError, Error};
 
-/// What a service hands to those that need it.
+/// The value that a service provides to the services that depend on it.
 pub(crate) type Handle = Arc<dyn Any + Send + Sync>;
-/// Tells a service's threads to end.
-pub(crate) type Stop = Box<dyn FnOnce() + Send>;
+/// The callback that tells a service's threads to end.
+pub(crate) type StopCallback = Box<dyn FnOnce() + Send>;
 
-/// What a start closure gets: the services it needs, and the means to spawn threads that the
-/// kernel watches and joins.
+/// The argument of a start closure. It provides the handles of the service's dependencies and
+/// spawns threads that the kernel monitors and joins.
 pub struct Context<'a> {
     pub(crate) name: Arc<str>,
-    pub(crate) needs: &'a [Arc<str>],
+    pub(crate) dependencies: &'a [Arc<str>],
     pub(crate) handles: &'a Map<Arc<str>, Handle>,
-    pub(crate) signals: Sender<Signal>,
+    pub(crate) events: Sender<Event>,
     pub(crate) threads: Vec<JoinHandle<()>>,
-    pub(crate) stop: Option<Stop>,
+    pub(crate) stop: Option<StopCallback>,
 }
 
 impl Context<'_> {
-    /// Finds the handle of a service among those this one needs.
+    /// Returns the handle of a dependency.
     ///
-    /// Only declared needs are found: the order of starting and stopping rests on them.
+    /// Only declared dependencies are found, because the order of starting and stopping is derived
+    /// from them.
     ///
     /// ```
     /// use acacia_kernel::{Registry, Service};
@@ -44,10 +45,10 @@
     /// ```
     pub fn find<T: Any + Send + Sync>(&self, name: &str) -> Result<Arc<T>, Error> {
         let handle = self
-            .needs
+            .dependencies
             .iter()
-            .find(|needed| &***needed == name)
-            .and_then(|needed| self.handles.get(needed))
+            .find(|dependency| &***dependency == name)
+            .and_then(|dependency| self.handles.get(dependency))
             .ok_or_else(|| Error::Missing {
                 service: Arc::clone(&self.name),
                 needed: name.into(),
@@ -60,39 +61,39 @@
             })
     }
 
-    /// Spawns a thread of this service. If it returns or panics before the service is stopped, the
-    /// service has died and the process is taken down in order.
+    /// Spawns a thread of this service. If the thread returns or panics before the service is
+    /// stopped, all services of the process are stopped in order.
     pub fn spawn<F>(&mut self, task: F) -> Result<(), std::io::Error>
     where
         F: FnOnce() -> Result<(), BoxError> + Send + 'static,
     {
         let service = Arc::clone(&self.name);
-        let signals = self.signals.clone();
+        let events = self.events.clone();
         let thread = Builder::new().name(service.to_string()).spawn(move || {
-            // The closure is consumed, so no state of it can be seen after a panic.
+            // The closure is consumed, so its state can't be observed after a panic.
             let reason = match catch_unwind(AssertUnwindSafe(task)) {
                 Ok(Ok(())) => "returned".to_owned(),
                 Ok(Err(error)) => error.to_string(),
-                Err(panic) => panic_text(panic.as_ref()),
+                Err(panic) => panic_message(panic.as_ref()),
             };
-            // The kernel may be past listening: then the end was asked for.
-            let _ = signals.send(Signal::Ended(UnexpectedExit { service, reason }));
+            // Sending can fail only after the kernel has stopped, when the exit is expected.
+            let _ = events.send(Event::ServiceExited(UnexpectedExit { service, reason }));
         })?;
         self.threads.push(thread);
         Ok(())
     }
 
-    /// Sets how the service's threads are told to end. It is called once, from the thread that
-    /// waits on the kernel, before the threads are joined.
+    /// Sets the callback that tells the service's threads to end. It is called once, before the
+    /// threads are joined, from the thread that waits on the kernel.
     pub fn on_stop(&mut self, stop: impl FnOnce() + Send + 'static) {
         self.stop = Some(Box::new(stop));
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> String {
-    let text = panic
+fn panic_message(panic: &(dyn Any + Send)) -> String {
+    let message = panic
         .downcast_ref::<&str>()
         .copied()
         .or_else(|| panic.downcast_ref::<String>().map(String::as_str));
-    format!("panicked: {}", text.unwrap_or("no message"))
+    format!("panicked: {}", message.unwrap_or("no message"))
 }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,13 +1,14 @@
 //! A registry in which the services of one process find each other by name.
 //!
-//! A [`Registry`] takes [`Service`]s: a name, the names it needs and a closure that starts it.
-//! [`Registry::start`] runs the closures in the order of their needs and gives a [`Kernel`], which
-//! holds every thread they spawned. [`Kernel::wait`] returns once a stop was asked for or a
-//! service died, after it has stopped all services in reverse order and joined their threads.
+//! Each [`Service`] in a [`Registry`] has a name, the names of its dependencies and a closure that
+//! starts it. [`Registry::start`] runs the closures in dependency order and returns a [`Kernel`],
+//! which owns all threads that they spawned. [`Kernel::wait`] blocks until a stop is requested or a
+//! service exits unexpectedly, then stops all services in reverse order and joins their threads.
 //!
-//! A process whose control thread has died while its traffic threads go on would serve from a
-//! stale view for good and look healthy from outside. Hence a thread that returns or panics before
-//! it was told to stop takes the whole process down, in order and with a numbered code.
+//! If a control thread exited while the traffic threads kept running, the process would serve from
+//! a stale view indefinitely and still look healthy from outside. A thread that returns or panics
+//! before its service is stopped therefore shuts down the whole process, in order and with a result
+//! code.
 
 mod context;
 mod error;
--- a/crates/kernel/src/registry.rs
+++ b/crates/kernel/src/registry.rs
@@ -5,30 +5,31 @@
 use acacia_wire::collections::Map;
 
 use crate::context::Handle;
-use crate::run::Started;
+use crate::run::RunningService;
 use crate::{BoxError, Context, Error, Kernel};
 
-type Start = Box<dyn FnOnce(&mut Context<'_>) -> Result<Handle, BoxError>>;
+type StartFn = Box<dyn FnOnce(&mut Context<'_>) -> Result<Handle, BoxError>>;
 
-/// One service of the process, not yet started.
+/// A service of the process that is not started yet.
 pub struct Service {
     name: Arc<str>,
-    needs: Vec<Arc<str>>,
-    start: Start,
+    dependencies: Vec<Arc<str>>,
+    start: StartFn,
 }
 
 impl Service {
-    /// Names a service, the services it needs and the closure that starts it. What the closure
-    /// returns is the handle that others find; it should spawn threads only through the
-    /// [`Context`].
+    /// Creates a service from its name, its dependencies and the closure that starts it.
+    ///
+    /// The closure returns the handle that dependent services find. It should spawn threads only
+    /// through the [`Context`].
     pub fn new<const N: usize, T: Any + Send + Sync>(
         name: &str,
-        needs: [&str; N],
+        dependencies: [&str; N],
         start: impl FnOnce(&mut Context<'_>) -> Result<T, BoxError> + 'static,
     ) -> Self {
         Service {
             name: name.into(),
-            needs: needs.into_iter().map(Into::into).collect(),
+            dependencies: dependencies.into_iter().map(Into::into).collect(),
             start: Box::new(|context| Ok(Arc::new(start(context)?))),
         }
     }
@@ -41,30 +42,30 @@
 }
 
 impl Registry {
-    /// Adds a service. Names and needs are checked by [`Registry::start`], so the order of adding
-    /// doesn't matter.
+    /// Adds a service. Names and dependencies are checked by [`Registry::start`], so services can
+    /// be added in any order.
     pub fn add(&mut self, service: Service) {
         self.services.push(service);
     }
 
-    /// Starts every service after those it needs. When one fails, those already started are
-    /// stopped again in reverse order and joined.
+    /// Starts every service after its dependencies. If one fails, the services that were already
+    /// started are stopped in reverse order and their threads joined.
     pub fn start(self) -> Result<Kernel, Error> {
-        let (signals, received) = channel();
+        let (events, received) = channel();
         let mut handles: Map<Arc<str>, Handle> = Map::default();
-        let mut kernel = Kernel::new(signals.clone(), received);
-        for service in sort(self.services)? {
+        let mut kernel = Kernel::new(events.clone(), received);
+        for service in sort_by_dependencies(self.services)? {
             let mut context = Context {
                 name: Arc::clone(&service.name),
-                needs: &service.needs,
+                dependencies: &service.dependencies,
                 handles: &handles,
-                signals: signals.clone(),
+                events: events.clone(),
                 threads: Vec::new(),
                 stop: None,
             };
             let handle = (service.start)(&mut context);
-            // Taken in also after a failure: it may have spawned threads before it failed.
-            kernel.push(Started {
+            // A service that failed is added too, because it may have spawned threads before.
+            kernel.push(RunningService {
                 name: context.name,
                 threads: context.threads,
                 stop: context.stop,
@@ -84,20 +85,20 @@
     }
 }
 
-/// Puts each service behind those it needs; otherwise keeps the order given.
-fn sort(services: Vec<Service>) -> Result<Vec<Service>, Error> {
+/// Sorts the services so that each comes after its dependencies. The order is otherwise kept.
+fn sort_by_dependencies(services: Vec<Service>) -> Result<Vec<Service>, Error> {
     check_names(&services)?;
     let mut sorted: Vec<Service> = Vec::with_capacity(services.len());
-    let mut waiting = services;
-    while !waiting.is_empty() {
-        let placed = |name: &Arc<str>| sorted.iter().any(|service| service.name == *name);
-        let Some(at) = waiting
+    let mut pending = services;
+    while !pending.is_empty() {
+        let is_sorted = |name: &Arc<str>| sorted.iter().any(|service| service.name == *name);
+        let Some(at) = pending
             .iter()
-            .position(|service| service.needs.iter().all(placed))
+            .position(|service| service.dependencies.iter().all(is_sorted))
         else {
-            return Err(Error::Cycle(cycle(&waiting)));
+            return Err(Error::Cycle(find_cycle(&pending)));
         };
-        sorted.push(waiting.remove(at));
+        sorted.push(pending.remove(at));
     }
     Ok(sorted)
 }
@@ -111,7 +112,7 @@
             return Err(Error::Duplicate(Arc::clone(&service.name)));
         }
         let missing = |needed: &&Arc<str>| !services.iter().any(|other| other.name == **needed);
-        if let Some(needed) = service.needs.iter().find(missing) {
+        if let Some(needed) = service.dependencies.iter().find(missing) {
             return Err(Error::Missing {
                 service: Arc::clone(&service.name),
                 needed: Arc::clone(needed),
@@ -121,15 +122,17 @@
     Ok(())
 }
 
-/// The names of one circle: every service that can't be placed needs another such one, so a walk
-/// along the needs comes back to where it has been.
-fn cycle(waiting: &[Service]) -> Vec<Arc<str>> {
-    let mut path: Vec<&Service> = vec![&waiting[0]];
+/// Returns the names of the services on one cycle.
+///
+/// Every pending service depends on another pending service, so following the dependencies
+/// eventually reaches a service for the second time.
+fn find_cycle(pending: &[Service]) -> Vec<Arc<str>> {
+    let mut path: Vec<&Service> = vec![&pending[0]];
     loop {
         let last = path[path.len() - 1];
-        let next = waiting
+        let next = pending
             .iter()
-            .find(|service| last.needs.contains(&service.name))
+            .find(|service| last.dependencies.contains(&service.name))
             .unwrap_or(last);
         if let Some(at) = path.iter().position(|service| service.name == next.name) {
             return path[at..]
--- a/crates/kernel/src/run.rs
+++ b/crates/kernel/src/run.rs
@@ -4,42 +4,41 @@
 
 use acacia_code::Code;
 
-use crate::context::Stop;
-
-/// What the kernel waits for.
-pub(crate) enum Signal {
-    /// A thread has ended.
-    Ended(UnexpectedExit),
-    /// A stop was asked for.
-    Stop,
+use crate::context::StopCallback;
+
+/// An event that ends [`Kernel::wait`].
+pub(crate) enum Event {
+    /// A thread of a service has exited.
+    ServiceExited(UnexpectedExit),
+    /// A stop was requested.
+    StopRequested,
 }
 
-/// A service that is running.
-pub(crate) struct Started {
+/// A started service with its threads.
+pub(crate) struct RunningService {
     pub(crate) name: Arc<str>,
     pub(crate) threads: Vec<JoinHandle<()>>,
-    pub(crate) stop: Option<Stop>,
+    pub(crate) stop: Option<StopCallback>,
 }
 
-/// A service that ended unasked.
+/// The exit of a service that was not stopped.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnexpectedExit {
-    /// Its name.
+    /// The name of the service.
     pub service: Arc<str>,
-    /// Its error or panic, in words.
+    /// Why its thread exited: the error, the panic message, or `returned`.
     pub reason: String,
 }
 
 /// How the process ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// The service that ended first without having been told to; none after a stop that was asked
-    /// for.
+    /// The first unexpected exit of a service, or `None` after a requested stop.
     pub unexpected_exit: Option<UnexpectedExit>,
 }
 
 impl Outcome {
-    /// The numbered code, for the exit status.
+    /// Returns the result code, from which the exit status follows.
     ///
     /// ```
     /// let outcome = acacia_kernel::Outcome { unexpected_exit: None };
@@ -54,47 +53,47 @@
     }
 }
 
-/// Asks the kernel to stop, from any thread (a signal handler's, an operator's call).
+/// Requests a stop of the kernel from any thread, for example on a signal or an operator's request.
 #[derive(Clone)]
-pub struct Stopper(Sender<Signal>);
+pub struct Stopper(Sender<Event>);
 
 impl Stopper {
-    /// Asks for an orderly stop. Further calls change nothing.
+    /// Requests an orderly stop. Further calls have no effect.
     pub fn stop(&self) {
-        // Nobody listens once the kernel has stopped, which is what was asked for.
-        let _ = self.0.send(Signal::Stop);
+        // The receiver is gone if the kernel has already stopped.
+        let _ = self.0.send(Event::StopRequested);
     }
 }
 
-/// The running services of the process. Dropping it stops them too.
+/// The running services of the process. Dropping the kernel stops them.
 pub struct Kernel {
-    signals: Sender<Signal>,
-    received: Receiver<Signal>,
-    services: Vec<Started>,
+    events: Sender<Event>,
+    received: Receiver<Event>,
+    services: Vec<RunningService>,
 }
 
 impl Kernel {
-    pub(crate) fn new(signals: Sender<Signal>, received: Receiver<Signal>) -> Self {
+    pub(crate) fn new(events: Sender<Event>, received: Receiver<Event>) -> Self {
         Kernel {
-            signals,
+            events,
             received,
             services: Vec::new(),
         }
     }
 
-    pub(crate) fn push(&mut self, service: Started) {
+    pub(crate) fn push(&mut self, service: RunningService) {
         log::info!("event=service_start service={}", service.name);
         self.services.push(service);
     }
 
-    /// A handle with which other threads ask for a stop.
+    /// Returns a handle with which other threads can request a stop.
     #[must_use]
     pub fn stopper(&self) -> Stopper {
-        Stopper(self.signals.clone())
+        Stopper(self.events.clone())
     }
 
-    /// Blocks until a stop is asked for or a service dies, then stops every service in reverse
-    /// order of starting and joins all threads.
+    /// Blocks until a stop is requested or a service exits unexpectedly, then stops all services
+    /// in reverse start order and joins their threads.
     ///
     /// ```
     /// use acacia_kernel::{Registry, Service};
@@ -110,8 +109,8 @@
     #[must_use]
     pub fn wait(mut self) -> Outcome {
         let unexpected_exit = match self.received.recv() {
-            Ok(Signal::Ended(exit)) => Some(exit),
-            Ok(Signal::Stop) | Err(_) => None,
+            Ok(Event::ServiceExited(exit)) => Some(exit),
+            Ok(Event::StopRequested) | Err(_) => None,
         };
         if let Some(UnexpectedExit { service, reason }) = &unexpected_exit {
             let code = Code::ServiceDied;
@@ -121,14 +120,15 @@
         Outcome { unexpected_exit }
     }
 
-    /// Stops in reverse order: a service may use those it needs until its own end.
+    /// Stops all services in reverse start order, because a service may use its dependencies until
+    /// it has stopped itself.
     pub(crate) fn stop_all(&mut self) {
         while let Some(service) = self.services.pop() {
             if let Some(stop) = service.stop {
                 stop();
             }
             for thread in service.threads {
-                // The threads catch their panics, so a join can't fail.
+                // Panics are caught inside the threads, so joining can't fail.
                 let _ = thread.join();
             }
             log::info!("event=service_stop service={}", service.name);
