--- a/crates/kernel/src/error.rs
+++ b/crates/kernel/src/error.rs
@@ -3,46 +3,47 @@
 use acacia_code::Code;
 use thiserror::Error;
 
-/// Any error of a service.
+/// An error of any type, as services return it.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why the services of a process could not be started, or one not found.
+/// Why services can't be started, or a handle not found.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Two services have one name.
-    #[error("two services are named {0}")]
+    /// Two services have the same name.
+    #[error("more than one service is named {0}")]
     Duplicate(Arc<str>),
-    /// A service needs a name that nobody registered, or looked for one it did not say it needs.
-    #[error("service {service} finds no service named {needed} among its needs")]
+    /// A dependency is not registered, or a service looked up a name that it does not declare as a
+    /// dependency.
+    #[error("no service named {needed} among the dependencies of service {service}")]
     Missing {
-        /// Who looked.
+        /// The service that declares or looked up the dependency.
         service: Arc<str>,
-        /// What it looked for.
+        /// The name of the dependency.
         needed: Arc<str>,
     },
-    /// Services that need each other in a circle.
-    #[error("services need each other in a circle: {}", .0.join(", "))]
+    /// Services depend on each other in a cycle.
+    #[error("dependency cycle between services: {}", .0.join(", "))]
     Cycle(Vec<Arc<str>>),
-    /// The handle found has another type than the one asked for.
-    #[error("service {needed} has another type than {service} asked for")]
+    /// The handle of a dependency has another type than requested.
+    #[error("service {needed} has another type than service {service} requested")]
     WrongType {
-        /// Who looked.
+        /// The service that looked up the dependency.
         service: Arc<str>,
-        /// What it looked for.
+        /// The name of the dependency.
         needed: Arc<str>,
     },
-    /// A service's start closure failed; those started before it were stopped again.
+    /// The start closure of a service failed. The services started before it have been stopped.
     #[error("service {service} failed to start: {source}")]
     StartFailed {
-        /// Who failed.
+        /// The service that failed.
         service: Arc<str>,
-        /// Its error.
+        /// The error of its start closure.
         source: BoxError,
     },
 }
 
 impl Error {
-    /// The numbered code.
+    /// Returns the result code of the error.
     ///
     /// ```
     /// let error = acacia_kernel::Error::Duplicate("flow".into());
