--- a/crates/kernel/tests/it/registry.rs
+++ b/crates/kernel/tests/it/registry.rs
@@ -3,8 +3,8 @@
 use acacia_code::Code;
 use acacia_kernel::{Error, Registry, Service};
 
-fn idle<const N: usize>(name: &'static str, needs: [&str; N]) -> Service {
-    Service::new(name, needs, move |_| Ok(name))
+fn idle<const N: usize>(name: &'static str, dependencies: [&str; N]) -> Service {
+    Service::new(name, dependencies, move |_| Ok(name))
 }
 
 fn registry(services: Vec<Service>) -> Registry {
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn services_start_after_their_needs_and_stop_before_them() {
+fn services_start_after_their_dependencies_and_stop_before_them() {
     let events = Arc::new(Mutex::new(Vec::new()));
-    let recorded = |name: &'static str, needs: [&str; 1]| {
+    let recorded = |name: &'static str, dependencies: [&str; 1]| {
         let events = Arc::clone(&events);
-        Service::new(name, needs, move |context| {
+        Service::new(name, dependencies, move |context| {
             events.lock().unwrap().push(format!("start {name}"));
             let events = Arc::clone(&events);
             context.on_stop(move || events.lock().unwrap().push(format!("stop {name}")));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn circles_are_named() {
+fn an_error_names_the_dependency_cycle() {
     let error = failure(vec![
         idle("a", []),
         idle("outside", ["b"]),
--- a/crates/kernel/tests/it/run.rs
+++ b/crates/kernel/tests/it/run.rs
@@ -6,7 +6,7 @@
 use acacia_kernel::{BoxError, Registry, Service};
 use rstest::rstest;
 
-/// A service whose thread runs until it is told to stop, and then sets `ended`.
+/// A service whose thread runs until the service is stopped, and then sets `ended`.
 fn steady(name: &str, ended: &Arc<AtomicBool>) -> Service {
     let ended = Arc::clone(ended);
     Service::new(name, [], move |context| {
@@ -21,35 +21,35 @@
     })
 }
 
-fn dying(name: &str, task: fn() -> Result<(), BoxError>) -> Service {
+fn exiting(name: &str, task: fn() -> Result<(), BoxError>) -> Service {
     Service::new(name, ["steady"], move |context| Ok(context.spawn(task)?))
 }
 
-/// A control thread panics or returns early while the traffic threads go on. The process would
-/// then serve from a stale view and look healthy, and users would find their flows broken later.
+/// A control thread panics or returns while the traffic threads keep running. Without a shutdown,
+/// the process would serve from a stale view and look healthy, and flows would break later.
 #[rstest]
 #[case::panics(|| panic!("index out of range"), "panicked: index out of range")]
 #[case::returns(|| Ok(()), "returned")]
 #[case::fails(|| Err("socket closed".into()), "socket closed")]
-fn a_service_that_dies_takes_the_process_down_in_order(
+fn an_unexpected_exit_stops_all_services_in_order(
     #[case] task: fn() -> Result<(), BoxError>,
     #[case] reason: &str,
 ) {
     let ended = Arc::new(AtomicBool::new(false));
     let mut registry = Registry::default();
     registry.add(steady("steady", &ended));
-    registry.add(dying("dying", task));
+    registry.add(exiting("exiting", task));
 
     let outcome = registry.start().expect("starts").wait();
 
     assert_eq!(outcome.code(), Code::ServiceDied);
-    let death = outcome.unexpected_exit.expect("a death is reported");
-    assert_eq!((&*death.service, &*death.reason), ("dying", reason));
+    let exit = outcome.unexpected_exit.expect("the exit is reported");
+    assert_eq!((&*exit.service, &*exit.reason), ("exiting", reason));
     assert!(ended.load(Ordering::SeqCst), "the other service was joined");
 }
 
-/// The second of two services can't bind its port. Without the roll-back the first would go on in
-/// a process that has already said it failed.
+/// The second of two services can't bind its port. Without a rollback, the first would keep running
+/// in a process that has already reported its failure.
 #[test]
 fn a_failed_start_stops_what_was_started() {
     let ended = Arc::new(AtomicBool::new(false));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn services_talk_through_the_handles_they_find() {
+fn services_communicate_through_their_handles() {
     let (result, received) = channel::<u32>();
     let mut registry = Registry::default();
     registry.add(Service::new("sink", [], move |_| Ok(result)));
