--- a/crates/burn/src/alert.rs
+++ b/crates/burn/src/alert.rs
@@ -3,47 +3,49 @@
 use crate::Window;
 use crate::time_series::{HOUR, MINUTE};
 
-/// What an alert asks for.
+/// How urgently an alert has to be handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
-    /// Wake somebody.
+    /// Notify the on-call engineer at once.
     Page,
-    /// Look at it on a working day.
+    /// Handle it on a working day.
     Ticket,
 }
 
-/// A rule over two windows: the long one shows that enough of the budget is spent to matter, the
-/// short one that it is still being spent, so that the alert ends when its cause does.
+/// An alert rule over two windows. The long window shows that a significant part of the error
+/// budget is spent, the short one that it is still being spent, so that the alert ends soon after
+/// its cause.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Rule {
-    /// What it asks for.
+    /// The severity of the rule's alerts.
     pub severity: Severity,
     /// The long window, in seconds.
     pub long: u64,
-    /// The short window, in seconds: a twelfth of the long one.
+    /// The short window, in seconds: one twelfth of the long one.
     pub short: u64,
-    /// The burn rate above which it fires.
+    /// The burn rate above which the rule fires.
     pub factor: f64,
 }
 
-/// The usual rules for a budget over 30 days (720 h).
+/// The alert rules for an error budget over 30 days (720 h).
 pub const RULES: [Rule; 3] = [
-    // 2 % of the month's budget in one hour: at this rate it is gone in 50 hours.
+    // Spends 2 % of the 30-day budget in 1 hour, and all of it in 50 hours.
     Rule {
         severity: Severity::Page,
         long: HOUR,
         short: 5 * MINUTE,
         factor: 14.4,
     },
-    // 5 % in six hours: gone in five days; too slow for the first rule, too fast for a working day.
+    // Spends 5 % of the budget in 6 hours, and all of it in 5 days: too slow for the first rule,
+    // too fast to wait for a working day.
     Rule {
         severity: Severity::Page,
         long: 6 * HOUR,
         short: 30 * MINUTE,
         factor: 6.0,
     },
-    // 10 % in three days: the budget is just used up; nobody need be woken.
+    // Spends 10 % of the budget in 3 days, and all of it in just 30 days: not urgent.
     Rule {
         severity: Severity::Ticket,
         long: 72 * HOUR,
@@ -52,26 +54,27 @@
     },
 ];
 
-/// Failed flows in the long window below which no rule fires. 3: at night one broken feed among
-/// ten is a burn rate of 100, and says nothing about the service.
-const LEAST_FAILED: u64 = 3;
+/// Minimum number of failed flows in the long window for a rule to fire.
+///
+/// At night, 1 broken feed out of 10 is a burn rate of 100 but says nothing about the service.
+const MIN_FAILED_FLOWS: u64 = 3;
 
-/// A rule that fires.
+/// A rule that fires, with its burn rate.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Alert {
-    /// The rule.
+    /// The rule that fires.
     pub rule: Rule,
-    /// The least burn rate in the long window, see [`Window::certain`].
+    /// The lower bound of the burn rate in the long window, see [`Window::certain`].
     pub certain: f64,
 }
 
-/// The rules that fire on a service's windows.
+/// Returns the alerts for the windows of a service.
 ///
-/// After balancers were replaced, their memory covers only a part of the long window. The burn
-/// rate over that part would fire the slow rules on a few minutes of trouble, and young balancers
-/// beside old ones would give the last minutes too much weight. So what is not known counts as
-/// flows that went well: an alert never claims more than is known. A total outage (a rate of
-/// 1,000 at 99.9 %) still fires the first rule after 52 s of memory.
+/// After balancers have been replaced, their counts cover only part of the long window. The burn
+/// rate over that part would fire the slow rules after a few minutes of failures, and recently
+/// started balancers among older ones would give the last minutes too much weight. Flows that are
+/// not known are therefore taken as successful, so that an alert never overstates the burn rate. A
+/// total outage (a burn rate of 1,000 at 99.9 %) still fires the first rule once 52 s are covered.
 ///
 /// ```
 /// use acacia_burn::{Count, Window, alerts};
@@ -85,15 +88,15 @@
 #[must_use]
 pub fn alerts(windows: &[Window]) -> Vec<Alert> {
     let find = |seconds| windows.iter().find(|window| window.seconds == seconds);
-    let fire = |rule: &Rule| {
+    let alert = |rule: &Rule| {
         let (long, short) = (find(rule.long)?, find(rule.short)?);
         let certain = long.certain?;
         let fires =
-            certain > rule.factor && short.burn? > rule.factor && long.failed >= LEAST_FAILED;
+            certain > rule.factor && short.burn? > rule.factor && long.failed >= MIN_FAILED_FLOWS;
         fires.then_some(Alert {
             rule: *rule,
             certain,
         })
     };
-    RULES.iter().filter_map(fire).collect()
+    RULES.iter().filter_map(alert).collect()
 }
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,13 +1,13 @@
-//! The report on service-level burn: how fast each service spends the share of flows that its
-//! objective allows to fail.
+//! Burn rates of service-level objectives: how fast each service spends its error budget, the share
+//! of flows that its objective allows to fail.
 //!
-//! Each balancer keeps a [`Ledger`] of its own counts, in memory only. The operators' client asks
-//! all of them, merges the answers ([`Ledger::merge`], in any order, any number of times) and
-//! makes a [`Report`], which [`table`], [`json`] and [`page`] show.
+//! Each balancer counts flows in a [`Ledger`], in memory only. The operators' client fetches the
+//! ledgers of all balancers, merges them ([`Ledger::merge`], in any order and any number of times)
+//! and creates a [`Report`], which [`table`], [`json`] and [`page`] render.
 //!
-//! The balancers' VMs keep nothing: counts from before a balancer's start, and those of balancers
-//! that are gone, are lost. Hence every window says for how long it is covered, and an alert rests
-//! only on what is known to have failed.
+//! Nothing is stored on the balancers' VMs: counts from before a balancer started, and those of
+//! balancers that are gone, are lost. Each window therefore states how much of it is covered, and
+//! alerts are based only on flows that are known to have failed.
 
 mod alert;
 mod count;
