--- a/crates/burn/src/count.rs
+++ b/crates/burn/src/count.rs
@@ -1,17 +1,17 @@
 use serde::{Deserialize, Serialize};
 
-/// Whether a caller is on trial or paying.
+/// Whether a caller belongs to a trial or a paying customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mark {
-    /// On trial.
+    /// A trial customer.
     Trial,
-    /// Paying.
+    /// A paying customer.
     Paying,
 }
 
 impl Mark {
-    /// The name shown.
+    /// Returns the name for display.
     ///
     /// ```
     /// assert_eq!(acacia_burn::Mark::Paying.label(), "paying");
@@ -25,21 +25,21 @@
     }
 }
 
-/// How flows ended, in numbers of flows.
+/// Numbers of flows by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// Served as they should be.
+    /// Flows served within the objective.
     pub good: u64,
-    /// Served, but slower than the objective asks.
+    /// Flows served, but more slowly than the objective allows.
     pub slow: u64,
-    /// Refused before anything ran.
+    /// Flows refused before any request ran.
     pub refused: u64,
-    /// Cut off while established.
+    /// Established flows that were interrupted.
     pub broken: u64,
 }
 
 impl Count {
-    /// All flows.
+    /// Returns the number of all flows.
     ///
     /// ```
     /// let count = acacia_burn::Count { good: 5, broken: 1, ..Default::default() };
@@ -50,7 +50,7 @@
         self.good + self.slow + self.refused + self.broken
     }
 
-    fn zip(self, other: Count, f: impl Fn(u64, u64) -> u64) -> Count {
+    fn zip_with(self, other: Count, f: impl Fn(u64, u64) -> u64) -> Count {
         Count {
             good: f(self.good, other.good),
             slow: f(self.slow, other.slow),
@@ -59,15 +59,16 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of both counts, by outcome.
     #[must_use]
     pub fn plus(self, other: Count) -> Count {
-        self.zip(other, u64::saturating_add)
+        self.zip_with(other, u64::saturating_add)
     }
 
-    /// The larger of each. Two snapshots of one counter that only rises differ by age alone.
+    /// Returns the maximum of both counts, by outcome. For two snapshots of counters that only
+    /// increase, this is the later one.
     #[must_use]
     pub fn max(self, other: Count) -> Count {
-        self.zip(other, u64::max)
+        self.zip_with(other, u64::max)
     }
 }
--- a/crates/burn/src/error.rs
+++ b/crates/burn/src/error.rs
@@ -1,17 +1,17 @@
 use thiserror::Error;
 
-/// Why a report could not be shown.
+/// Why a report can't be rendered.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// A plot could not be drawn.
+    /// A plot can't be drawn.
     #[error("can't draw the plot of {service}: {reason}")]
     Plot {
-        /// Of which service.
+        /// The service of the plot.
         service: String,
-        /// Why not.
+        /// The error of the plotting library.
         reason: String,
     },
-    /// The report could not be encoded.
+    /// The report can't be encoded as JSON.
     #[error("can't encode the report: {0}")]
     Json(#[from] serde_json::Error),
 }
