--- a/crates/burn/src/ledger.rs
+++ b/crates/burn/src/ledger.rs
@@ -6,44 +6,49 @@
 use crate::time_series::MINUTE;
 use crate::{Count, Mark, TimeSeries};
 
-/// Services that one balancer counts apart. 256 with two marks each bound the memory at 9 MB;
-/// today there are two services. Flows of further ones are added up under [`OTHERS`].
-const MOST_SERVICES: usize = 512;
-/// The name under which services beyond the limit are counted.
-const OTHERS: &str = "(others)";
+/// Maximum number of time series of one balancer, one for each service and mark.
+///
+/// 256 services with two marks each bound the memory to 9 MB; current deployments have two
+/// services. Flows of further services are counted together as [`OTHER_SERVICES`].
+const MAX_SERIES: usize = 512;
+/// The service name under which flows beyond [`MAX_SERIES`] are counted.
+const OTHER_SERVICES: &str = "(others)";
 
-/// The process that counted: a balancer and its incarnation.
+/// The process that counted flows: a balancer and its incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Source {
-    /// The balancer.
+    /// The id of the balancer.
     pub balancer: u16,
-    /// Its incarnation.
+    /// The incarnation of the balancer.
     pub incarnation: u64,
 }
 
-/// What one source has counted.
+/// The counts of one source.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Book {
-    /// Since when it counts, in seconds since 1970.
+pub(crate) struct SourceCounts {
+    /// When the source started counting, in seconds since the Unix epoch.
     pub(crate) since: u64,
-    /// When it last counted, or last said that there was nothing to count.
+    /// When the source last counted a flow or confirmed that its counts are complete, in seconds
+    /// since the Unix epoch.
     pub(crate) until: u64,
-    tapes: Vec<(Arc<str>, Mark, TimeSeries)>,
+    #[serde(rename = "tapes")]
+    series: Vec<(Arc<str>, Mark, TimeSeries)>,
 }
 
 /// The counts of any number of balancers.
 ///
-/// Merging is idempotent, commutative and associative: counts are kept apart by source, and a
-/// slot of one source only rises. So it doesn't matter who asked whom, or whether a balancer that
-/// left had handed its counts to another.
+/// Merging is idempotent, commutative and associative, because counts are stored by source and the
+/// counts in a slot of one source only increase. The result doesn't depend on the order in which
+/// ledgers are fetched, or on whether a balancer that left had handed its counts to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    #[serde(with = "pairs")]
-    pub(crate) books: BTreeMap<Source, Book>,
+    #[serde(rename = "books", with = "pairs")]
+    pub(crate) by_source: BTreeMap<Source, SourceCounts>,
 }
 
 impl Ledger {
-    /// The empty ledger of a balancer that begins to count at `now`, in seconds since 1970.
+    /// Creates the empty ledger of a balancer that starts counting at `now`, in seconds since the
+    /// Unix epoch.
     ///
     /// ```
     /// use acacia_burn::{Count, Ledger, Mark, Source};
@@ -55,75 +60,78 @@
     /// ```
     #[must_use]
     pub fn new(source: Source, now: u64) -> Self {
-        let book = Book {
+        let counts = SourceCounts {
             since: now,
             until: now,
-            tapes: Vec::new(),
+            series: Vec::new(),
         };
         Ledger {
-            books: BTreeMap::from([(source, book)]),
+            by_source: BTreeMap::from([(source, counts)]),
         }
     }
 
-    /// Adds flows that ended at a source at `now`.
+    /// Adds flows of a source that ended at `now`.
     pub fn add(&mut self, source: Source, now: u64, service: &Arc<str>, mark: Mark, count: Count) {
-        let new = || Book {
+        let new = || SourceCounts {
             since: now,
             until: now,
-            tapes: Vec::new(),
+            series: Vec::new(),
         };
-        let book = self.books.entry(source).or_insert_with(new);
-        book.until = book.until.max(now);
-        book.tape(service, mark).add(now, count);
+        let counts = self.by_source.entry(source).or_insert_with(new);
+        counts.until = counts.until.max(now);
+        counts.series_mut(service, mark).add(now, count);
     }
 
-    /// Notes that a source has counted up to `now`, also when no flow ended: a balancer does so
-    /// before it answers with its ledger. A source that has been quiet for 5 minutes counts as gone.
+    /// Records that the counts of a source are complete up to `now`, even if no flow ended. A
+    /// balancer does this before it returns its ledger. A source without counts or such a record
+    /// for more than 5 minutes is considered gone.
     pub fn touch(&mut self, source: Source, now: u64) {
-        if let Some(book) = self.books.get_mut(&source) {
-            book.until = book.until.max(now);
+        if let Some(counts) = self.by_source.get_mut(&source) {
+            counts.until = counts.until.max(now);
         }
     }
 
-    /// Takes in another ledger.
+    /// Merges another ledger into this one.
     pub fn merge(&mut self, other: &Ledger) {
-        for (source, theirs) in &other.books {
-            match self.books.get_mut(source) {
-                Some(book) => book.merge(theirs),
+        for (source, theirs) in &other.by_source {
+            match self.by_source.get_mut(source) {
+                Some(counts) => counts.merge(theirs),
                 None => {
-                    self.books.insert(*source, theirs.clone());
+                    self.by_source.insert(*source, theirs.clone());
                 }
             }
         }
     }
 
-    /// Forgets those sources that have counted nothing for longest, until `most` are left: a
-    /// balancer that takes in the counts of those that leave must not grow with each.
-    pub fn limit(&mut self, most: usize) {
-        while self.books.len() > most {
-            let oldest = self.books.iter().min_by_key(|(_, book)| book.until);
+    /// Removes the sources that have not counted for the longest time until `max_sources` are left.
+    ///
+    /// Otherwise the ledger of a balancer would grow with every balancer that leaves and hands over
+    /// its counts.
+    pub fn limit(&mut self, max_sources: usize) {
+        while self.by_source.len() > max_sources {
+            let oldest = self.by_source.iter().min_by_key(|(_, counts)| counts.until);
             let Some(source) = oldest.map(|(source, _)| *source) else {
                 return;
             };
-            self.books.remove(&source);
+            self.by_source.remove(&source);
         }
     }
 
-    /// All sources' counts of a service in the `window` seconds before `now`.
+    /// Returns the counts of a service in the `window` seconds before `now`, over all sources.
     #[must_use]
     pub fn sum(&self, service: &str, mark: Mark, now: u64, window: u64) -> Count {
-        let tapes = self.books.values().flat_map(|book| &book.tapes);
-        let of_service = tapes.filter(|(name, other, _)| &**name == service && *other == mark);
-        of_service.fold(Count::default(), |sum, (_, _, tape)| {
-            sum.plus(tape.sum(now, window))
+        let series = self.by_source.values().flat_map(|counts| &counts.series);
+        let of_service = series.filter(|(name, other, _)| &**name == service && *other == mark);
+        of_service.fold(Count::default(), |sum, (_, _, one)| {
+            sum.plus(one.sum(now, window))
         })
     }
 
-    /// Every service and mark that was counted, in order.
+    /// Returns every counted pair of service and mark, sorted.
     #[must_use]
     pub fn keys(&self) -> Vec<(Arc<str>, Mark)> {
-        let tapes = self.books.values().flat_map(|book| &book.tapes);
-        let mut keys: Vec<_> = tapes
+        let series = self.by_source.values().flat_map(|counts| &counts.series);
+        let mut keys: Vec<_> = series
             .map(|(name, mark, _)| (Arc::clone(name), *mark))
             .collect();
         keys.sort();
@@ -131,20 +139,21 @@
         keys
     }
 
-    /// The sources, in order.
+    /// Returns the sources, sorted.
     pub fn sources(&self) -> impl Iterator<Item = Source> + '_ {
-        self.books.keys().copied()
+        self.by_source.keys().copied()
     }
 }
 
-impl Book {
-    /// Whether its source counts still. 5 min: the shortest window of a report.
+impl SourceCounts {
+    /// Returns whether the source is still counting: it was active within the shortest window of a
+    /// report, 5 minutes.
     pub(crate) fn is_current(&self, now: u64) -> bool {
         now.saturating_sub(self.until) <= 5 * MINUTE
     }
 
-    /// For how many of the `seconds` before `now` it has counts.
-    pub(crate) fn known(&self, now: u64, seconds: u64) -> u64 {
+    /// Returns how many of the `seconds` before `now` the counts cover.
+    pub(crate) fn covered(&self, now: u64, seconds: u64) -> u64 {
         let end = if self.is_current(now) {
             now
         } else {
@@ -154,50 +163,51 @@
         end.saturating_sub(start)
     }
 
-    fn tape(&mut self, service: &Arc<str>, mark: Mark) -> &mut TimeSeries {
-        let find = |book: &Book, name: &str| {
-            book.tapes
+    fn series_mut(&mut self, service: &Arc<str>, mark: Mark) -> &mut TimeSeries {
+        let find = |counts: &SourceCounts, name: &str| {
+            counts
+                .series
                 .binary_search_by(|(other, m, _)| (&**other, *m).cmp(&(name, mark)))
         };
         let mut name = Arc::clone(service);
-        if find(self, &name).is_err() && self.tapes.len() >= MOST_SERVICES {
-            name = OTHERS.into();
+        if find(self, &name).is_err() && self.series.len() >= MAX_SERIES {
+            name = OTHER_SERVICES.into();
         }
         let at = find(self, &name).unwrap_or_else(|at| {
-            self.tapes.insert(at, (name, mark, TimeSeries::default()));
+            self.series.insert(at, (name, mark, TimeSeries::default()));
             at
         });
-        &mut self.tapes[at].2
+        &mut self.series[at].2
     }
 
-    fn merge(&mut self, other: &Book) {
+    fn merge(&mut self, other: &SourceCounts) {
         self.since = self.since.min(other.since);
         self.until = self.until.max(other.until);
-        for (service, mark, tape) in &other.tapes {
-            self.tape(service, *mark).merge(tape);
+        for (service, mark, theirs) in &other.series {
+            self.series_mut(service, *mark).merge(theirs);
         }
     }
 }
 
-/// JSON has only strings as keys; a list of pairs serves every format.
+/// Encodes the map as a list of pairs, because JSON allows only strings as keys.
 mod pairs {
     use std::collections::BTreeMap;
 
     use serde::{Deserialize, Deserializer, Serializer};
 
-    use super::{Book, Source};
+    use super::{Source, SourceCounts};
 
     pub(super) fn serialize<S: Serializer>(
-        books: &BTreeMap<Source, Book>,
+        by_source: &BTreeMap<Source, SourceCounts>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        serializer.collect_seq(books)
+        serializer.collect_seq(by_source)
     }
 
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
-    ) -> Result<BTreeMap<Source, Book>, D::Error> {
-        Ok(Vec::<(Source, Book)>::deserialize(deserializer)?
+    ) -> Result<BTreeMap<Source, SourceCounts>, D::Error> {
+        Ok(Vec::<(Source, SourceCounts)>::deserialize(deserializer)?
             .into_iter()
             .collect())
     }
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -2,33 +2,36 @@
 
 use serde::Serialize;
 
-use crate::ledger::Book;
+use crate::ledger::SourceCounts;
 use crate::time_series::{HOUR, MINUTE};
 use crate::{Alert, Count, Error, Ledger, Mark, alerts};
 
-/// The windows of a report, in seconds: 5 min, 30 min, 1 h, 6 h, 3 days.
+/// The windows of a report, in seconds: 5 min, 30 min, 1 h, 6 h and 3 days.
 pub const WINDOWS: [u64; 5] = [5 * MINUTE, 30 * MINUTE, HOUR, 6 * HOUR, 72 * HOUR];
-/// Points of the plotted history: the last 6 hours.
-const POINTS: u64 = 72;
-/// Seconds between them. 5 min: the shortest window, so a point is what the fast rule sees.
-pub(crate) const STEP: u64 = 5 * MINUTE;
+/// Number of points in the plotted history, which covers the last 6 hours.
+const HISTORY_POINTS: u64 = 72;
+/// Seconds between the points of the history. 5 minutes is the shortest window, so each point is
+/// the burn rate that the fastest rule evaluates.
+pub(crate) const HISTORY_STEP: u64 = 5 * MINUTE;
 
-/// What was promised for a service and mark.
+/// The service-level objective of a service for one mark.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Objective {
-    /// Share of flows that must go well, below 1.
+    /// The share of flows that must succeed, below 1.
     pub target: f64,
-    /// Days over which it is promised.
+    /// The period of the objective, in days.
     pub days: u32,
-    /// Whether a refusal counts as failed.
+    /// Whether refused flows count as failed.
     pub refused_fails: bool,
-    /// Whether a slow flow counts as failed.
+    /// Whether slow flows count as failed.
     pub slow_fails: bool,
 }
 
 impl Objective {
-    /// 99.9 % over 30 days. Refusals fail paying callers only: under contention, refusing trial
-    /// callers is what was promised to the paying.
+    /// Returns the default objective, 99.9 % over 30 days.
+    ///
+    /// Refusals count as failed for paying callers only: under contention, trial callers are
+    /// refused so that paying callers are served.
     ///
     /// ```
     /// use acacia_burn::{Count, Mark, Objective};
@@ -47,7 +50,7 @@
         }
     }
 
-    /// The flows that failed it.
+    /// Returns the number of flows that failed the objective.
     #[must_use]
     pub fn failed(&self, count: &Count) -> u64 {
         let refused = if self.refused_fails { count.refused } else { 0 };
@@ -55,7 +58,8 @@
         count.broken + refused + slow
     }
 
-    /// How many times faster than allowed the budget is spent; none without flows.
+    /// Returns the burn rate: how many times faster than allowed the error budget is spent, or
+    /// `None` without flows.
     #[must_use]
     pub fn burn(&self, count: &Count) -> Option<f64> {
         let budget = (1.0 - self.target).max(f64::EPSILON);
@@ -67,56 +71,56 @@
 /// A service's counts in one window.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Window {
-    /// Its length, in seconds.
+    /// The length of the window, in seconds.
     pub seconds: u64,
-    /// For how many of them every balancer that answered has counts.
+    /// How many of these seconds are covered by the counts of every balancer that answered.
     pub covered: u64,
-    /// For how many of them at least one balancer that answered has counts.
+    /// How many of these seconds are covered by the counts of at least one balancer.
     pub partly: u64,
-    /// The counts.
+    /// The flows in the window.
     pub count: Count,
-    /// The flows that failed the objective.
+    /// The number of flows that failed the objective.
     pub failed: u64,
-    /// The burn rate over what is known; none without flows.
+    /// The burn rate of the counted flows, or `None` without flows.
     pub burn: Option<f64>,
-    /// The burn rate if all that is not known went well: the least that was spent. It is this
-    /// that alerts rest on.
+    /// The lower bound of the burn rate, which assumes that all flows that were not counted
+    /// succeeded. Alerts are based on it.
     pub certain: Option<f64>,
 }
 
-/// One service and mark.
+/// The burn of one service for one mark.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Row {
     /// The service.
     pub service: Arc<str>,
     /// Trial or paying.
     pub mark: Mark,
-    /// What was promised.
+    /// The objective for this service and mark.
     pub objective: Objective,
-    /// One for each of [`WINDOWS`].
+    /// The windows, one for each of [`WINDOWS`].
     pub windows: Vec<Window>,
-    /// The rules that fire.
+    /// The alerts that fire, in the order of the rules.
     pub alerts: Vec<Alert>,
-    /// Seconds before now and the burn rate in the 5 min up to then, oldest first; steps without
-    /// flows are left out.
+    /// Pairs of seconds before now and the burn rate in the 5 minutes up to then, oldest first.
+    /// Steps without flows are omitted.
     pub history: Vec<(u64, f64)>,
 }
 
 /// The report on all services.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
-    /// Seconds since 1970.
+    /// The time of the report, in seconds since the Unix epoch.
     pub now: u64,
-    /// How many balancers' counts are in it.
+    /// The number of sources in the report.
     pub sources: usize,
-    /// Balancers that are known but gave no answer: their flows are missing.
+    /// The known balancers that did not answer. Their flows are missing.
     pub unanswered: Vec<u16>,
-    /// By service and mark.
+    /// The rows, sorted by service and mark.
     pub rows: Vec<Row>,
 }
 
-/// Makes the report from what the balancers counted. `objective` gives what was promised;
-/// `unanswered` are the balancers that were asked in vain.
+/// Creates the report from the merged counts of the balancers. `objective` returns the objective
+/// of a service and mark, and `unanswered` lists the balancers that did not answer.
 ///
 /// ```
 /// use acacia_burn::{Count, Ledger, Mark, Objective, Source, report};
@@ -141,10 +145,15 @@
             .iter()
             .map(|seconds| window(ledger, now, *seconds, &objective, count(now, *seconds)))
             .collect();
-        let point = |ago: u64| Some((ago, objective.burn(&count(now.checked_sub(ago)?, STEP))?));
-        let history = (0..POINTS)
+        let point = |ago: u64| {
+            Some((
+                ago,
+                objective.burn(&count(now.checked_sub(ago)?, HISTORY_STEP))?,
+            ))
+        };
+        let history = (0..HISTORY_POINTS)
             .rev()
-            .filter_map(|step| point(step * STEP))
+            .filter_map(|step| point(step * HISTORY_STEP))
             .collect();
         let alerts = alerts(&windows);
         Row {
@@ -158,23 +167,23 @@
     };
     Report {
         now,
-        sources: ledger.books.len(),
+        sources: ledger.by_source.len(),
         unanswered: unanswered.to_vec(),
         rows: ledger.keys().into_iter().map(row).collect(),
     }
 }
 
 fn window(ledger: &Ledger, now: u64, seconds: u64, objective: &Objective, count: Count) -> Window {
-    let books = || ledger.books.values();
-    let current = || books().filter(|book| book.is_current(now));
-    let known = |book: &Book| book.known(now, seconds);
+    let sources = || ledger.by_source.values();
+    let current = || sources().filter(|counts| counts.is_current(now));
+    let covered = |counts: &SourceCounts| counts.covered(now, seconds);
     let burn = objective.burn(&count);
-    let wanted = current().count() as u64 * seconds;
-    let share = share(books().map(known).sum(), wanted);
+    let expected = current().count() as u64 * seconds;
+    let share = covered_share(sources().map(covered).sum(), expected);
     Window {
         seconds,
-        covered: current().map(known).min().unwrap_or(0),
-        partly: books().map(known).max().unwrap_or(0),
+        covered: current().map(covered).min().unwrap_or(0),
+        partly: sources().map(covered).max().unwrap_or(0),
         count,
         failed: objective.failed(&count),
         burn,
@@ -182,17 +191,18 @@
     }
 }
 
-/// The share of the window's flows that was counted, at most 1. The balancers see equal shares of
-/// the flows, so those that were not counted are estimated from the flows per second that were:
-/// `known` seconds out of the `wanted` ones, both added up over the balancers.
-fn share(known: u64, wanted: u64) -> f64 {
-    if wanted == 0 {
+/// Estimates the share of the window's flows that was counted, at most 1.
+///
+/// All balancers receive equal shares of the flows, so the share of counted flows is that of
+/// counted time: `covered` of the `expected` seconds, both summed over the balancers.
+fn covered_share(covered: u64, expected: u64) -> f64 {
+    if expected == 0 {
         return 1.0;
     }
-    (known.max(1) as f64 / wanted as f64).min(1.0)
+    (covered.max(1) as f64 / expected as f64).min(1.0)
 }
 
-/// The report as JSON.
+/// Encodes the report as JSON.
 pub fn json(report: &Report) -> Result<String, Error> {
     Ok(serde_json::to_string_pretty(report)?)
 }
