--- a/crates/burn/src/time_series.rs
+++ b/crates/burn/src/time_series.rs
@@ -4,17 +4,19 @@
 
 use crate::Count;
 
-/// Seconds of a fine slot.
+/// Length of a minute slot, in seconds.
 pub(crate) const MINUTE: u64 = 60;
-/// Seconds of a coarse slot.
+/// Length of an hour slot, in seconds.
 pub(crate) const HOUR: u64 = 3600;
-/// Fine slots kept: 6 h and the one that has just begun.
-const MINUTES: u64 = 361;
-/// Coarse slots kept: 3 days and the one that has just begun.
-const HOURS: u64 = 73;
+/// Maximum number of minute slots: 6 hours and the current minute.
+const MINUTE_SLOTS: u64 = 361;
+/// Maximum number of hour slots: 3 days and the current hour.
+const HOUR_SLOTS: u64 = 73;
 
-/// One service's counts at one balancer, in slots of wall-clock time: by the minute for 6 hours
-/// and by the hour for 3 days. At most 434 slots, about 17 KB; slots without flows take nothing.
+/// The counts of one service and mark at one balancer, in slots of wall-clock time: by minute for
+/// 6 hours and by hour for 3 days.
+///
+/// There are at most 434 slots, which take about 17 KB. Slots without flows take no memory.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimeSeries {
     minutes: BTreeMap<u64, Count>,
@@ -22,15 +24,15 @@
 }
 
 impl TimeSeries {
-    /// Adds flows that ended at `now`, in seconds since 1970. Those from before the kept time are
-    /// dropped: only a clock that was set back gives them.
+    /// Adds flows that ended at `now`, in seconds since the Unix epoch. Flows that are older than
+    /// the oldest slot are dropped, which happens only if the clock was set back.
     ///
     /// ```
     /// use acacia_burn::{Count, TimeSeries};
-    /// let mut tape = TimeSeries::default();
-    /// tape.add(1_000_000, Count { good: 3, ..Count::default() });
-    /// assert_eq!(tape.sum(1_000_030, 300).good, 3);
-    /// assert_eq!(tape.sum(1_000_600, 300).good, 0);
+    /// let mut series = TimeSeries::default();
+    /// series.add(1_000_000, Count { good: 3, ..Count::default() });
+    /// assert_eq!(series.sum(1_000_030, 300).good, 3);
+    /// assert_eq!(series.sum(1_000_600, 300).good, 0);
     /// ```
     pub fn add(&mut self, now: u64, count: Count) {
         for (slots, width) in [(&mut self.minutes, MINUTE), (&mut self.hours, HOUR)] {
@@ -40,12 +42,12 @@
         self.trim();
     }
 
-    /// The counts of the `window` seconds before `now`, to the next full slot: of a minute for
-    /// windows up to 6 h, of an hour for longer ones.
+    /// Returns the counts of the `window` seconds before `now`, in whole slots: minutes for windows
+    /// up to 6 hours, hours for longer ones.
     #[must_use]
     pub fn sum(&self, now: u64, window: u64) -> Count {
-        let fine = window < MINUTES * MINUTE;
-        let (slots, width) = if fine {
+        let use_minutes = window < MINUTE_SLOTS * MINUTE;
+        let (slots, width) = if use_minutes {
             (&self.minutes, MINUTE)
         } else {
             (&self.hours, HOUR)
@@ -56,7 +58,8 @@
         counts.fold(Count::default(), Count::plus)
     }
 
-    /// Takes in another snapshot of the same counts: per slot the larger, for each only rises.
+    /// Merges another snapshot of the same time series. Counts in a slot only increase, so the
+    /// maximum of each slot is kept.
     pub fn merge(&mut self, other: &TimeSeries) {
         let pairs = [
             (&mut self.minutes, &other.minutes),
@@ -72,20 +75,23 @@
     }
 
     fn trim(&mut self) {
-        for (slots, most) in [(&mut self.minutes, MINUTES), (&mut self.hours, HOURS)] {
+        for (slots, max) in [
+            (&mut self.minutes, MINUTE_SLOTS),
+            (&mut self.hours, HOUR_SLOTS),
+        ] {
             if let Some((last, _)) = slots.last_key_value() {
-                *slots = slots.split_off(&(last + 1).saturating_sub(most));
+                *slots = slots.split_off(&(last + 1).saturating_sub(max));
             }
         }
     }
 
-    /// How many slots are held.
+    /// Returns the number of slots.
     #[must_use]
     pub fn len(&self) -> usize {
         self.minutes.len() + self.hours.len()
     }
 
-    /// Whether nothing was counted.
+    /// Returns whether the series has no counts.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hours.is_empty()
