--- a/crates/burn/src/page.rs
+++ b/crates/burn/src/page.rs
@@ -1,14 +1,14 @@
 use std::sync::Arc;
 
 use crate::plot::plot;
-use crate::table::{alert, footnote, period};
+use crate::table::{alert_label, footnote, format_period};
 use crate::{Error, Report, Row};
 
 const STYLE: &str = "body{font-family:sans-serif;max-width:50rem;margin:2rem auto}\
     table{border-collapse:collapse}td,th{border:1px solid #bbb;padding:.2rem .5rem;\
     text-align:right}.PAGE{color:#b00;font-weight:bold}svg{max-width:100%;height:auto}";
 
-/// The report as one HTML page without outside parts: per service a plot and a table.
+/// Renders the report as a self-contained HTML page with a plot and a table for each service.
 ///
 /// ```
 /// use acacia_burn::{Ledger, Objective, Source, page, report};
@@ -20,8 +20,8 @@
     let mut html = format!(
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"/>\
          <title>acaciatrack: service-level burn</title><style>{STYLE}</style></head><body>\n\
-         <h1>Service-level burn</h1>\n<p>{}</p>\n<p>In the plots, blue: paying, brown: trial, \
-         red: the rate at which somebody is woken.</p>\n",
+         <h1>Service-level burn</h1>\n<p>{}</p>\n<p>Plots: blue is paying, brown is trial, red is \
+         the burn rate above which the fastest rule pages the on-call engineer.</p>\n",
         escape(&footnote(report))
     );
     for service in services(report) {
@@ -31,7 +31,7 @@
         html += &format!(
             "<section><h2>{}</h2>\n{svg}\n{}</section>\n",
             escape(&service),
-            table(&rows)
+            html_table(&rows)
         );
     }
     Ok(html + "</body></html>\n")
@@ -47,25 +47,25 @@
     names
 }
 
-fn table(rows: &[&Row]) -> String {
+fn html_table(rows: &[&Row]) -> String {
     let head = [
         "mark", "window", "known", "burn", "broken", "refused", "slow", "good", "alert",
     ];
     let head: String = head.iter().map(|name| format!("<th>{name}</th>")).collect();
-    let body: String = rows.iter().flat_map(|row| lines(row)).collect();
+    let body: String = rows.iter().flat_map(|row| html_rows(row)).collect();
     format!("<table><tr>{head}</tr>{body}</table>")
 }
 
-fn lines(row: &Row) -> Vec<String> {
-    let line = |window: &crate::Window| {
+fn html_rows(row: &Row) -> Vec<String> {
+    let html_row = |window: &crate::Window| {
         let count = window.count;
         let burn = window
             .burn
             .map_or_else(|| "-".into(), |burn| format!("{burn:.2}"));
         let cells = [
             row.mark.label().into(),
-            period(window.seconds),
-            period(window.covered),
+            format_period(window.seconds),
+            format_period(window.covered),
             burn,
             count.broken.to_string(),
             count.refused.to_string(),
@@ -76,13 +76,14 @@
             .iter()
             .map(|cell| format!("<td>{cell}</td>"))
             .collect();
-        let alert = alert(row);
+        let alert = alert_label(row);
         format!("<tr>{cells}<td class=\"{alert}\">{alert}</td></tr>\n")
     };
-    row.windows.iter().map(line).collect()
+    row.windows.iter().map(html_row).collect()
 }
 
-/// Names come from the operators' configuration, and may hold anything.
+/// Escapes text for HTML. Service names come from the operators' configuration and may contain any
+/// character.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
