--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,4 @@
-//! Answers short HTTP/1.1 requests on one connection: the routers' checks, and metrics.
+//! A minimal HTTP/1.1 server for short requests: the routers' readiness checks and metrics.
 
 use std::{convert::Infallible, time::Duration};
 
@@ -12,14 +12,15 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::TcpStream;
 
-/// How long a connection may take to send a request's head. Whoever asks does so at once and again
-/// within seconds; a connection that says nothing for longer only takes memory.
-const HEAD: Duration = Duration::from_secs(10);
+/// Timeout for receiving the head of a request. Clients send a request at once and the next one
+/// within seconds, so a connection that is idle for longer only uses memory.
+const HEAD_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest head of a request in bytes, several times a usual one.
-const LONGEST_HEAD: usize = 16 << 10;
+/// Maximum size of a request's head, in bytes: several times the usual size.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Answers each request on a connection with what `respond` makes of it, until it ends.
+/// Answers each request on a connection with the response that `respond` returns, until the
+/// connection ends.
 ///
 /// ```no_run
 /// # async fn example(stream: tokio::net::TcpStream) {
@@ -37,15 +38,15 @@
     };
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
-        .max_buf_size(LONGEST_HEAD)
+        .header_read_timeout(HEAD_READ_TIMEOUT)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service_fn(answer));
     if let Err(error) = connection.await {
         log::debug!("event=connection-ended error={error:?}");
     }
 }
 
-/// An answer without a body.
+/// Returns a response with the given status and no body.
 ///
 /// ```
 /// use acacia_http::{StatusCode, status};
