--- a/crates/code/src/lib.rs
+++ b/crates/code/src/lib.rs
@@ -1,44 +1,48 @@
-//! The numbered result codes of all programs: one list, from which come the enumeration, the
-//! exit statuses and the table in `docs/ERRORS.md`.
+//! The numbered result codes of all programs. A single list generates the [`Code`] enum, the exit
+//! statuses and the table in `docs/ERRORS.md`.
 //!
-//! Numbers below 126 may end a process and are then its exit status (a shell gives higher ones
-//! another meaning). Numbers from 200 only count and log. A number never changes its meaning; one
-//! that is no longer used stays reserved.
+//! Codes below 126 may be used as exit statuses; shells give special meanings to higher ones. Codes
+//! from 200 appear only in logs and metrics. The meaning of a number never changes, and numbers that
+//! are no longer used stay reserved.
 
 mod list;
 pub mod page;
 
 pub use list::{Code, TABLE};
 
-/// One row of the table.
+/// A result code with its description for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
-    /// The code itself.
+    /// The result code.
     pub code: Code,
-    /// What has happened, in a sentence.
+    /// What has happened, in one sentence.
     pub meaning: &'static str,
-    /// What an operator should do about it.
+    /// What an operator should do.
     pub action: &'static str,
 }
 
 impl Code {
-    /// The number in the table.
+    /// Returns the number of the code.
     #[must_use]
     pub const fn number(self) -> u16 {
         self as u16
     }
 
-    /// The exit status of a process that ends for this reason. Codes that never end a process
-    /// give 1.
+    /// Returns the exit status of a process that ends with this code, or 1 for codes above 125,
+    /// which are not valid exit statuses.
     ///
     /// ```
     /// assert_eq!(acacia_code::Code::Usage.exit_status(), 2);
     /// ```
     #[must_use]
     pub const fn exit_status(self) -> u8 {
-        const HIGHEST: u16 = 125;
+        const MAX_EXIT_STATUS: u16 = 125;
         let number = self.number();
-        if number <= HIGHEST { number as u8 } else { 1 }
+        if number <= MAX_EXIT_STATUS {
+            number as u8
+        } else {
+            1
+        }
     }
 }
 
--- a/crates/code/src/list.rs
+++ b/crates/code/src/list.rs
@@ -1,25 +1,33 @@
-//! The list of codes. Ranges: 0-9 general, 10-29 settings and configuration, 30-49 platform,
-//! 50-59 process, 60-79 operators' command line; 200-229 packets and encapsulation, 230-259 flow
-//! resolution, 260-289 load, 290-319 control traffic between balancers.
+//! The list of result codes, by range:
+//!
+//! - 0-9: general
+//! - 10-29: settings and configuration
+//! - 30-49: platform
+//! - 50-59: process
+//! - 60-79: operators' command line
+//! - 200-229: packets and encapsulation
+//! - 230-259: flow resolution
+//! - 260-289: load
+//! - 290-319: control traffic between balancers
 
 use crate::Entry;
 
 macro_rules! codes {
     ($($number:literal $name:ident $label:literal: $meaning:literal; $action:literal.)*) => {
-        /// A numbered result.
+        /// A numbered result code.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[repr(u16)]
         pub enum Code {
             $(#[doc = $meaning] $name = $number,)*
         }
 
-        /// Every code, by number.
+        /// All result codes, sorted by number.
         pub const TABLE: &[Entry] = &[
             $(Entry { code: Code::$name, meaning: $meaning, action: $action },)*
         ];
 
         impl Code {
-            /// The name used in logs, metrics and the table.
+            /// Returns the name of the code in logs, metrics and the table.
             ///
             /// ```
             /// assert_eq!(acacia_code::Code::Usage.label(), "usage");
--- a/crates/code/src/page.rs
+++ b/crates/code/src/page.rs
@@ -1,10 +1,10 @@
-//! The table as a page for operators.
+//! The table of result codes as a page for operators.
 
 use std::fmt::Write as _;
 
 use crate::TABLE;
 
-/// Renders the table as the Markdown of `docs/ERRORS.md`.
+/// Renders the table as Markdown, which is the content of `docs/ERRORS.md`.
 ///
 /// ```
 /// assert!(acacia_code::page::render().contains("| 2 | usage |"));
