--- a/crates/code/tests/it/table.rs
+++ b/crates/code/tests/it/table.rs
@@ -1,7 +1,7 @@
 use acacia_code::{TABLE, page};
 
 #[test]
-fn numbers_and_names_rise_and_are_unique() {
+fn numbers_increase_and_names_are_unique() {
     assert!(
         TABLE
             .windows(2)
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_page_for_operators_is_the_table() {
+fn the_page_for_operators_is_up_to_date() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/ERRORS.md");
     let page = std::fs::read_to_string(path).expect("docs/ERRORS.md is part of the tree");
     assert_eq!(page, page::render());
