--- a/crates/burn/tests/it/alert.rs
+++ b/crates/burn/tests/it/alert.rs
@@ -4,15 +4,16 @@
 const NOW: u64 = 1_700_000_000;
 const MINUTE: u64 = 60;
 
-/// Three balancers with `minutes` of memory; the share that fails is by minutes before now.
-fn observed(minutes: u64, failing: impl Fn(u64) -> f64) -> Report {
-    observed_by(&[minutes; 3], failing)
+/// The report of three balancers with `minutes` of counts each. `failing` returns the share of
+/// failed flows by minutes before now.
+fn report_of_three(minutes: u64, failing: impl Fn(u64) -> f64) -> Report {
+    report_of(&[minutes; 3], failing)
 }
 
-/// One balancer for each number of minutes of memory.
-fn observed_by(memories: &[u64], failing: impl Fn(u64) -> f64) -> Report {
+/// The report of one balancer for each element of `minutes_covered`.
+fn report_of(minutes_covered: &[u64], failing: impl Fn(u64) -> f64) -> Report {
     let mut ledger = Ledger::default();
-    for (balancer, minutes) in (1..).zip(memories.iter().copied()) {
+    for (balancer, minutes) in (1..).zip(minutes_covered.iter().copied()) {
         let source = Source {
             balancer,
             incarnation: 1,
@@ -37,7 +38,7 @@
     report(&ledger, NOW, &[], |_, mark| Objective::default_for(mark))
 }
 
-fn fired(report: &Report) -> Vec<Severity> {
+fn severities(report: &Report) -> Vec<Severity> {
     report.rows[0]
         .alerts
         .iter()
@@ -46,49 +47,51 @@
 }
 
 #[rstest]
-#[case::well(|_| 0.0, &[])]
-#[case::just_within(|_| 0.0005, &[])]
-#[case::outage_now(|ago| if ago < 60 { 0.1 } else { 0.0 }, &[Severity::Page, Severity::Page, Severity::Ticket])]
-#[case::outage_that_ended(|ago| if (10..60).contains(&ago) { 0.1 } else { 0.0 }, &[Severity::Page, Severity::Ticket])]
-#[case::long_over(|ago| if (600..660).contains(&ago) { 0.1 } else { 0.0 }, &[])]
-#[case::a_blip(|ago| if ago < 2 { 0.05 } else { 0.0 }, &[])]
+#[case::no_failures(|_| 0.0, &[])]
+#[case::within_the_objective(|_| 0.0005, &[])]
+#[case::current_outage(|ago| if ago < 60 { 0.1 } else { 0.0 }, &[Severity::Page, Severity::Page, Severity::Ticket])]
+#[case::recent_outage(|ago| if (10..60).contains(&ago) { 0.1 } else { 0.0 }, &[Severity::Page, Severity::Ticket])]
+#[case::old_outage(|ago| if (600..660).contains(&ago) { 0.1 } else { 0.0 }, &[])]
+#[case::short_spike(|ago| if ago < 2 { 0.05 } else { 0.0 }, &[])]
 #[case::slow_burn(|_| 0.007, &[Severity::Page, Severity::Ticket])]
-#[case::smoulder(|_| 0.002, &[Severity::Ticket])]
-fn rules_fire_as_they_should(#[case] failing: fn(u64) -> f64, #[case] expected: &[Severity]) {
-    let report = observed(4 * 24 * 60, failing);
+#[case::low_burn(|_| 0.002, &[Severity::Ticket])]
+fn rules_fire_by_rate_and_duration_of_failures(
+    #[case] failing: fn(u64) -> f64,
+    #[case] expected: &[Severity],
+) {
+    let report = report_of_three(4 * 24 * 60, failing);
 
-    assert_eq!(fired(&report), expected);
+    assert_eq!(severities(&report), expected);
 }
 
-/// All balancers were replaced a few minutes ago. What little they remember must not wake
-/// somebody over a trifle, nor keep silent about an outage.
+/// All balancers were replaced a few minutes ago, so the long windows are hardly covered. A few
+/// failures must not page anybody, but a total outage must.
 #[rstest]
-#[case::a_trifle(5, 0.02, false)]
-#[case::an_outage(3, 1.0, true)]
-fn young_memory_counts_only_what_it_knows(
+#[case::few_failures(5, 0.02, false)]
+#[case::total_outage(3, 1.0, true)]
+fn recently_started_balancers_alert_on_outages_only(
     #[case] minutes: u64,
     #[case] share: f64,
     #[case] pages: bool,
 ) {
-    let report = observed(minutes, |_| share);
+    let report = report_of_three(minutes, |_| share);
 
     let hour = report.rows[0].windows[2];
     assert_eq!((hour.seconds, hour.covered), (3600, minutes * MINUTE));
     assert!(
         hour.burn.expect("flows") >= 14.4,
-        "the rate over what is known"
+        "the rate of the counted flows"
     );
-    assert_eq!(fired(&report).contains(&Severity::Page), pages);
+    assert_eq!(severities(&report).contains(&Severity::Page), pages);
 }
 
-/// All balancers but one were replaced five minutes ago, and since then a tenth of the flows
-/// break. That is a burn rate of 8 over the hour, although nearly all that is remembered of that
-/// hour is from its last minutes.
+/// All balancers but one were replaced five minutes ago, and since then a tenth of the flows break.
+/// The burn rate over the hour is 8, although most counts of that hour are from its last minutes.
 #[test]
-fn young_balancers_beside_an_old_one_do_not_exaggerate() {
-    let memories = [600, 5, 5, 5, 5, 5, 5, 5, 5];
+fn recently_started_balancers_do_not_inflate_the_burn_rate() {
+    let minutes_covered = [600, 5, 5, 5, 5, 5, 5, 5, 5];
 
-    let report = observed_by(&memories, |ago| if ago < 5 { 0.1 } else { 0.0 });
+    let report = report_of(&minutes_covered, |ago| if ago < 5 { 0.1 } else { 0.0 });
 
     let hour = report.rows[0].windows[2];
     assert!(hour.burn.expect("flows") > 14.4);
@@ -96,12 +99,12 @@
         (7.0..9.5).contains(&hour.certain.expect("flows")),
         "{hour:?}"
     );
-    assert_eq!(fired(&report), []);
+    assert_eq!(severities(&report), []);
 }
 
-/// A balancer that left has handed its counts to the one that replaced it, so the hour is known.
+/// A balancer handed its counts to its replacement before it stopped, so the hour is covered.
 #[test]
-fn counts_of_a_balancer_that_left_fill_the_window() {
+fn counts_of_a_stopped_balancer_cover_the_window() {
     let (gone, here) = (
         Source {
             balancer: 1,
@@ -134,11 +137,11 @@
 
     let hour = report.rows[0].windows[2];
     assert!(hour.certain > hour.burn.map(|burn| burn * 0.95), "{hour:?}");
-    assert!(fired(&report).contains(&Severity::Page));
+    assert!(severities(&report).contains(&Severity::Page));
 }
 
 #[test]
-fn one_broken_flow_at_night_fires_nothing() {
+fn a_single_broken_flow_fires_no_rule() {
     let source = Source {
         balancer: 1,
         incarnation: 1,
@@ -153,11 +156,11 @@
 
     let report = report(&ledger, NOW, &[], |_, mark| Objective::default_for(mark));
 
-    assert_eq!(fired(&report), []);
+    assert_eq!(severities(&report), []);
 }
 
 #[test]
-fn a_younger_balancer_shortens_what_is_covered() {
+fn a_recently_started_balancer_reduces_the_covered_time() {
     let mut ledger = Ledger::new(
         Source {
             balancer: 1,
