--- a/crates/burn/tests/it/ledger.rs
+++ b/crates/burn/tests/it/ledger.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// A ledger with a few flows of a few sources at a few times over four days.
+/// Generates ledgers with up to 20 entries of three sources over four days.
 fn any_ledger() -> impl Strategy<Value = Ledger> {
     let flows = (0u16..3, 0u64..5760, 0usize..2, any::<bool>(), 1u64..100);
     prop::collection::vec(flows, 0..20).prop_map(|flows| {
@@ -64,20 +64,20 @@
     }
 
     #[test]
-    fn a_ledger_survives_json(ledger in any_ledger()) {
+    fn a_ledger_round_trips_through_json(ledger in any_ledger()) {
         let text = serde_json::to_string(&ledger).expect("encodes");
         prop_assert_eq!(serde_json::from_str::<Ledger>(&text).expect("decodes"), ledger);
     }
 
     #[test]
-    fn a_window_holds_what_is_in_it(ages in prop::collection::vec(0u64..300_000, 1..40)) {
-        let mut tape = TimeSeries::default();
+    fn a_window_sums_the_flows_within_it(ages in prop::collection::vec(0u64..300_000, 1..40)) {
+        let mut series = TimeSeries::default();
         let mut ages = ages;
         ages.sort_unstable_by(|a, b| b.cmp(a));
-        ages.iter().for_each(|age| tape.add(NOW - age, good(1)));
+        ages.iter().for_each(|age| series.add(NOW - age, good(1)));
         for (window, width) in [(300, 60), (3600, 60), (21_600, 60), (259_200, 3600)] {
             let within = |limit: u64| ages.iter().filter(|age| **age < limit).count() as u64;
-            let sum = tape.sum(NOW, window).good;
+            let sum = series.sum(NOW, window).good;
             prop_assert!((within(window - width)..=within(window)).contains(&sum), "{window}");
         }
     }
@@ -98,16 +98,20 @@
 
 #[test]
 fn memory_is_bounded() {
-    let mut tape = TimeSeries::default();
-    (0..10_000).for_each(|minute| tape.add(NOW + minute * 60, good(1)));
-    assert_eq!(tape.len(), 361 + 73);
+    let mut series = TimeSeries::default();
+    (0..10_000).for_each(|minute| series.add(NOW + minute * 60, good(1)));
+    assert_eq!(series.len(), 361 + 73);
 
     let mut ledger = Ledger::new(source(1), NOW);
     for number in 0..2_000 {
         let name: Arc<str> = format!("service-{number}").into();
         ledger.add(source(1), NOW, &name, Mark::Trial, good(1));
     }
-    assert_eq!(ledger.keys().len(), 513, "the rest is counted together");
+    assert_eq!(
+        ledger.keys().len(),
+        513,
+        "further services share one series"
+    );
     assert_eq!(
         ledger.sum("(others)", Mark::Trial, NOW, 300).good,
         2_000 - 512
@@ -116,5 +120,5 @@
     (2..9).for_each(|id| ledger.merge(&Ledger::new(source(id), NOW + u64::from(id))));
     ledger.limit(3);
     let left: Vec<u16> = ledger.sources().map(|source| source.balancer).collect();
-    assert_eq!(left, [6, 7, 8], "those that counted last");
+    assert_eq!(left, [6, 7, 8], "the most recent sources");
 }
