--- a/crates/burn/examples/page.rs
+++ b/crates/burn/examples/page.rs
@@ -1,5 +1,5 @@
-//! Prints an example of the page, or of the table with `table` as argument: two services, an
-//! outage of ten minutes, balancers with 90 minutes of memory.
+//! Prints an example of the HTML page, or of the table if the argument is `table`: two services, an
+//! outage of 10 minutes and a balancer with 90 minutes of counts.
 
 use acacia_burn::{Count, Ledger, Mark, Objective, Source, page, report, table};
 
--- a/crates/burn/tests/it/main.rs
+++ b/crates/burn/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the report on service-level burn.
+//! Tests of the burn-rate report.
 
 mod alert;
 mod ledger;
--- a/crates/burn/tests/it/show.rs
+++ b/crates/burn/tests/it/show.rs
@@ -2,7 +2,7 @@
 
 const NOW: u64 = 1_700_000_000;
 
-/// Three services, one with a name that could break out of a page; memory of 90 minutes.
+/// A report on three services with 90 minutes of counts. One service name contains HTML.
 fn example() -> Report {
     let source = Source {
         balancer: 1,
@@ -31,7 +31,7 @@
     })
 }
 
-/// The names of the tags in order; panics where a tag is not closed in order.
+/// Returns the names of all tags in order. Panics if a tag is not closed in order.
 fn check_well_formed(html: &str) -> Vec<&str> {
     let (mut open, mut all, mut rest) = (Vec::new(), Vec::new(), html);
     while let Some(start) = rest.find('<') {
@@ -67,17 +67,17 @@
     assert!(!tags.contains(&"script") && html.contains("&lt;script&gt;&amp;&quot;"));
     assert!(
         html.contains("#1F77B4") && html.contains("#C8781E"),
-        "a line for each mark"
+        "one line for each mark"
     );
-    assert!(html.contains("burn rate\n"), "the axis is named");
+    assert!(html.contains("burn rate\n"), "the axis is labelled");
     assert!(
         !html.contains("src=") && !html.contains("href="),
-        "no outside parts"
+        "no external resources"
     );
 }
 
 #[test]
-fn the_table_names_what_it_can_not_know() {
+fn the_table_states_which_counts_are_missing() {
     let text = table(&example());
 
     assert!(text.contains("balancers 4, 7"), "{text}");
