--- a/crates/wire/tests/it/control.rs
+++ b/crates/wire/tests/it/control.rs
@@ -9,10 +9,10 @@
     sequence: 3,
 };
 
-/// While operators replace the key, some balancers already sign with the new one and others still
-/// with the old one. If either were refused, balancers would take each other for dead.
+/// While operators rotate the key, some balancers already sign with the new key and others still
+/// with the old one. If either key were rejected, balancers would declare each other dead.
 #[test]
-fn both_keys_are_valid_during_a_change_of_key() {
+fn both_keys_are_valid_during_a_key_rotation() {
     let (old, new) = ([1; 32], [2; 32]);
     let before = Secret::new(&old, Some(&new));
     let after = Secret::new(&new, Some(&old));
@@ -25,21 +25,21 @@
 }
 
 #[test]
-fn a_foreign_key_is_refused() {
+fn a_frame_with_an_unknown_key_is_rejected() {
     let frame = seal(&ENVELOPE, &7u32, &Secret::new(&[9; 32], None));
 
     assert_eq!(open::<u32>(&frame, &secret()), Err(Error::Forged));
 }
 
 #[test]
-fn a_frame_over_the_limit_is_refused_unread() {
+fn an_oversized_frame_is_rejected() {
     let frame = vec![0; MAX_FRAME + 1];
 
     assert_eq!(open::<u32>(&frame, &secret()), Err(Error::Oversized));
 }
 
 #[test]
-fn a_message_of_another_version_is_told_from_a_forged_one() {
+fn an_undecodable_message_is_distinguished_from_a_forged_frame() {
     let frame = seal(&ENVELOPE, &(), &secret());
 
     assert_eq!(open::<String>(&frame, &secret()), Err(Error::Undecodable));
@@ -57,7 +57,7 @@
     }
 
     #[test]
-    fn no_changed_frame_is_taken(text: String, at: prop::sample::Index, bit in 0u8..8) {
+    fn a_modified_frame_is_rejected(text: String, at: prop::sample::Index, bit in 0u8..8) {
         let mut frame = seal(&ENVELOPE, &text, &secret());
         let at = at.index(frame.len());
         frame[at] ^= 1 << bit;
