--- a/crates/wire/tests/it/encap.rs
+++ b/crates/wire/tests/it/encap.rs
@@ -35,10 +35,10 @@
     assert_eq!(decode(&bytes, &secret()), Ok(Frame::Plain(&bytes)));
 }
 
-/// Someone who can reach the traffic port sends a redirect of his own making. Taken at its word it
-/// would pin a caller's flow to a server of his choice.
+/// Anyone who can reach the traffic port can send a forged redirect. If it were accepted, it would
+/// pin a caller's flow to a server of the attacker's choice.
 #[test]
-fn a_redirect_without_the_key_is_dropped() {
+fn a_redirect_with_an_unknown_key_is_rejected() {
     let other = Secret::new(&[8; 32], None);
     let mut bytes = Vec::new();
     encode(&redirect(), &tcp(b"", |h| h.syn = true), &other, &mut bytes);
@@ -46,7 +46,7 @@
     assert_eq!(decode(&bytes, &secret()), Err(Error::Forged));
 }
 
-/// A redirect is recorded and its packet replaced by one of another flow.
+/// An attacker records a redirect and replaces its packet with one of another flow.
 #[test]
 fn a_redirect_is_bound_to_its_flow() {
     let mut bytes = encoded(&redirect());
@@ -56,10 +56,10 @@
     assert_eq!(decode(&bytes, &secret()), Err(Error::Forged));
 }
 
-/// Two balancers with different views hand a packet to each other; without a bound it would
-/// circle until one of them learned better.
+/// Two balancers with different views of the membership redirect a packet to each other. Without a
+/// hop limit, the packet would loop until their views agree.
 #[test]
-fn a_packet_that_circles_is_dropped() {
+fn a_packet_beyond_the_hop_limit_is_rejected() {
     let bytes = encoded(&Redirect {
         hops: MAX_HOPS + 1,
         ..redirect()
@@ -70,7 +70,7 @@
 
 proptest! {
     #[test]
-    fn a_redirect_reads_back(
+    fn a_redirect_round_trips(
         hops in 0..=MAX_HOPS, sender: u16, server: u16, passed_on: bool, a: u16, b: u16, purpose in 0usize..3,
     ) {
         let purpose = [Purpose::Resolve, Purpose::Replicate, Purpose::Release][purpose];
@@ -88,7 +88,7 @@
     }
 
     #[test]
-    fn changed_or_cut_redirects_are_never_taken(at in 0usize..28, bit in 0u8..8, len in 0usize..28) {
+    fn modified_or_truncated_redirects_are_rejected(at in 0usize..28, bit in 0u8..8, len in 0usize..28) {
         let whole = encoded(&Redirect { server: NO_SERVER, ..redirect() });
         let mut changed = whole.clone();
         changed[at] ^= 1 << bit;
