--- a/crates/wire/tests/it/fixture.rs
+++ b/crates/wire/tests/it/fixture.rs
@@ -3,7 +3,7 @@
 
 pub const CLIENT: [u8; 4] = [192, 0, 2, 7];
 pub const SERVICE: [u8; 4] = [198, 51, 100, 1];
-pub const ENCAP: u16 = 6080;
+pub const ENCAP_PORT: u16 = 6080;
 
 pub fn secret() -> Secret {
     Secret::new(&[7; 32], None)
@@ -27,7 +27,7 @@
     bytes
 }
 
-/// A router's "fragmentation needed" about a packet that the service sent to the caller.
+/// The "fragmentation needed" error of a router about a packet from the service to the caller.
 pub fn icmp_error() -> Vec<u8> {
     let mut quoted = Vec::new();
     PacketBuilder::ipv4(SERVICE, CLIENT, 64)
--- a/crates/wire/tests/it/flow.rs
+++ b/crates/wire/tests/it/flow.rs
@@ -10,8 +10,8 @@
     }
 }
 
-/// Balancers of two versions run beside each other during an upgrade. If they hashed a flow
-/// differently, its packets would go to two servers. These values must never change.
+/// Balancers of two versions run at the same time during an upgrade. If their hashes of a flow
+/// differed, its packets would reach two servers, so these values must never change.
 #[test]
 fn the_hash_is_the_same_in_every_version() {
     assert_eq!(mix(0), 0xe220_a839_7b1d_cdaf);
--- a/crates/wire/tests/it/packet.rs
+++ b/crates/wire/tests/it/packet.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use crate::fixture::{CLIENT, ENCAP, SERVICE, icmp_error, tcp, udp};
+use crate::fixture::{CLIENT, ENCAP_PORT, SERVICE, icmp_error, tcp, udp};
 
 #[rstest]
 #[case::opening(tcp(b"", |h| h.syn = true), Kind::Opening { isn: 1000 })]
@@ -14,59 +14,59 @@
 #[case::closing(tcp(b"", |h| { h.fin = true; h.ack = true }), Kind::Closing)]
 #[case::reset(tcp(b"", |h| h.rst = true), Kind::Reset)]
 #[case::datagram(udp(53, b"query"), Kind::Datagram)]
-fn a_packet_shows_what_it_means_for_its_flow(#[case] bytes: Vec<u8>, #[case] kind: Kind) {
-    let packet = parse(&bytes, ENCAP).unwrap();
+fn packets_are_classified_by_kind(#[case] bytes: Vec<u8>, #[case] kind: Kind) {
+    let packet = parse(&bytes, ENCAP_PORT).unwrap();
 
     assert_eq!(packet.kind, kind);
     assert_eq!(packet.key.client.octets(), CLIENT);
     assert_eq!(packet.key.service.octets(), SERVICE);
 }
 
-/// A router on the way from a backend server to a caller finds a packet too large and says so to
-/// the service's address, with its own address as the source. If the error went to another server
-/// than the flow's, that server would go on sending packets that are too large, and the caller's
-/// download would stall.
+/// A router between a backend server and a caller reports a packet that is too large. It sends the
+/// ICMP error to the service's address, with its own address as the source. If the error reached
+/// another server than the flow's, the flow's server would keep sending packets that are too large
+/// and the caller's download would stall.
 #[test]
 fn an_icmp_error_belongs_to_the_flow_it_quotes() {
-    let flow = parse(&tcp(b"", |h| h.ack = true), ENCAP).unwrap().key;
+    let flow = parse(&tcp(b"", |h| h.ack = true), ENCAP_PORT).unwrap().key;
 
-    let packet = parse(&icmp_error(), ENCAP).unwrap();
+    let packet = parse(&icmp_error(), ENCAP_PORT).unwrap();
 
     assert_eq!(packet.kind, Kind::Error);
     assert_eq!(packet.key, flow);
     assert_eq!(packet.key.protocol, Protocol::Tcp);
 }
 
-/// Fragments after the first carry no ports. Hashing them without ports would send parts of one
-/// datagram to several servers, none of which could put it together.
+/// Fragments after the first carry no ports. Hashing them without ports would send fragments of one
+/// datagram to different servers, none of which could reassemble it.
 #[test]
-fn a_fragment_is_refused() {
+fn fragments_are_rejected() {
     let mut first = udp(53, &[0; 64]);
     first[6] |= 0x20;
     let mut later = udp(53, &[0; 64]);
     later[7] = 8;
 
-    assert_eq!(parse(&first, ENCAP), Err(Error::Fragment));
-    assert_eq!(parse(&later, ENCAP), Err(Error::Fragment));
+    assert_eq!(parse(&first, ENCAP_PORT), Err(Error::Fragment));
+    assert_eq!(parse(&later, ENCAP_PORT), Err(Error::Fragment));
 }
 
-/// A wrong route leads encapsulated packets back to the balancers. Each round would wrap them
-/// once more, and the loop would fill the network.
+/// A misconfigured route leads encapsulated packets back to the balancers. Each pass would
+/// encapsulate them once more, and the loop would saturate the network.
 #[test]
-fn the_own_encapsulation_inside_is_refused() {
-    let bytes = udp(ENCAP, &tcp(b"", |h| h.syn = true));
+fn an_encapsulated_packet_is_rejected() {
+    let bytes = udp(ENCAP_PORT, &tcp(b"", |h| h.syn = true));
 
-    assert_eq!(parse(&bytes, ENCAP), Err(Error::Looping));
+    assert_eq!(parse(&bytes, ENCAP_PORT), Err(Error::Looping));
 }
 
 #[test]
-fn contradicting_flags_are_refused() {
+fn contradictory_flags_are_rejected() {
     let bytes = tcp(b"", |h| {
         h.syn = true;
         h.fin = true;
     });
 
-    assert_eq!(parse(&bytes, ENCAP), Err(Error::Malformed));
+    assert_eq!(parse(&bytes, ENCAP_PORT), Err(Error::Malformed));
 }
 
 #[test]
@@ -74,27 +74,29 @@
     let mut bytes = tcp(b"abc", |h| h.ack = true);
     bytes.extend([0; 9]);
 
-    assert_eq!(parse(&bytes, ENCAP).unwrap().payload, 3);
+    assert_eq!(parse(&bytes, ENCAP_PORT).unwrap().payload, 3);
 }
 
 #[test]
-fn every_cut_of_a_packet_is_an_error() {
+fn truncated_packets_are_rejected() {
     for whole in [tcp(b"abc", |h| h.ack = true), udp(53, b"abc"), icmp_error()] {
         for len in 0..whole.len() {
-            assert!(parse(&whole[..len], ENCAP).is_err(), "cut to {len} bytes");
+            assert!(
+                parse(&whole[..len], ENCAP_PORT).is_err(),
+                "cut to {len} bytes"
+            );
         }
     }
 }
 
 proptest! {
-    /// Whatever arrives, the decoder answers: a panic would end a traffic thread and with it the
-    /// balancer.
+    /// A panic of the decoder would end a traffic thread and with it the balancer.
     #[test]
     fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = parse(&bytes, ENCAP);
+        let _ = parse(&bytes, ENCAP_PORT);
     }
 
-    /// Bytes that pass the first checks reach the deeper ones.
+    /// Almost valid packets pass the first checks and reach the later ones.
     #[test]
     fn a_valid_packet_with_changed_bytes_never_panics(
         which in 0usize..3,
@@ -111,6 +113,6 @@
             bytes[at] = value;
         }
         bytes.truncate(len);
-        let _ = parse(&bytes, ENCAP);
+        let _ = parse(&bytes, ENCAP_PORT);
     }
 }
--- a/crates/wire/tests/it/reply.rs
+++ b/crates/wire/tests/it/reply.rs
@@ -5,13 +5,13 @@
 use etherparse::{Ipv4HeaderSlice, TcpHeaderSlice};
 use proptest::prelude::*;
 
-use crate::fixture::{CLIENT, ENCAP, SERVICE, tcp, udp};
+use crate::fixture::{CLIENT, ENCAP_PORT, SERVICE, tcp, udp};
 
-/// A caller takes a reset for a refused opening only if it acknowledges the opening's sequence
-/// number (RFC 9293, 3.10.7.3); otherwise it would go on knocking until its own timeout.
+/// A caller accepts a reset in response to its SYN only if the reset acknowledges the SYN's sequence
+/// number (RFC 9293, 3.10.7.3). Otherwise it would retransmit the SYN until its own timeout.
 #[test]
 fn a_reset_acknowledges_the_opening_it_answers() {
-    let opening = parse(&tcp(b"", |h| h.syn = true), ENCAP).unwrap();
+    let opening = parse(&tcp(b"", |h| h.syn = true), ENCAP_PORT).unwrap();
 
     let bytes = reset(&opening).unwrap();
 
@@ -25,19 +25,19 @@
 
 #[test]
 fn resets_and_datagrams_are_not_answered() {
-    let answered_reset = parse(&tcp(b"", |h| h.rst = true), ENCAP).unwrap();
-    let datagram = parse(&udp(53, b""), ENCAP).unwrap();
+    let answered_reset = parse(&tcp(b"", |h| h.rst = true), ENCAP_PORT).unwrap();
+    let datagram = parse(&udp(53, b""), ENCAP_PORT).unwrap();
 
     assert_eq!(reset(&answered_reset), None);
     assert_eq!(reset(&datagram), None);
 }
 
-/// A service is full and a caller is refused. Told only that, it asks again at once, and so do all
-/// the others: the service stays full of openings.
+/// An overloaded service refuses a caller. Without a retry time, all refused callers would retry
+/// immediately and keep the service overloaded.
 #[test]
-fn a_refusal_says_when_to_come_back_and_quotes_the_opening() {
+fn a_refusal_contains_the_retry_time_and_quotes_the_opening() {
     let opening = tcp(b"", |h| h.syn = true);
-    let packet = parse(&opening, ENCAP).unwrap();
+    let packet = parse(&opening, ENCAP_PORT).unwrap();
 
     let bytes = icmp_refusal(&packet.key, &opening, 2_500);
 
@@ -49,12 +49,12 @@
 }
 
 #[test]
-fn the_server_is_reset_as_if_by_its_caller() {
-    let packet = parse(&tcp(b"again", |h| h.ack = true), ENCAP).unwrap();
+fn a_server_reset_appears_to_come_from_the_caller() {
+    let packet = parse(&tcp(b"again", |h| h.ack = true), ENCAP_PORT).unwrap();
 
     let bytes = reset_server(&packet).unwrap();
 
-    let reset = parse(&bytes, ENCAP).unwrap();
+    let reset = parse(&bytes, ENCAP_PORT).unwrap();
     assert_eq!(
         (reset.key, reset.kind),
         (packet.key, acacia_wire::packet::Kind::Reset)
