--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -30,8 +30,8 @@
 impl Objective {
     /// Returns the default objective, 99.9 % over 30 days.
     ///
-    /// Refusals count as failed for paying callers only: under contention, trial callers are
-    /// refused so that paying callers are served.
+    /// Refusals count as failed for paying callers only: paying customers are promised that trial
+    /// callers are refused first under contention.
     ///
     /// ```
     /// use acacia_burn::{Count, Mark, Objective};
