--- a/crates/burn/examples/page.rs
+++ b/crates/burn/examples/page.rs
@@ -1,5 +1,5 @@
-//! Prints an example of the page, or of the table with `table` as argument: two services, an
-//! outage of ten minutes, balancers with 90 minutes of memory.
+//! Prints an example of the HTML page, or of the table if the argument is `table`: two services, an
+//! outage of 10 minutes and a balancer with 90 minutes of counts.
 
 use acacia_burn::{Count, Ledger, Mark, Objective, Source, page, report, table};
 
@@ -27,7 +27,7 @@
             ledger.add(source, NOW - minute * 60, &service.into(), mark, count);
         }
     }
-    let report = report(&ledger, NOW, &[7], |_, mark| Objective::usual(mark));
+    let report = report(&ledger, NOW, &[7], |_, mark| Objective::default_for(mark));
     if std::env::args().any(|argument| argument == "table") {
         print!("{}", table(&report));
     } else {
