--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -225,7 +225,7 @@
         .transpose()?
         .unwrap_or_default();
     let kept = |service: &Service| {
-        let same = old.service(&service.name)?.is_same_front(service);
+        let same = old.service(&service.name)?.has_same_endpoint(service);
         let number = before?.instances.get(&service.name)?;
         same.then_some(*number)
     };
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -35,9 +35,9 @@
     /// where it was.
     ServiceMoved(Arc<str>),
     /// A service's share changes, in percent.
-    ShareChanged(Arc<str>, Step<u8>),
+    ShareChanged(Arc<str>, Transition<u8>),
     /// What callers of no customer count as changes.
-    CallersChanged(Arc<str>, Step<Mark>),
+    CallersChanged(Arc<str>, Transition<Mark>),
     /// The limit or the objective of a service changes.
     ServiceTuned(Arc<str>),
     /// A backend server is new.
@@ -48,7 +48,7 @@
     /// name: the flows of the old one end.
     ServerReplaced(Arc<str>),
     /// A backend server starts or stops to drain, or its deadline changes.
-    ServerState(Arc<str>, Step<State>),
+    ServerState(Arc<str>, Transition<State>),
     /// The data centre or the limit of a backend server changes.
     ServerTuned(Arc<str>),
     /// A customer is new.
@@ -61,7 +61,7 @@
 
 /// A value before and after.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Step<T> {
+pub struct Transition<T> {
     /// Before the change.
     pub from: T,
     /// After the change.
@@ -74,13 +74,13 @@
     /// The service.
     pub service: Arc<str>,
     /// Its share in percent.
-    pub share: Step<u8>,
+    pub share: Transition<u8>,
     /// Backend servers that get new work.
-    pub active: Step<usize>,
+    pub active: Transition<usize>,
     /// Backend servers that drain.
-    pub draining: Step<usize>,
+    pub draining: Transition<usize>,
     /// Slots of the active backend servers.
-    pub slots: Step<u64>,
+    pub slots: Transition<u64>,
 }
 
 /// Compares two configurations.
@@ -139,12 +139,12 @@
     ///     .add_server(Server::new("a", "live", "10.1.0.1:6080".parse()?, "lima-a"));
     /// let mut after = before.clone();
     /// after.update_server("a", |server| server.state = State::Drain { deadline: None });
-    /// assert_eq!(plan::compare(&before, &after).starved().count(), 1);
+    /// assert_eq!(plan::compare(&before, &after).services_left_without_active_servers().count(), 1);
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
-    pub fn starved(&self) -> impl Iterator<Item = &Effect> {
-        let starves = |e: &&Effect| e.active.to == 0 && e.active.from > 0 && e.share.to > 0;
-        self.effects.iter().filter(starves)
+    pub fn services_left_without_active_servers(&self) -> impl Iterator<Item = &Effect> {
+        let loses_all = |e: &&Effect| e.active.to == 0 && e.active.from > 0 && e.share.to > 0;
+        self.effects.iter().filter(loses_all)
     }
 }
 
@@ -154,11 +154,15 @@
             Change::ServiceAdded(name) => write!(f, "add service {name}"),
             Change::ServiceRemoved(name) => write!(f, "remove service {name}, ending its flows"),
             Change::ServiceMoved(name) => write!(f, "move service {name}, ending its flows"),
-            Change::ShareChanged(name, step) => {
-                write!(f, "share of {name} from {}% to {}%", step.from, step.to)
+            Change::ShareChanged(name, transition) => {
+                write!(
+                    f,
+                    "share of {name} from {}% to {}%",
+                    transition.from, transition.to
+                )
             }
-            Change::CallersChanged(name, step) => {
-                let (from, to) = (step.from.label(), step.to.label());
+            Change::CallersChanged(name, transition) => {
+                let (from, to) = (transition.from.label(), transition.to.label());
                 write!(f, "other callers of {name} from {from} to {to}")
             }
             Change::ServiceTuned(name) => write!(f, "limits or objective of {name}"),
@@ -172,7 +176,7 @@
                     "replace backend server {name}, ending the old one's flows"
                 )
             }
-            Change::ServerState(name, step) => match step.to {
+            Change::ServerState(name, transition) => match transition.to {
                 State::Active => write!(f, "undrain backend server {name}"),
                 State::Drain { deadline: None } => write!(f, "drain backend server {name}"),
                 State::Drain {
--- a/crates/config/src/plan/compare.rs
+++ b/crates/config/src/plan/compare.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use super::{Change, Effect, Step};
+use super::{Change, Effect, Transition};
 use crate::{Config, Customer, Server, Service, State};
 
 pub(super) fn changes(before: &Config, after: &Config) -> Vec<Change> {
@@ -66,16 +66,16 @@
 
 fn service(old: &Service, new: &Service, changes: &mut Vec<Change>) {
     let name = || Arc::clone(&new.name);
-    if !old.is_same_front(new) {
+    if !old.has_same_endpoint(new) {
         changes.push(Change::ServiceMoved(name()));
     }
     if old.share != new.share {
-        let step = step(old.share, new.share);
-        changes.push(Change::ShareChanged(name(), step));
+        let transition = transition(old.share, new.share);
+        changes.push(Change::ShareChanged(name(), transition));
     }
     if old.callers != new.callers {
-        let step = step(old.callers, new.callers);
-        changes.push(Change::CallersChanged(name(), step));
+        let transition = transition(old.callers, new.callers);
+        changes.push(Change::CallersChanged(name(), transition));
     }
     if (old.limit, old.objective) != (new.limit, new.objective) {
         changes.push(Change::ServiceTuned(name()));
@@ -88,16 +88,16 @@
         changes.push(Change::ServerReplaced(name()));
     }
     if old.state != new.state {
-        let step = step(old.state, new.state);
-        changes.push(Change::ServerState(name(), step));
+        let transition = transition(old.state, new.state);
+        changes.push(Change::ServerState(name(), transition));
     }
     if (old.limit, &old.data_centre) != (new.limit, &new.data_centre) {
         changes.push(Change::ServerTuned(name()));
     }
 }
 
-fn step<T>(from: T, to: T) -> Step<T> {
-    Step { from, to }
+fn transition<T>(from: T, to: T) -> Transition<T> {
+    Transition { from, to }
 }
 
 pub(super) fn effects(before: &Config, after: &Config) -> Vec<Effect> {
@@ -110,10 +110,10 @@
         let (from, to) = (tally(before, &service.name), tally(after, &service.name));
         Effect {
             service: name(service),
-            share: step(from.share, to.share),
-            active: step(from.active, to.active),
-            draining: step(from.draining, to.draining),
-            slots: step(from.slots, to.slots),
+            share: transition(from.share, to.share),
+            active: transition(from.active, to.active),
+            draining: transition(from.draining, to.draining),
+            slots: transition(from.slots, to.slots),
         }
     });
     let changes = |e: &Effect| {
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -107,7 +107,7 @@
 
     /// Whether both are met at the same address and port with the same protocol.
     #[must_use]
-    pub fn is_same_front(&self, other: &Service) -> bool {
+    pub fn has_same_endpoint(&self, other: &Service) -> bool {
         let front = |s: &Service| (s.address, s.port, s.protocol);
         front(self) == front(other)
     }
--- a/crates/config/tests/it/plan.rs
+++ b/crates/config/tests/it/plan.rs
@@ -1,7 +1,7 @@
 use crate::fixture::cases;
 use acacia_config::{
     Mark, Server, Service, State,
-    plan::{Change, Step, compare},
+    plan::{Change, Transition, compare},
 };
 use proptest::prelude::*;
 
@@ -14,20 +14,23 @@
     let drain = State::Drain { deadline: Some(9) };
     assert!(after.update_server("live-2", |server| server.state = drain));
     let plan = compare(&before, &after);
-    let step = Step {
+    let transition = Transition {
         from: State::Active,
         to: State::Drain { deadline: Some(9) },
     };
-    assert_eq!(plan.changes, [Change::ServerState("live-2".into(), step)]);
+    assert_eq!(
+        plan.changes,
+        [Change::ServerState("live-2".into(), transition)]
+    );
     assert_eq!(plan.effects.len(), 1);
-    assert_eq!(plan.effects[0].active, Step { from: 2, to: 1 });
-    assert_eq!(plan.effects[0].slots, Step { from: 4, to: 2 });
+    assert_eq!(plan.effects[0].active, Transition { from: 2, to: 1 });
+    assert_eq!(plan.effects[0].slots, Transition { from: 4, to: 2 });
     assert!(
         plan.diff.contains(
             "-live-2 = 10.1.0.2:6080 hervanta\n+live-2 = 10.1.0.2:6080 hervanta drain=9\n"
         )
     );
-    assert_eq!(plan.starved().count(), 0);
+    assert_eq!(plan.services_left_without_active_servers().count(), 0);
 }
 
 /// An operator drains all servers of a service in one change; new callers would find nobody.
@@ -39,8 +42,11 @@
         assert!(after.update_server(name, |server| server.state = drain));
     }
     let plan = compare(&config(), &after);
-    let starved: Vec<_> = plan.starved().map(|e| &*e.service).collect();
-    assert_eq!(starved, ["maps"]);
+    let unserved: Vec<_> = plan
+        .services_left_without_active_servers()
+        .map(|e| &*e.service)
+        .collect();
+    assert_eq!(unserved, ["maps"]);
 }
 
 #[test]
@@ -57,7 +63,7 @@
     let plan = compare(&config(), &after);
     for expected in [
         Change::ServiceMoved("live".into()),
-        Change::ShareChanged("live".into(), Step { from: 70, to: 60 }),
+        Change::ShareChanged("live".into(), Transition { from: 70, to: 60 }),
         Change::ServiceRemoved("maps".into()),
         Change::ServerReplaced("live-1".into()),
         Change::ServerRemoved("live-2".into()),
--- a/crates/ctl/src/verb/plan.rs
+++ b/crates/ctl/src/verb/plan.rs
@@ -4,7 +4,7 @@
 
 use acacia_config::{
     Config,
-    plan::{Plan, Step, compare},
+    plan::{Plan, Transition, compare},
 };
 use serde_json::json;
 
@@ -35,7 +35,7 @@
     for change in &plan.changes {
         text.push_str(&format!("  {change}\n"));
     }
-    for effect in plan.starved() {
+    for effect in plan.services_left_without_active_servers() {
         let name = &effect.service;
         text.push_str(&format!(
             "  WARNING: {name} has no backend server for new flows\n"
@@ -53,18 +53,18 @@
     let rows = plan.effects.iter().map(|effect| {
         vec![
             effect.service.to_string(),
-            step(effect.share),
-            step(effect.active),
-            step(effect.draining),
-            step(effect.slots),
+            transition(effect.share),
+            transition(effect.active),
+            transition(effect.draining),
+            transition(effect.slots),
         ]
     });
     table(&header, rows)
 }
 
-fn step<T: std::fmt::Display + PartialEq>(step: Step<T>) -> String {
-    if step.from == step.to {
-        return step.to.to_string();
+fn transition<T: std::fmt::Display + PartialEq>(transition: Transition<T>) -> String {
+    if transition.from == transition.to {
+        return transition.to.to_string();
     }
-    format!("{} -> {}", step.from, step.to)
+    format!("{} -> {}", transition.from, transition.to)
 }
