--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -119,7 +119,7 @@
     }
 
     /// The customer that an address belongs to: the one with the longest prefix around it. For a
-    /// look at single addresses, as it goes through all prefixes; [`Callers`](crate::Callers) is
+    /// look at single addresses, as it goes through all prefixes; [`CustomerIndex`](crate::CustomerIndex) is
     /// for many.
     ///
     /// ```
--- a/crates/config/src/callers.rs
+++ b/crates/config/src/customer_index.rs
@@ -10,7 +10,7 @@
 /// list for each length of prefix, longest first: at most one binary search for each length that
 /// is in use, few in practice.
 #[derive(Debug, Clone, Default)]
-pub struct Callers {
+pub struct CustomerIndex {
     v4: Lengths,
     v6: Lengths,
 }
@@ -18,16 +18,16 @@
 /// For each length in use, longest first: the blocks of that length and their customers.
 type Lengths = Vec<(u8, Vec<(IpAddr, usize)>)>;
 
-impl Callers {
+impl CustomerIndex {
     /// The callers of a configuration.
     ///
     /// ```
-    /// use acacia_config::{Callers, Config, Customer, Mark};
+    /// use acacia_config::{CustomerIndex, Config, Customer, Mark};
     /// let mut config = Config::default();
     /// config.add_customer(Customer::new("crew", Mark::Paying, ["10.0.0.0/8".parse()?]));
-    /// let callers = Callers::new(&config);
-    /// assert_eq!(callers.find([10, 1, 2, 3].into()), Some(0));
-    /// assert_eq!(callers.find([11, 1, 2, 3].into()), None);
+    /// let index = CustomerIndex::new(&config);
+    /// assert_eq!(index.find([10, 1, 2, 3].into()), Some(0));
+    /// assert_eq!(index.find([11, 1, 2, 3].into()), None);
     /// # Ok::<(), acacia_config::Problem>(())
     /// ```
     #[must_use]
@@ -40,17 +40,13 @@
                 blocks.entry(kind).or_default().push(block);
             }
         }
-        let mut callers = Callers::default();
+        let mut index = CustomerIndex::default();
         for ((is_v4, length), mut blocks) in blocks.into_iter().rev() {
             blocks.sort_unstable();
-            let lengths = if is_v4 {
-                &mut callers.v4
-            } else {
-                &mut callers.v6
-            };
+            let lengths = if is_v4 { &mut index.v4 } else { &mut index.v6 };
             lengths.push((length, blocks));
         }
-        callers
+        index
     }
 
     /// The customer that an address belongs to, as its place in [`Config::customers`]: the one
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -16,10 +16,10 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod callers;
 mod check;
 mod config;
 mod customer;
+mod customer_index;
 pub mod document;
 mod objective;
 mod parse;
@@ -29,10 +29,10 @@
 mod server;
 mod service;
 
-pub use callers::Callers;
 pub use check::check;
 pub use config::Config;
 pub use customer::{Customer, Mark, Prefix};
+pub use customer_index::CustomerIndex;
 pub use objective::{Latency, Objective, Ratio};
 pub use parse::parse;
 pub use print::print;
--- a/crates/config/tests/it/callers.rs
+++ b/crates/config/tests/it/customer_index.rs
@@ -1,6 +1,6 @@
 use std::net::IpAddr;
 
-use acacia_config::{Callers, Config, Customer, Mark, Prefix};
+use acacia_config::{Config, Customer, CustomerIndex, Mark, Prefix};
 use proptest::prelude::*;
 
 use crate::fixture::{any_config, cases};
@@ -30,11 +30,11 @@
             let blocks = block(address, length);
             config.add_customer(Customer::new(&format!("n{length}"), Mark::Trial, blocks));
         }
-        let callers = Callers::new(&config);
-        let found = callers.find(address).map(|place| &config.customers()[place]);
+        let index = CustomerIndex::new(&config);
+        let found = index.find(address).map(|place| &config.customers()[place]);
         let walked = config.customer_at(address);
         let longest = |c: &Customer| c.prefixes.iter().filter(|p| p.contains(address)).map(Prefix::length).max();
         prop_assert_eq!(found.and_then(longest), walked.and_then(longest));
-        prop_assert_eq!(callers.find(IpAddr::from([0_u16; 8])), None);
+        prop_assert_eq!(index.find(IpAddr::from([0_u16; 8])), None);
     }
 }
--- a/crates/config/tests/it/main.rs
+++ b/crates/config/tests/it/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the configuration: its values, text, comparison and stored form.
 
-mod callers;
+mod customer_index;
 mod document;
 mod fixture;
 mod parse;
--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -3,7 +3,7 @@
 
 use std::{net::IpAddr, sync::Arc, time::Duration};
 
-use acacia_config::{Callers, Config, Mark};
+use acacia_config::{Config, CustomerIndex, Mark};
 use acacia_flow::{
     place,
     snapshot::Address,
@@ -47,7 +47,7 @@
     pub index: Arc<Map<u16, pool::Server>>,
     /// Finds the customer of a caller; its class has the next higher index, and class 0 is for
     /// callers of no customer.
-    pub callers: Arc<Callers>,
+    pub callers: Arc<CustomerIndex>,
 }
 
 /// The policies of all services.
@@ -60,7 +60,7 @@
 /// have both number servers and classes alike.
 #[must_use]
 pub fn policies(config: &Config, config_revision: u64, document: &Document) -> Policies {
-    let callers = Arc::new(Callers::new(config));
+    let callers = Arc::new(CustomerIndex::new(config));
     let revision = document.version << 32 | (config_revision & u64::from(u32::MAX));
     let policy = |service: &acacia_tables::Service| {
         let wanted = config.service(&service.name);
