--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -24,12 +24,12 @@
     pub json: bool,
     /// What to do.
     #[command(subcommand)]
-    pub verb: Verb,
+    pub command: Command,
 }
 
 /// What to do.
 #[derive(Debug, Clone, Subcommand)]
-pub enum Verb {
+pub enum Command {
     /// Print a file in canonical form, or what is in force
     Print {
         /// The configuration; what is in force if left out
@@ -105,7 +105,7 @@
 impl Wait {
     /// How long to wait; none not to wait at all.
     #[must_use]
-    pub fn patience(self) -> Option<Duration> {
+    pub fn timeout(self) -> Option<Duration> {
         self.wait.map(Duration::from_secs)
     }
 }
--- a/crates/ctl/src/verb/apply.rs
+++ b/crates/ctl/src/command/apply.rs
@@ -19,17 +19,17 @@
 };
 
 /// Pause between two looks at the balancers. A change takes tenths of a second.
-const LOOK: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 pub(crate) async fn run(
     settings: &Settings,
     file: &Path,
     over: Option<u64>,
-    patience: Option<Duration>,
+    timeout: Option<Duration>,
 ) -> Result<Report, Report> {
     let config = super::read(file)?;
     let found = in_force::find(settings).await?;
-    over_found(settings, config, (over, found), patience).await
+    over_found(settings, config, (over, found), timeout).await
 }
 
 /// Applies a configuration over what was found in force, and waits for it if asked to. With a
@@ -38,13 +38,13 @@
     settings: &Settings,
     config: Config,
     (over, found): (Option<u64>, Option<InForce>),
-    patience: Option<Duration>,
+    timeout: Option<Duration>,
 ) -> Result<Report, Report> {
     let client = settings.client()?;
     let draft = Draft {
-        change: Id::new(settings.moment.random),
+        change: Id::new(settings.invocation.random),
         author: settings.author.clone(),
-        time: settings.moment.unix,
+        time: settings.invocation.unix_time,
         config: config.clone(),
         in_force: found.map(|found| found.document.into()),
     };
@@ -57,11 +57,11 @@
     match apply::run(&client, request, settings.seed()).await {
         Verdict::Accepted { revision } => {
             let text = format!("accepted revision={revision} change={change}");
-            finish(settings, ("accepted", revision), text, patience).await
+            finish(settings, ("accepted", revision), text, timeout).await
         }
         Verdict::Unchanged { revision } => {
             let text = format!("unchanged revision={revision}");
-            finish(settings, ("unchanged", revision), text, patience).await
+            finish(settings, ("unchanged", revision), text, timeout).await
         }
         Verdict::Conflict { theirs } => Err(conflict(theirs.as_deref(), &config)),
         Verdict::Refused(reason) => Err(refusal(&reason)),
@@ -77,27 +77,27 @@
     settings: &Settings,
     outcome: (&str, u64),
     text: String,
-    patience: Option<Duration>,
+    timeout: Option<Duration>,
 ) -> Result<Report, Report> {
     let (name, revision) = outcome;
-    let Some(patience) = patience else {
+    let Some(timeout) = timeout else {
         let data = json!({ "outcome": name, "revision": revision });
         return Ok(Report::new(text, data));
     };
-    let verdict = look(settings, revision, patience).await;
-    let data = json!({ "outcome": name, "revision": revision, "balancers": verdict });
-    if verdict.is_done() {
-        let count = verdict.in_force.len();
+    let progress = poll(settings, revision, timeout).await;
+    let data = json!({ "outcome": name, "revision": revision, "balancers": progress });
+    if progress.is_done() {
+        let count = progress.in_force.len();
         return Ok(Report::new(
             format!("{text}\nin force on {count} balancers"),
             data,
         ));
     }
-    let count = verdict.in_force.len();
+    let count = progress.in_force.len();
     let text = format!(
         "{text}\nin force on {count} balancers; lagging: {}; no answer: {}",
-        list(&verdict.lagging),
-        list(&verdict.silent)
+        list(&progress.lagging),
+        list(&progress.silent)
     );
     Err(Report::with(Code::WaitTimeout, text, data))
 }
@@ -109,15 +109,15 @@
     }
 }
 
-/// Looks at the balancers until all have the revision or the patience is over.
-async fn look(settings: &Settings, revision: u64, patience: Duration) -> wait::Verdict {
-    let end = Instant::now() + patience;
+/// Looks at the balancers until all have the revision or the timeout is over.
+async fn poll(settings: &Settings, revision: u64, timeout: Duration) -> wait::Progress {
+    let end = Instant::now() + timeout;
     loop {
-        let verdict = wait::judge(revision, &fleet::survey(settings).await);
-        if verdict.is_done() || Instant::now() >= end {
-            return verdict;
+        let progress = wait::progress(revision, &fleet::survey(settings).await);
+        if progress.is_done() || Instant::now() >= end {
+            return progress;
         }
-        time::sleep(LOOK).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/ctl/src/verb/burn.rs
+++ b/crates/ctl/src/command/burn.rs
@@ -34,7 +34,7 @@
     let found = in_force::find(settings).await.ok().flatten();
     let config = found.map(|found| found.config).unwrap_or_default();
     let promised = |service: &str, mark| objective(&config, service, mark);
-    let report = report(&merged, settings.moment.unix, &named, promised);
+    let report = report(&merged, settings.invocation.unix_time, &named, promised);
     let mut text = table(&report);
     for address in &silent {
         text += &format!("No answer came from {address}.\n");
--- a/crates/ctl/src/verb/drain.rs
+++ b/crates/ctl/src/command/drain.rs
@@ -12,18 +12,18 @@
     settings: &Settings,
     servers: &[String],
     deadline: Option<u64>,
-    patience: Option<Duration>,
+    timeout: Option<Duration>,
 ) -> Result<Report, Report> {
-    let deadline = deadline.map(|seconds| settings.moment.unix.saturating_add(seconds));
-    set(settings, servers, State::Drain { deadline }, patience).await
+    let deadline = deadline.map(|seconds| settings.invocation.unix_time.saturating_add(seconds));
+    set(settings, servers, State::Drain { deadline }, timeout).await
 }
 
 pub(crate) async fn undo(
     settings: &Settings,
     servers: &[String],
-    patience: Option<Duration>,
+    timeout: Option<Duration>,
 ) -> Result<Report, Report> {
-    set(settings, servers, State::Active, patience).await
+    set(settings, servers, State::Active, timeout).await
 }
 
 /// Changes the state of servers over what is in force, and over nothing else: a change made by
@@ -32,7 +32,7 @@
     settings: &Settings,
     servers: &[String],
     state: State,
-    patience: Option<Duration>,
+    timeout: Option<Duration>,
 ) -> Result<Report, Report> {
     let found = in_force::require(settings).await?;
     let mut config = found.config.clone();
@@ -43,5 +43,5 @@
         }
     }
     let over = Some(found.document.revision);
-    apply::over_found(settings, config, (over, Some(found)), patience).await
+    apply::over_found(settings, config, (over, Some(found)), timeout).await
 }
--- a/crates/ctl/src/verb/history.rs
+++ b/crates/ctl/src/command/history.rs
@@ -5,7 +5,7 @@
 pub(crate) async fn run(settings: &Settings) -> Result<Report, Report> {
     let found = in_force::require(settings).await?;
     let records = found.document.records();
-    let now = settings.moment.unix;
+    let now = settings.invocation.unix_time;
     let rows = records.iter().map(|record| {
         vec![
             record.revision.to_string(),
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -5,42 +5,42 @@
 //! balancers themselves.
 
 mod cli;
+mod command;
 mod fleet;
 mod in_force;
 mod report;
 mod settings;
-mod verb;
 pub mod wait;
 
-pub use cli::{Cli, Verb};
+pub use cli::{Cli, Command};
 pub use report::Report;
-pub use settings::{Moment, Settings};
+pub use settings::{Invocation, Settings};
 
 /// Does what the command line asks for. Never fails: a failure is a report too.
-pub async fn run(cli: Cli, moment: Moment) -> Report {
-    let settings = match Settings::resolve(&cli, moment) {
+pub async fn run(cli: Cli, invocation: Invocation) -> Report {
+    let settings = match Settings::resolve(&cli, invocation) {
         Ok(settings) => settings,
         Err(failure) => return failure,
     };
-    let outcome = match cli.verb {
-        Verb::Print { file } => verb::print::run(&settings, file.as_deref()).await,
-        Verb::Check { file } => verb::check::run(&file),
-        Verb::Plan { file } => verb::plan::run(&settings, &file).await,
-        Verb::Apply { file, over, wait } => {
-            verb::apply::run(&settings, &file, over, wait.patience()).await
+    let outcome = match cli.command {
+        Command::Print { file } => command::print::run(&settings, file.as_deref()).await,
+        Command::Check { file } => command::check::run(&file),
+        Command::Plan { file } => command::plan::run(&settings, &file).await,
+        Command::Apply { file, over, wait } => {
+            command::apply::run(&settings, &file, over, wait.timeout()).await
         }
-        Verb::Drain {
+        Command::Drain {
             servers,
             deadline,
             wait,
-        } => verb::drain::run(&settings, &servers, deadline, wait.patience()).await,
-        Verb::Undrain { servers, wait } => {
-            verb::drain::undo(&settings, &servers, wait.patience()).await
+        } => command::drain::run(&settings, &servers, deadline, wait.timeout()).await,
+        Command::Undrain { servers, wait } => {
+            command::drain::undo(&settings, &servers, wait.timeout()).await
         }
-        Verb::Status => verb::status::run(&settings).await,
-        Verb::Burn { html } => verb::burn::run(&settings, html.as_deref()).await,
-        Verb::History => verb::history::run(&settings).await,
-        Verb::Completions { shell } => Ok(verb::completions::run(shell)),
+        Command::Status => command::status::run(&settings).await,
+        Command::Burn { html } => command::burn::run(&settings, html.as_deref()).await,
+        Command::History => command::history::run(&settings).await,
+        Command::Completions { shell } => Ok(command::completions::run(shell)),
     };
     outcome.unwrap_or_else(|failure| failure)
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -6,7 +6,7 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-use acacia_ctl::{Cli, Moment, run};
+use acacia_ctl::{Cli, Invocation, run};
 use clap::Parser as _;
 
 #[tokio::main(flavor = "current_thread")]
@@ -14,11 +14,11 @@
     let cli = Cli::parse();
     let json = cli.json;
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    let moment = Moment {
-        unix: since.map_or(0, |age| age.as_secs()),
+    let invocation = Invocation {
+        unix_time: since.map_or(0, |age| age.as_secs()),
         random: rand::random(),
     };
-    let report = run(cli, moment).await;
+    let report = run(cli, invocation).await;
     let text = if json { report.json() } else { report.text };
     // A reader that has gone (`acaciactl status | head`) is no failure of the command.
     let _gone = if report.code == acacia_code::Code::Success || json {
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -18,9 +18,9 @@
 
 /// What the outside contributes to a command.
 #[derive(Debug, Clone, Copy)]
-pub struct Moment {
+pub struct Invocation {
     /// Seconds of Unix time.
-    pub unix: u64,
+    pub unix_time: u64,
     /// Drawn at random: the id of a change, and the spread of retries.
     pub random: u128,
 }
@@ -42,7 +42,7 @@
     /// How long a balancer may take to answer.
     pub deadline: Duration,
     /// Time and chance.
-    pub moment: Moment,
+    pub invocation: Invocation,
 }
 
 impl Settings {
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// A report with every problem of the file.
-    pub fn resolve(cli: &Cli, moment: Moment) -> Result<Self, Report> {
+    pub fn resolve(cli: &Cli, invocation: Invocation) -> Result<Self, Report> {
         let mut settings = Settings {
             store: None,
             balancers: Vec::new(),
@@ -58,7 +58,7 @@
             admin_port: ADMIN_PORT,
             author: "unknown".into(),
             deadline: DEADLINE,
-            moment,
+            invocation,
         };
         if let Some(path) = &cli.settings {
             settings.read(path)?;
@@ -126,6 +126,6 @@
 
     /// Seeds the spread of retries.
     pub(crate) fn seed(&self) -> u64 {
-        self.moment.random as u64
+        self.invocation.random as u64
     }
 }
--- a/crates/ctl/src/wait.rs
+++ b/crates/ctl/src/wait.rs
@@ -7,7 +7,7 @@
 
 /// Who has a revision in force and who is not known to.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
-pub struct Verdict {
+pub struct Progress {
     /// Balancers that have it, or a later one.
     pub in_force: Vec<String>,
     /// Balancers that answer and don't have it, with the revision that they have.
@@ -17,7 +17,7 @@
     pub silent: Vec<String>,
 }
 
-impl Verdict {
+impl Progress {
     /// Whether the revision is in force on every balancer, and on one at least.
     #[must_use]
     pub fn is_done(&self) -> bool {
@@ -38,31 +38,31 @@
 ///     (address(3), Err(Error::Unreachable)),
 ///     (address(4), Ok(Status { behind: true, ..has("entry-4", Some(5)) })),
 /// ]);
-/// let verdict = acacia_ctl::wait::judge(5, &answers);
-/// assert_eq!(verdict.in_force, ["entry-1"]);
-/// assert_eq!(verdict.lagging, ["entry-2 (revision 4)", "entry-4 (tables of an earlier revision)"]);
-/// assert_eq!(verdict.silent, ["127.0.0.1:3"]);
-/// assert!(!verdict.is_done());
+/// let progress = acacia_ctl::wait::progress(5, &answers);
+/// assert_eq!(progress.in_force, ["entry-1"]);
+/// assert_eq!(progress.lagging, ["entry-2 (revision 4)", "entry-4 (tables of an earlier revision)"]);
+/// assert_eq!(progress.silent, ["127.0.0.1:3"]);
+/// assert!(!progress.is_done());
 /// ```
 #[must_use]
-pub fn judge(revision: u64, answers: &BTreeMap<SocketAddr, Result<Status, Error>>) -> Verdict {
-    let mut verdict = Verdict::default();
+pub fn progress(revision: u64, answers: &BTreeMap<SocketAddr, Result<Status, Error>>) -> Progress {
+    let mut progress = Progress::default();
     for (address, answer) in answers {
         match answer {
             Ok(status) if status.revision >= Some(revision) && status.behind => {
                 let text = format!("{} (tables of an earlier revision)", status.name);
-                verdict.lagging.push(text);
+                progress.lagging.push(text);
             }
             Ok(status) if status.revision >= Some(revision) => {
-                verdict.in_force.push(status.name.to_string());
+                progress.in_force.push(status.name.to_string());
             }
             Ok(status) => {
                 let has = status.revision.unwrap_or(0);
                 let text = format!("{} (revision {has})", status.name);
-                verdict.lagging.push(text);
+                progress.lagging.push(text);
             }
-            Err(_) => verdict.silent.push(address.to_string()),
+            Err(_) => progress.silent.push(address.to_string()),
         }
     }
-    verdict
+    progress
 }
--- a/crates/ctl/tests/it/fixture.rs
+++ b/crates/ctl/tests/it/fixture.rs
@@ -10,7 +10,7 @@
 };
 use acacia_burn::{Count, Ledger, Mark, Source};
 use acacia_config::{Config, Server, Service, document::Document, print};
-use acacia_ctl::{Cli, Moment, Report, run};
+use acacia_ctl::{Cli, Invocation, Report, run};
 use acacia_platform::{Client, Options};
 use acacia_stand::platform::Stand;
 use clap::Parser as _;
@@ -169,7 +169,14 @@
         words.extend(line.split_whitespace());
         let cli = Cli::try_parse_from(words).expect("a command line");
         let random = rand::random();
-        run(cli, Moment { unix: NOW, random }).await
+        run(
+            cli,
+            Invocation {
+                unix_time: NOW,
+                random,
+            },
+        )
+        .await
     }
 
     pub async fn end(mut self) {
--- a/crates/ctl/tests/it/settings.rs
+++ b/crates/ctl/tests/it/settings.rs
@@ -1,7 +1,7 @@
 use std::path::PathBuf;
 
 use acacia_code::Code;
-use acacia_ctl::{Cli, Moment, Settings};
+use acacia_ctl::{Cli, Invocation, Settings};
 use clap::Parser as _;
 
 fn resolve(text: &str, flags: &[&str]) -> Result<Settings, acacia_ctl::Report> {
@@ -11,7 +11,13 @@
     let path = path.to_str().expect("a path");
     let words = ["acaciactl", "status", "--settings", path];
     let cli = Cli::try_parse_from(words.iter().chain(flags)).expect("a command line");
-    Settings::resolve(&cli, Moment { unix: 0, random: 0 })
+    Settings::resolve(
+        &cli,
+        Invocation {
+            unix_time: 0,
+            random: 0,
+        },
+    )
 }
 
 #[test]
