--- a/crates/config/src/customer_index.rs
+++ b/crates/config/src/customer_index.rs
@@ -2,24 +2,25 @@
 
 use crate::{Config, Prefix};
 
-/// Finds the customer of a caller's address: the prefixes of a configuration, arranged for many
-/// questions.
+/// Finds the customer of a caller's address by longest prefix match.
 ///
-/// Load: each new flow asks once, thousands a second on each balancer. Harm: a walk over all
-/// prefixes makes every opening packet wait for the size of the configuration. Hence a sorted
-/// list for each length of prefix, longest first: at most one binary search for each length that
-/// is in use, few in practice.
+/// It is searched once for each new flow, thousands of times a second on each balancer. A linear
+/// search would delay the first packet of each flow in proportion to the number of prefixes in the
+/// configuration. The prefixes are therefore kept in one sorted list for each prefix length,
+/// longest first, which needs at most one binary search for each length in use. In practice there
+/// are few lengths.
 #[derive(Debug, Clone, Default)]
 pub struct CustomerIndex {
-    v4: Lengths,
-    v6: Lengths,
+    v4: PrefixesByLength,
+    v6: PrefixesByLength,
 }
 
-/// For each length in use, longest first: the blocks of that length and their customers.
-type Lengths = Vec<(u8, Vec<(IpAddr, usize)>)>;
+/// For each prefix length in use, longest first: the first addresses of the prefixes of that
+/// length, sorted, each with the index of its customer in [`Config::customers`].
+type PrefixesByLength = Vec<(u8, Vec<(IpAddr, usize)>)>;
 
 impl CustomerIndex {
-    /// The callers of a configuration.
+    /// Builds the index of the customers' prefixes.
     ///
     /// ```
     /// use acacia_config::{CustomerIndex, Config, Customer, Mark};
@@ -32,25 +33,25 @@
     /// ```
     #[must_use]
     pub fn new(config: &Config) -> Self {
-        let mut blocks: BTreeMap<(bool, u8), Vec<(IpAddr, usize)>> = BTreeMap::new();
-        for (place, customer) in config.customers().iter().enumerate() {
+        let mut prefixes: BTreeMap<(bool, u8), Vec<(IpAddr, usize)>> = BTreeMap::new();
+        for (position, customer) in config.customers().iter().enumerate() {
             for prefix in &customer.prefixes {
-                let kind = (prefix.address().is_ipv4(), prefix.length());
-                let block = (prefix.address(), place);
-                blocks.entry(kind).or_default().push(block);
+                let family_and_length = (prefix.address().is_ipv4(), prefix.length());
+                let entry = (prefix.address(), position);
+                prefixes.entry(family_and_length).or_default().push(entry);
             }
         }
         let mut index = CustomerIndex::default();
-        for ((is_v4, length), mut blocks) in blocks.into_iter().rev() {
-            blocks.sort_unstable();
+        for ((is_v4, length), mut prefixes) in prefixes.into_iter().rev() {
+            prefixes.sort_unstable();
             let lengths = if is_v4 { &mut index.v4 } else { &mut index.v6 };
-            lengths.push((length, blocks));
+            lengths.push((length, prefixes));
         }
         index
     }
 
-    /// The customer that an address belongs to, as its place in [`Config::customers`]: the one
-    /// with the longest prefix around it.
+    /// The index in [`Config::customers`] of the customer with the longest prefix that contains the
+    /// address; `None` if no prefix does.
     #[must_use]
     pub fn find(&self, address: IpAddr) -> Option<usize> {
         let lengths = if address.is_ipv4() {
@@ -58,10 +59,10 @@
         } else {
             &self.v6
         };
-        lengths.iter().find_map(|(length, blocks)| {
+        lengths.iter().find_map(|(length, prefixes)| {
             let first = Prefix::around(address, *length).address();
-            let at = blocks.binary_search_by(|(block, _)| block.cmp(&first));
-            Some(blocks[at.ok()?].1)
+            let at = prefixes.binary_search_by(|(address, _)| address.cmp(&first));
+            Some(prefixes[at.ok()?].1)
         })
     }
 }
