--- a/crates/config/src/customer.rs
+++ b/crates/config/src/customer.rs
@@ -10,17 +10,17 @@
 
 use crate::Problem;
 
-/// Whether callers pay. Trial work never crowds out paying work.
+/// The class of callers. Work of trial callers never displaces work of paying ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub enum Mark {
-    /// They try the service for free.
+    /// Callers that try the service for free.
     Trial,
-    /// They pay, or matter most for another reason.
+    /// Callers that pay, or have priority for another reason.
     Paying,
 }
 
 impl Mark {
-    /// Its name in the configuration.
+    /// The name in the configuration.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -30,21 +30,22 @@
     }
 }
 
-/// A customer: callers with a mark and a share of their own, known by their addresses.
+/// A customer: a group of callers, identified by their addresses, with a mark and weight of its
+/// own.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Customer {
-    /// Its name.
+    /// The customer's name.
     pub name: Arc<str>,
-    /// Whether it pays.
+    /// Whether the customer pays.
     pub mark: Mark,
-    /// Its weight among the customers of the same mark when there is not enough for all.
+    /// Its weight among the customers of the same mark when capacity does not suffice for all.
     pub weight: u16,
-    /// The addresses that its callers come from, in order.
+    /// The prefixes that its callers' addresses belong to, sorted.
     pub prefixes: Vec<Prefix>,
 }
 
 impl Customer {
-    /// A customer of weight 1.
+    /// Creates a customer of weight 1.
     #[must_use]
     pub fn new(name: &str, mark: Mark, prefixes: impl IntoIterator<Item = Prefix>) -> Self {
         let mut prefixes: Vec<_> = prefixes.into_iter().collect();
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The same with another weight.
+    /// Sets the weight.
     #[must_use]
     pub fn weight(mut self, weight: u16) -> Self {
         self.weight = weight;
@@ -65,7 +66,7 @@
     }
 }
 
-/// A block of addresses, such as 10.77.0.0/16.
+/// An IP prefix, such as 10.77.0.0/16.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Prefix {
     address: IpAddr,
@@ -73,9 +74,8 @@
 }
 
 impl Prefix {
-    /// The block of the addresses that share the first `length` bits of `address`. None if the
-    /// length is longer than the address, or the address has bits beyond it: such a block is
-    /// mostly a slip of the pen.
+    /// The prefix of the first `length` bits of `address`. `None` if `length` is longer than the
+    /// address, or if the address has bits set beyond it, which is usually a typing error.
     ///
     /// ```
     /// use acacia_config::Prefix;
@@ -85,14 +85,14 @@
     #[must_use]
     pub fn new(address: IpAddr, length: u8) -> Option<Self> {
         let prefix = Prefix { address, length };
-        let rest = prefix.bits(address) & !prefix.mask();
-        (length <= width(address) && rest == 0).then_some(prefix)
+        let host_bits = prefix.bits(address) & !prefix.mask();
+        (length <= width(address) && host_bits == 0).then_some(prefix)
     }
 
-    /// The block of that length around an address.
+    /// The prefix of the given length that contains an address.
     pub(crate) fn around(address: IpAddr, length: u8) -> Self {
-        let whole = Prefix { address, length };
-        let bits = whole.bits(address) & whole.mask();
+        let unmasked = Prefix { address, length };
+        let bits = unmasked.bits(address) & unmasked.mask();
         let address = match address {
             IpAddr::V4(_) => IpAddr::V4(Ipv4Addr::from_bits((bits >> 96) as u32)),
             IpAddr::V6(_) => IpAddr::V6(Ipv6Addr::from_bits(bits)),
@@ -100,19 +100,19 @@
         Prefix { address, length }
     }
 
-    /// Its first address.
+    /// The first address of the prefix.
     #[must_use]
     pub fn address(&self) -> IpAddr {
         self.address
     }
 
-    /// How many bits its addresses share.
+    /// The length of the prefix in bits.
     #[must_use]
     pub fn length(&self) -> u8 {
         self.length
     }
 
-    /// Whether an address lies within it.
+    /// Whether the prefix contains an address.
     ///
     /// ```
     /// use acacia_config::Prefix;
@@ -127,7 +127,7 @@
             && self.bits(address) & self.mask() == self.bits(self.address)
     }
 
-    /// The address left-aligned in 128 bits.
+    /// The bits of an address, left-aligned in 128 bits.
     fn bits(&self, address: IpAddr) -> u128 {
         match address {
             IpAddr::V4(v4) => u128::from(v4.to_bits()) << 96,
@@ -136,8 +136,8 @@
     }
 
     fn mask(&self) -> u128 {
-        let free = 128_u32.saturating_sub(u32::from(self.length));
-        u128::MAX.checked_shl(free).unwrap_or(0)
+        let host_bits = 128_u32.saturating_sub(u32::from(self.length));
+        u128::MAX.checked_shl(host_bits).unwrap_or(0)
     }
 }
 
@@ -154,7 +154,7 @@
 impl FromStr for Prefix {
     type Err = Problem;
 
-    /// Reads `address/length`.
+    /// Parses `address/length`.
     fn from_str(text: &str) -> Result<Self, Problem> {
         let read = || {
             let (address, length) = text.split_once('/')?;
@@ -165,7 +165,7 @@
             section: "".into(),
             key: "prefix".into(),
             found: text.into(),
-            expected: "a block such as 10.77.0.0/16, with no bits set beyond its length".into(),
+            expected: "a prefix such as 10.77.0.0/16, with no bits set beyond its length".into(),
         })
     }
 }
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reading the INI form.
+//! Parses the INI form.
 
 mod keys;
 mod line;
@@ -14,10 +14,10 @@
 };
 use keys::Keys;
 
-/// Reads a configuration and checks it as a whole.
+/// Parses a configuration and checks it as a whole.
 ///
 /// # Errors
-/// Every problem that it has, those of single values and those of the whole.
+/// If the configuration has problems: all of them, those of single values and those of the whole.
 ///
 /// ```
 /// let invalid = acacia_config::parse("[service live]\nport = many\n").expect_err("no number");
@@ -33,23 +33,23 @@
     for (heading, keys) in &ini {
         section(heading, keys, &mut config, &mut problems);
     }
-    // A value that can't be read stands for a harmless one in the check of the whole; what the
-    // check says of that key would only mislead.
-    let mut whole = check(&config);
-    whole.retain(|problem| {
+    // A value that can't be parsed is replaced by a default, so problems that the check of the
+    // whole finds with that key would be misleading.
+    let mut of_whole = check(&config);
+    of_whole.retain(|problem| {
         !problems
             .iter()
             .any(|other: &Problem| (&other.section, &other.key) == (&problem.section, &problem.key))
     });
-    problems.append(&mut whole);
+    problems.append(&mut of_whole);
     match problems.is_empty() {
         true => Ok(config),
         false => Err(Invalid { problems }),
     }
 }
 
-/// Reads the syntax. Lines are trimmed first: the library drops an indented last line that holds
-/// no '=' without a word.
+/// Parses the INI syntax. Lines are trimmed first, because the library silently drops an indented
+/// last line without '='.
 fn load(text: &str) -> Result<Ini, Problem> {
     let trimmed: Vec<_> = text.lines().map(str::trim).collect();
     Ini::load_from_str(&trimmed.join("\n")).map_err(|error| Problem {
@@ -83,14 +83,15 @@
         "customer" => {
             config.add_customer(customer(name, keys));
         }
-        // Keys before the first section come under an empty heading, mostly with none in it.
+        // The library returns the keys before the first section under an empty heading, also if
+        // there are none.
         "" if properties.is_empty() => {}
         _ => keys.unknown_section(),
     }
 }
 
 fn service(name: Arc<str>, mut keys: Keys<'_>) -> Service {
-    let any = [0, 0, 0, 0].into();
+    let unspecified = [0, 0, 0, 0].into();
     let address = keys.required("address", "an IP address", |text| text.parse().ok());
     let port = keys.required("port", "1 to 65535", |text| text.parse().ok());
     let share = keys.required("share", "a percentage such as 70%", |text| {
@@ -108,7 +109,7 @@
     keys.finish();
     Service {
         name,
-        address: address.unwrap_or(any),
+        address: address.unwrap_or(unspecified),
         port: port.unwrap_or(1),
         protocol: protocol.unwrap_or(Protocol::Tcp),
         share: share.unwrap_or(0),
@@ -122,16 +123,16 @@
 }
 
 fn objective(keys: &mut Keys<'_>) -> Option<Objective> {
-    let availability = keys.optional("availability", "a percentage such as 99.9%", Ratio::read);
+    let availability = keys.optional("availability", "a percentage such as 99.9%", Ratio::parse);
     let latency = keys.optional("latency", "such as 99% within 250ms", |text| {
         let (ratio, within) = text.split_once(" within ")?;
         Some(Latency {
-            ratio: Ratio::read(ratio.trim())?,
+            ratio: Ratio::parse(ratio.trim())?,
             within_ms: within.trim().strip_suffix("ms")?.parse().ok()?,
         })
     });
     if availability.is_none() && latency.is_some() && !keys.has("availability") {
-        keys.missing("availability", "a percentage, as latency is set");
+        keys.missing("availability", "a percentage, because latency is set");
     }
     Some(Objective {
         availability: availability?,
@@ -142,8 +143,8 @@
 fn customer(name: Arc<str>, mut keys: Keys<'_>) -> Customer {
     let mark = keys.required("mark", "trial or paying", mark);
     let weight = keys.optional("weight", "1 to 65535", |text| text.parse().ok());
-    let expected = "a block such as 10.77.0.0/16, with no bits set beyond its length";
-    let prefixes = keys.every("prefix", expected, |text| text.parse::<Prefix>().ok());
+    let expected = "a prefix such as 10.77.0.0/16, with no bits set beyond its length";
+    let prefixes = keys.repeated("prefix", expected, |text| text.parse::<Prefix>().ok());
     keys.finish();
     Customer::new(&name, mark.unwrap_or(Mark::Trial), prefixes).weight(weight.unwrap_or(1))
 }
--- a/crates/config/src/parse/keys.rs
+++ b/crates/config/src/parse/keys.rs
@@ -1,11 +1,11 @@
-//! Reads the keys of one section and collects what is wrong with them.
+//! Parses the keys of one section and collects the problems with them.
 
 use acacia_code::Code;
 use ini::Properties;
 
 use crate::Problem;
 
-/// A section that is being read.
+/// A section that is being parsed.
 pub(super) struct Keys<'a> {
     section: &'a str,
     properties: &'a Properties,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// All keys and values, for sections whose keys are names.
+    /// All keys and values, for sections whose keys are names of servers.
     pub(super) fn lines(&self) -> impl Iterator<Item = (&'a str, &'a str)> + use<'a> {
         self.properties.iter()
     }
@@ -36,25 +36,25 @@
         self.properties.contains_key(key)
     }
 
-    /// A value that must be there.
+    /// The value of a key that must be present.
     pub(super) fn required<T>(
         &mut self,
         key: &'static str,
         expected: &str,
-        read: impl FnOnce(&str) -> Option<T>,
+        parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
         if !self.has(key) {
             self.missing(key, expected);
         }
-        self.optional(key, expected, read)
+        self.optional(key, expected, parse)
     }
 
-    /// A value that may be there, once.
+    /// The value of a key that may be present at most once.
     pub(super) fn optional<T>(
         &mut self,
         key: &'static str,
         expected: &str,
-        read: impl FnOnce(&str) -> Option<T>,
+        parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
         self.known.push(key);
         let mut values = self.properties.get_all(key);
@@ -62,24 +62,24 @@
         if let Some(second) = values.next() {
             self.problem(Code::ConfigDuplicate, key, second, "the key once");
         }
-        let value = read(first);
+        let value = parse(first);
         if value.is_none() {
             self.problem(Code::ConfigValueInvalid, key, first, expected);
         }
         value
     }
 
-    /// Values that may be there any number of times.
-    pub(super) fn every<T>(
+    /// The values of a key that may be present any number of times.
+    pub(super) fn repeated<T>(
         &mut self,
         key: &'static str,
         expected: &str,
-        read: impl Fn(&str) -> Option<T>,
+        parse: impl Fn(&str) -> Option<T>,
     ) -> Vec<T> {
         self.known.push(key);
         let mut values = Vec::new();
         for text in self.properties.get_all(key) {
-            match read(text) {
+            match parse(text) {
                 Some(value) => values.push(value),
                 None => self.problem(Code::ConfigValueInvalid, key, text, expected),
             }
@@ -101,7 +101,7 @@
         });
     }
 
-    /// Reports the keys that nobody asked for.
+    /// Adds a problem for each key that was not requested by one of the functions above.
     pub(super) fn finish(mut self) {
         let expected = format!("one of {}", self.known.join(", "));
         for (key, value) in self.properties {
--- a/crates/config/src/parse/line.rs
+++ b/crates/config/src/parse/line.rs
@@ -1,4 +1,4 @@
-//! Reads the backend servers of a service, each a line of its own.
+//! Parses the backend servers of a service, one on each line.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -7,11 +7,11 @@
 use super::keys::Keys;
 use crate::{Limit, Server, State};
 
-/// What a line looks like.
+/// The syntax of a line, as shown to operators.
 const EXPECTED: &str =
     "address:port data-centre [slots=N connections=N] [drain | drain=UNIX-SECONDS]";
 
-/// Reads all lines of a section.
+/// Parses all lines of a section.
 pub(super) fn servers(service: &Arc<str>, mut keys: Keys<'_>) -> Vec<Server> {
     let mut servers = Vec::new();
     for (name, line) in keys.lines() {
@@ -27,17 +27,17 @@
     let mut words = line.split_whitespace();
     let address: SocketAddr = words.next()?.parse().ok()?;
     let data_centre: Arc<str> = words.next()?.into();
-    let mut rest = Rest::default();
+    let mut optional = OptionalParts::default();
     for word in words {
-        rest.take(word)?;
+        optional.parse(word)?;
     }
     Some(Server {
         name: name.into(),
         service: Arc::clone(service),
         address,
         data_centre,
-        state: rest.state.unwrap_or_default(),
-        limit: match (rest.slots, rest.connections) {
+        state: optional.state.unwrap_or_default(),
+        limit: match (optional.slots, optional.connections) {
             (None, None) => None,
             (slots, connections) => Some(Limit {
                 slots: slots?,
@@ -47,17 +47,18 @@
     })
 }
 
-/// The optional words of a line, each at most once.
+/// The optional parts of a line, each at most once.
 #[derive(Default)]
-struct Rest {
+struct OptionalParts {
     slots: Option<u16>,
     connections: Option<u32>,
     state: Option<State>,
 }
 
-impl Rest {
-    fn take(&mut self, word: &str) -> Option<()> {
-        let once = match word.split_once('=') {
+impl OptionalParts {
+    /// `None` if the word is unknown, invalid or repeated.
+    fn parse(&mut self, word: &str) -> Option<()> {
+        let is_first = match word.split_once('=') {
             Some(("slots", number)) => self.slots.replace(number.parse().ok()?).is_none(),
             Some(("connections", number)) => {
                 self.connections.replace(number.parse().ok()?).is_none()
@@ -72,6 +73,6 @@
             }
             _ => false,
         };
-        once.then_some(())
+        is_first.then_some(())
     }
 }
