--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -2,8 +2,9 @@
 
 use crate::{Customer, Server, Service};
 
-/// A whole configuration. Its parts are kept in the order of their names, so that equal
-/// configurations are equal values and print equal text however they were built.
+/// A whole configuration. Services, servers and customers are kept sorted by name, so that two
+/// configurations with the same content are equal and print the same text, in whatever order they
+/// were built.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Config {
     services: Vec<Service>,
@@ -12,7 +13,7 @@
 }
 
 impl Config {
-    /// Adds a service. A second one of the same name is kept and reported by
+    /// Adds a service. A second one of the same name is kept too, and reported by
     /// [`check`](crate::check()).
     pub fn add_service(&mut self, service: Service) -> &mut Self {
         let at = self
@@ -22,7 +23,7 @@
         self
     }
 
-    /// Adds a backend server. They stand in the order of service and name.
+    /// Adds a backend server. Servers are sorted by service, then by name.
     pub fn add_server(&mut self, server: Server) -> &mut Self {
         let at = self.servers.partition_point(|other| {
             (&other.service, &other.name) <= (&server.service, &server.name)
@@ -40,25 +41,25 @@
         self
     }
 
-    /// The services by name.
+    /// The services, sorted by name.
     #[must_use]
     pub fn services(&self) -> &[Service] {
         &self.services
     }
 
-    /// The backend servers by service and name.
+    /// The backend servers, sorted by service, then by name.
     #[must_use]
     pub fn servers(&self) -> &[Server] {
         &self.servers
     }
 
-    /// The customers by name.
+    /// The customers, sorted by name.
     #[must_use]
     pub fn customers(&self) -> &[Customer] {
         &self.customers
     }
 
-    /// The service of that name.
+    /// The service with the given name.
     ///
     /// ```
     /// use acacia_config::{Config, Service};
@@ -75,8 +76,8 @@
         self.services.get(at.ok()?)
     }
 
-    /// Changes the backend server of that name; false if there is none. It is put in its place
-    /// anew, as a change of its name or service moves it.
+    /// Changes the backend server with the given name; returns false if there is none. The server
+    /// is removed and inserted again, because a change of its name or service changes its position.
     ///
     /// ```
     /// use acacia_config::{Config, Server, State};
@@ -98,7 +99,7 @@
         true
     }
 
-    /// The backend servers of a service, by name.
+    /// The backend servers of a service, sorted by name.
     ///
     /// ```
     /// use acacia_config::{Config, Server};
@@ -118,9 +119,8 @@
         &self.servers[start..end]
     }
 
-    /// The customer that an address belongs to: the one with the longest prefix around it. For a
-    /// look at single addresses, as it goes through all prefixes; [`CustomerIndex`](crate::CustomerIndex) is
-    /// for many.
+    /// The customer with the longest prefix that contains the address. The search is linear in the
+    /// number of prefixes; use [`CustomerIndex`](crate::CustomerIndex) for frequent searches.
     ///
     /// ```
     /// use acacia_config::{Config, Customer, Mark};
@@ -134,9 +134,9 @@
     #[must_use]
     pub fn customer_at(&self, address: IpAddr) -> Option<&Customer> {
         let owners = self.customers.iter().flat_map(|customer| {
-            let around = customer.prefixes.iter();
-            let around = around.filter(move |prefix| prefix.contains(address));
-            around.map(move |prefix| (prefix.length(), customer))
+            let prefixes = customer.prefixes.iter();
+            let containing = prefixes.filter(move |prefix| prefix.contains(address));
+            containing.map(move |prefix| (prefix.length(), customer))
         });
         owners
             .max_by_key(|(length, _)| *length)
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operators' configuration as typed values, and its INI form.
 //!
-//! A [`Config`] is built in a few lines of Rust or read from INI with [`parse`]. [`check`] lists
-//! every problem of it at once, [`print()`] writes it in the one canonical form, [`plan`] compares
-//! two of them, and [`document`] is what the platform's store holds.
+//! A [`Config`] is built in Rust or parsed from INI with [`parse`]. [`check`] lists all of its
+//! problems, [`print()`] prints its canonical form, [`plan`] compares two configurations, and
+//! [`document`] defines the value in the platform's store.
 //!
 //! ```
 //! use acacia_config::{Config, Mark, Server, Service};
--- a/crates/config/src/print.rs
+++ b/crates/config/src/print.rs
@@ -1,15 +1,15 @@
 //! The canonical INI form.
 //!
-//! It is made for review: a backend server is one line, a block of addresses is one line, and
-//! what follows from the service is left out. Parts stand in the order of their names, so a
-//! change touches only the lines that it means.
+//! It is meant for review: each backend server and each prefix is one line, and a server's line
+//! leaves out what it inherits from its service. Sections and servers are sorted by name, so that
+//! the text of a change differs only in the lines concerned.
 
 use ini::{EscapePolicy, Ini, LineSeparator, Properties, WriteOption};
 
 use crate::{Config, Customer, Server, Service, State};
 
-/// Writes a configuration in its one canonical form. A configuration without problems reads back
-/// as the same value.
+/// Prints a configuration in its canonical form. Parsing the text of a configuration without
+/// problems gives the same value.
 ///
 /// ```
 /// use acacia_config::{Config, Server, Service, print};
@@ -44,7 +44,7 @@
     text(&ini)
 }
 
-/// Adds a section unless it is empty.
+/// Adds keys to a section, unless there are none.
 fn append(ini: &mut Ini, section: String, keys: Properties) {
     if keys.is_empty() {
         return;
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -3,23 +3,23 @@
 use acacia_code::Code;
 use thiserror::Error;
 
-/// One problem of a configuration.
+/// A problem of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct Problem {
-    /// Its row in the table of result codes.
+    /// The result code of the problem.
     pub code: Code,
-    /// The section that holds it, as in the INI form.
+    /// The heading of the section that contains it, as in the INI form.
     pub section: Arc<str>,
-    /// The key that holds it.
+    /// The key that it is about.
     pub key: Arc<str>,
-    /// What stands there.
+    /// The value found.
     pub found: String,
-    /// What should stand there.
+    /// A description of a valid value.
     pub expected: String,
 }
 
 impl fmt::Display for Problem {
-    /// `section=".." key=.. found=".." expected=".." code=..` on one line.
+    /// Prints `section=".." key=.. found=".." expected=".." code=..` on one line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A configuration that can't be taken, with every problem of it.
+/// The error for an invalid configuration, with all of its problems.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{} problem(s):{}", problems.len(), lines(problems))]
 pub struct Invalid {
--- a/crates/config/src/server.rs
+++ b/crates/config/src/server.rs
@@ -9,35 +9,35 @@
 pub struct Server {
     /// Its name, unique among all backend servers.
     pub name: Arc<str>,
-    /// The service that it works for.
+    /// The service that it belongs to.
     pub service: Arc<str>,
-    /// Where it takes encapsulated packets.
+    /// Where it receives encapsulated packets.
     pub address: SocketAddr,
     /// The data centre that it runs in.
     pub data_centre: Arc<str>,
-    /// Whether it gets new work.
+    /// Whether it gets new flows.
     pub state: State,
-    /// What it takes at once, where that differs from the service's other servers.
+    /// Its own limit; `None` for that of the service.
     pub limit: Option<Limit>,
 }
 
-/// Whether a backend server gets new work. One that is not in the configuration any longer gets
-/// nothing at all.
+/// Whether a backend server gets new flows. A server that has been removed from the configuration
+/// gets no packets at all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub enum State {
     /// It gets new flows.
     #[default]
     Active,
-    /// It gets no new flows, and keeps those that it has.
+    /// It gets no new flows but keeps its existing ones.
     Drain {
-        /// When it is gone, in seconds of Unix time, and its remaining flows with it; none keeps
-        /// them until the server is removed.
+        /// When its remaining flows are ended, in seconds of Unix time; `None` keeps them until the
+        /// server is removed.
         deadline: Option<u64>,
     },
 }
 
 impl Server {
-    /// An active server with the limit of its service.
+    /// Creates an active server with the limit of its service.
     #[must_use]
     pub fn new(name: &str, service: &str, address: SocketAddr, data_centre: &str) -> Self {
         Server {
@@ -50,14 +50,14 @@
         }
     }
 
-    /// The same with a limit of its own.
+    /// Sets a limit of its own.
     #[must_use]
     pub fn limit(mut self, slots: u16, connections: u32) -> Self {
         self.limit = Some(Limit { slots, connections });
         self
     }
 
-    /// The limit in force for it.
+    /// Its effective limit: its own, or else that of the service.
     ///
     /// ```
     /// use acacia_config::{Limit, Server, Service};
@@ -72,7 +72,7 @@
         self.limit.unwrap_or(service.limit)
     }
 
-    /// Whether it gets new work.
+    /// Whether it gets new flows.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.state == State::Active
@@ -80,7 +80,8 @@
 }
 
 impl State {
-    /// Whether the deadline of the drain has passed at `now`, in seconds of Unix time.
+    /// Whether the server is draining and its deadline has passed at `now`, in seconds of Unix
+    /// time.
     ///
     /// ```
     /// use acacia_config::State;
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -5,36 +5,36 @@
 /// A service: an address and port that callers use, and its share of the balancers' capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: Arc<str>,
     /// The address that callers use.
     pub address: IpAddr,
     /// The port that callers use.
     pub port: u16,
-    /// How its flows begin and end.
+    /// The transport protocol.
     pub protocol: Protocol,
-    /// Its guaranteed share of capacity, in percent. All shares together stay within 100; what
-    /// one leaves idle is lent to the others.
+    /// Its guaranteed share of capacity, in percent. The shares of all services add up to at most
+    /// 100; the unused capacity of one service is lent to the others.
     pub share: u8,
-    /// What callers of no customer count as.
+    /// The mark of callers that belong to no customer.
     pub callers: Mark,
-    /// What each of its backend servers takes, unless the server says otherwise.
+    /// The limit of each of its backend servers that has no limit of its own.
     pub limit: Limit,
-    /// What its callers are promised, for the report on service-level burn.
+    /// The service-level objective, for the report on service-level burn.
     pub objective: Option<Objective>,
 }
 
 /// The transport protocol of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Protocol {
-    /// Flows open and close visibly.
+    /// The packets show when a flow begins and ends.
     Tcp,
-    /// Nothing marks the first or the last packet of a flow.
+    /// The packets do not show when a flow begins or ends.
     Udp,
 }
 
 impl Protocol {
-    /// Its name in the configuration.
+    /// The name in the configuration.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -44,17 +44,17 @@
     }
 }
 
-/// What a backend server takes at once.
+/// How much a backend server handles at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limit {
-    /// Requests that it works on at once.
+    /// Requests that it processes at once.
     pub slots: u16,
     /// Connections that it holds open.
     pub connections: u32,
 }
 
 impl Limit {
-    /// What the hosts of today take.
+    /// The limit of the hosts in the current deployments.
     pub const DEFAULT: Limit = Limit {
         slots: 2,
         connections: 2000,
@@ -62,7 +62,8 @@
 }
 
 impl Service {
-    /// A TCP service whose callers are on trial unless they belong to a paying customer.
+    /// Creates a TCP service whose callers are trial callers unless they belong to a paying
+    /// customer.
     #[must_use]
     pub fn new(name: &str, address: impl Into<IpAddr>, port: u16, share: u8) -> Self {
         Service {
@@ -77,38 +78,38 @@
         }
     }
 
-    /// The same with another protocol.
+    /// Sets the protocol.
     #[must_use]
     pub fn protocol(mut self, protocol: Protocol) -> Self {
         self.protocol = protocol;
         self
     }
 
-    /// The same with another mark for callers of no customer.
+    /// Sets the mark of callers that belong to no customer.
     #[must_use]
     pub fn callers(mut self, mark: Mark) -> Self {
         self.callers = mark;
         self
     }
 
-    /// The same with another limit for each backend server.
+    /// Sets the limit of each backend server.
     #[must_use]
     pub fn limit(mut self, slots: u16, connections: u32) -> Self {
         self.limit = Limit { slots, connections };
         self
     }
 
-    /// The same with an objective.
+    /// Sets the service-level objective.
     #[must_use]
     pub fn objective(mut self, objective: Objective) -> Self {
         self.objective = Some(objective);
         self
     }
 
-    /// Whether both are met at the same address and port with the same protocol.
+    /// Whether both services have the same address, port and protocol.
     #[must_use]
     pub fn has_same_endpoint(&self, other: &Service) -> bool {
-        let front = |s: &Service| (s.address, s.port, s.protocol);
-        front(self) == front(other)
+        let endpoint = |s: &Service| (s.address, s.port, s.protocol);
+        endpoint(self) == endpoint(other)
     }
 }
