--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,5 +1,5 @@
-//! What the platform's store holds: one key with the configuration in force, who put it there,
-//! and a short history.
+//! The document in the platform's store: under one key, the configuration in force, its author and
+//! a short history.
 
 mod id;
 
@@ -15,77 +15,78 @@
 
 /// The key that holds the document.
 pub const KEY: &str = "acaciatrack/config";
-/// Largest document, in bytes: the store holds values up to a megabyte.
+/// Maximum size of a document in bytes: the store accepts values of up to a megabyte.
 pub const MAX_SIZE: usize = 1 << 20;
-/// Changes that the history keeps. A writer whose answer was lost looks for its change here; it
-/// is lost only if so many other changes were accepted before it could read back.
+/// Number of changes in the history. A writer that got no answer looks for its change here; it
+/// fails to find it only if this many other changes were accepted before it could read back.
 pub const HISTORY: usize = 64;
-/// Services that one change may create: the low bits of an instance number.
+/// The low bits of an instance number count the services that one change creates.
 const INSTANCE_BITS: u32 = 16;
-/// No revision reaches this: it would take changes each second for millions of years. A higher one
-/// is damage, and taking it would put every later change out of reach.
+/// Upper bound of revisions, which a change each second would reach only after millions of years. A
+/// higher revision is corrupt; accepting it would leave no revisions for later changes.
 const REVISION_END: u64 = 1 << (u64::BITS - INSTANCE_BITS);
 
-/// The document. It is written whole, by compare-and-swap.
+/// The document. It is written as a whole, by compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Rises with each accepted change; a balancer never goes back to a lower one.
+    /// Increases with each accepted change; a balancer never goes back to a lower one.
     pub revision: u64,
     /// The change that made this revision.
     pub change: Id,
-    /// Who made it.
+    /// Who made the change.
     pub author: Arc<str>,
-    /// When, in seconds of Unix time by the author's clock. For people only.
+    /// When it was made, in seconds of Unix time by the author's clock. For display only.
     pub time: u64,
     /// The configuration in its canonical form.
     pub text: Arc<str>,
     /// The instance number of each service.
     pub instances: BTreeMap<Arc<str>, u64>,
-    /// The changes before, newest first.
+    /// The changes before this one, newest first.
     pub history: Vec<Record>,
 }
 
-/// A change that was accepted.
+/// An accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The revision that it made.
+    /// The revision that the change made.
     pub revision: u64,
-    /// Its own number.
+    /// The id of the change.
     pub change: Id,
-    /// Who made it.
+    /// Who made the change.
     pub author: Arc<str>,
-    /// When, in seconds of Unix time by the author's clock.
+    /// When it was made, in seconds of Unix time by the author's clock.
     pub time: u64,
 }
 
-/// A change that an operator wants.
+/// A change that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Draft {
-    /// Its own number, drawn at random.
+    /// The id of the change, drawn at random.
     pub change: Id,
-    /// Who makes it.
+    /// Who makes the change.
     pub author: Arc<str>,
-    /// When, in seconds of Unix time.
+    /// When it is made, in seconds of Unix time.
     pub time: u64,
-    /// The configuration wanted.
+    /// The configuration after the change.
     pub config: Config,
-    /// What the balancers have in force, where it is newer than what the store holds. A store that
-    /// was restored from a backup is behind them: a change numbered from there would be ignored
-    /// as old by every balancer, and services created since would lose their instances.
+    /// The document that the balancers have in force, if it is newer than the store's. A store that
+    /// was restored from a backup has an older document than the balancers. Without this, every
+    /// balancer would ignore a change on top of it as outdated, and services created since the
+    /// backup would lose their instance numbers.
     pub in_force: Option<Arc<Document>>,
 }
 
-/// Why a document can't be read or made.
+/// Why a document can't be decoded or created.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The store's value is no document.
+    /// The store's value is not a document.
     #[error("the stored document can't be decoded: {0}")]
     Undecodable(String),
-    /// The text within the document is no configuration.
+    /// The configuration in the document is invalid.
     #[error("the stored configuration has {0}")]
     Invalid(#[from] Invalid),
-    /// The document would not fit into the store. It is never cut.
-    #[error("the document has {size} bytes, the store holds {MAX_SIZE}")]
+    /// The document is too large for the store. It is never truncated.
+    #[error("the document has {size} bytes; the store accepts at most {MAX_SIZE}")]
     TooLarge {
         /// Its size in bytes.
         size: usize,
@@ -93,7 +94,7 @@
 }
 
 impl Error {
-    /// The error's row in the table of result codes.
+    /// The result code of the error.
     #[must_use]
     pub const fn code(&self) -> Code {
         match self {
@@ -105,10 +106,11 @@
 }
 
 impl Document {
-    /// The document that follows the store's `before` when the draft is accepted.
+    /// The document that replaces the store's `before` when the draft is accepted.
     ///
     /// # Errors
-    /// When the draft has problems, `before` can't be understood or the outcome is too large.
+    /// If the draft's configuration is invalid, the configuration in the previous document is, or
+    /// the new document is too large or its revision out of range.
     ///
     /// ```
     /// use acacia_config::{Config, document::{Document, Draft, Id}};
@@ -150,16 +152,16 @@
         Ok(document)
     }
 
-    /// The document as the store's value.
+    /// Encodes the document as the store's value.
     #[must_use]
     pub fn encode(&self) -> String {
         serde_json::to_string(self).expect("strings and numbers can always be encoded")
     }
 
-    /// Reads the store's value.
+    /// Decodes the store's value.
     ///
     /// # Errors
-    /// When it is no document.
+    /// If it is not a document, or its revision is out of range.
     pub fn decode(value: &str) -> Result<Self, Error> {
         let document: Self =
             serde_json::from_str(value).map_err(|error| Error::Undecodable(error.to_string()))?;
@@ -167,28 +169,28 @@
         Ok(document)
     }
 
-    /// The configuration within.
+    /// The configuration in the document.
     ///
     /// # Errors
-    /// When the text has problems, for instance because a later version wrote it.
+    /// If it is invalid, for instance because a later version of the program wrote it.
     pub fn config(&self) -> Result<Config, Error> {
         Ok(parse(&self.text)?)
     }
 
-    /// Whether a change was accepted, as far as the history reaches.
+    /// Whether a change is this one or in the history.
     #[must_use]
     pub fn contains(&self, change: Id) -> bool {
         self.change == change || self.history.iter().any(|record| record.change == change)
     }
 
-    /// The revision that a change made, as far as the history reaches.
+    /// The revision that a change made; `None` if it is neither this one nor in the history.
     #[must_use]
     pub fn revision_of(&self, change: Id) -> Option<u64> {
         let record = self.records().into_iter().find(|r| r.change == change)?;
         Some(record.revision)
     }
 
-    /// This change and those before it, newest first, as many as the history keeps.
+    /// This change and those before it, newest first, at most [`HISTORY`].
     #[must_use]
     pub fn records(&self) -> Vec<Record> {
         let own = Record {
@@ -202,7 +204,7 @@
     }
 }
 
-/// The revision, unless it is out of any sensible range.
+/// Checks that the revision is below [`REVISION_END`].
 fn in_range(revision: u64) -> Result<u64, Error> {
     if revision < REVISION_END {
         return Ok(revision);
@@ -211,10 +213,11 @@
     Err(Error::Undecodable(reason))
 }
 
-/// The instance of each service. A service keeps its number for as long as its address, port and
-/// protocol stay. One that was removed and is created later, on the same address or under the
-/// same name, gets another: flows of the old one must not be taken for flows of the new one. The
-/// number comes from the revision that created the service, and revisions are never used twice.
+/// The instance number of each service. A service keeps its number while its address, port and
+/// protocol stay the same. A service that is removed and created again, at the same address or
+/// under the same name, gets another number, so that flows of the old one are not taken for flows
+/// of the new one. The number contains the revision that created the service, and revisions are
+/// never reused.
 fn instances(
     before: Option<&Document>,
     config: &Config,
@@ -230,8 +233,11 @@
         same.then_some(*number)
     };
     let numbered = (0..).zip(config.services()).map(|(ordinal, service)| {
-        let fresh = (revision << INSTANCE_BITS) | ordinal;
-        (Arc::clone(&service.name), kept(service).unwrap_or(fresh))
+        let new_number = (revision << INSTANCE_BITS) | ordinal;
+        (
+            Arc::clone(&service.name),
+            kept(service).unwrap_or(new_number),
+        )
     });
     Ok(numbered.collect())
 }
--- a/crates/config/src/document/id.rs
+++ b/crates/config/src/document/id.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a change, drawn at random by whoever makes it. It tells a writer whose answer
-/// was lost whether its change took effect.
+/// The id of a change, drawn at random by its author. A writer that got no answer finds out by it
+/// whether its change took effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Id(u128);
 
 impl Id {
-    /// The change with this number.
+    /// Creates an id from a number.
     ///
     /// ```
     /// use acacia_config::document::Id;
