--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -1,5 +1,5 @@
-//! What one configuration changes over another: as typed changes, as the effect on each service
-//! and as text.
+//! The difference between two configurations: as typed changes, as the effect on each service and
+//! as a text diff.
 
 mod compare;
 
@@ -10,72 +10,73 @@
 
 use crate::{Config, Mark, State, print};
 
-/// Lines of context around a difference in text.
-const CONTEXT: usize = 2;
+/// Lines of context in a text diff.
+const CONTEXT_LINES: usize = 2;
 
 /// The difference between two configurations.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Plan {
-    /// Every change, services first, each kind by name.
+    /// All changes: those of services, then of servers, then of customers, each sorted by name.
     pub changes: Vec<Change>,
-    /// What changes for each service whose capacity, share or servers change.
+    /// The effect on each service whose slots, share or number of servers change.
     pub effects: Vec<Effect>,
-    /// The difference of the canonical texts, as a unified diff; empty if there is none.
+    /// The unified diff of the canonical texts; empty if they are equal.
     pub diff: String,
 }
 
 /// One change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub enum Change {
-    /// A service is new.
+    /// A service is added.
     ServiceAdded(Arc<str>),
-    /// A service goes away, and every flow of it.
+    /// A service is removed. All of its flows end.
     ServiceRemoved(Arc<str>),
-    /// A service gets another address, port or protocol. Its flows end: nobody can send to it
-    /// where it was.
+    /// A service gets another address, port or protocol. All of its flows end, because it is no
+    /// longer reachable at the old ones.
     ServiceMoved(Arc<str>),
     /// A service's share changes, in percent.
     ShareChanged(Arc<str>, Transition<u8>),
-    /// What callers of no customer count as changes.
+    /// The mark of callers that belong to no customer changes.
     CallersChanged(Arc<str>, Transition<Mark>),
     /// The limit or the objective of a service changes.
     ServiceTuned(Arc<str>),
-    /// A backend server is new.
+    /// A backend server is added.
     ServerAdded(Arc<str>),
-    /// A backend server goes away, and every flow on it.
+    /// A backend server is removed. All of its flows end.
     ServerRemoved(Arc<str>),
-    /// A backend server gets another address or service. It is another server under an old
-    /// name: the flows of the old one end.
+    /// A backend server gets another address or service. It counts as a different server of the
+    /// same name: the flows of the old one end.
     ServerReplaced(Arc<str>),
-    /// A backend server starts or stops to drain, or its deadline changes.
+    /// A backend server starts or stops draining, or its deadline changes.
     ServerState(Arc<str>, Transition<State>),
     /// The data centre or the limit of a backend server changes.
     ServerTuned(Arc<str>),
-    /// A customer is new.
+    /// A customer is added.
     CustomerAdded(Arc<str>),
-    /// A customer goes away; its callers count as the service says.
+    /// A customer is removed. Its callers get the mark that each service sets for callers of no
+    /// customer.
     CustomerRemoved(Arc<str>),
-    /// The mark, weight or addresses of a customer change.
+    /// The mark, weight or prefixes of a customer change.
     CustomerChanged(Arc<str>),
 }
 
 /// A value before and after.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Transition<T> {
-    /// Before the change.
+    /// The value before the change.
     pub from: T,
-    /// After the change.
+    /// The value after the change.
     pub to: T,
 }
 
-/// What changes for a service as a whole.
+/// The effect of a plan on a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Effect {
     /// The service.
     pub service: Arc<str>,
     /// Its share in percent.
     pub share: Transition<u8>,
-    /// Backend servers that get new work.
+    /// Backend servers that get new flows.
     pub active: Transition<usize>,
     /// Backend servers that drain.
     pub draining: Transition<usize>,
@@ -104,7 +105,7 @@
     }
 }
 
-/// The difference of two texts as a unified diff; empty if there is none.
+/// The unified diff of two texts; empty if they are equal.
 ///
 /// ```
 /// assert_eq!(acacia_config::plan::diff("a\n", "a\n"), "");
@@ -117,7 +118,7 @@
     }
     TextDiff::from_lines(before, after)
         .unified_diff()
-        .context_radius(CONTEXT)
+        .context_radius(CONTEXT_LINES)
         .header("in force", "planned")
         .to_string()
 }
@@ -129,7 +130,7 @@
         self.changes.is_empty()
     }
 
-    /// The services that would have backend servers but none for new work.
+    /// The services that lose their last active backend server, and so have none for new flows.
     ///
     /// ```
     /// use acacia_config::{Config, Server, Service, State, plan};
@@ -139,7 +140,8 @@
     ///     .add_server(Server::new("a", "live", "10.1.0.1:6080".parse()?, "lima-a"));
     /// let mut after = before.clone();
     /// after.update_server("a", |server| server.state = State::Drain { deadline: None });
-    /// assert_eq!(plan::compare(&before, &after).services_left_without_active_servers().count(), 1);
+    /// let plan = plan::compare(&before, &after);
+    /// assert_eq!(plan.services_left_without_active_servers().count(), 1);
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
     pub fn services_left_without_active_servers(&self) -> impl Iterator<Item = &Effect> {
--- a/crates/config/src/plan/compare.rs
+++ b/crates/config/src/plan/compare.rs
@@ -1,4 +1,4 @@
-//! Finds the changes.
+//! Finds the changes between two configurations and their effects on services.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -35,27 +35,27 @@
     changes
 }
 
-/// A part that stands in one configuration or in both.
+/// A service, server or customer that is in one configuration or in both.
 enum Pair<'a, T> {
     Removed(&'a T),
     Added(&'a T),
     Both(&'a T, &'a T),
 }
 
-/// Brings together the parts of the same name, in the order of the names.
+/// Pairs the items of the same name, sorted by name.
 fn pairs<'a, T>(
     before: &'a [T],
     after: &'a [T],
     name: impl Fn(&T) -> Arc<str>,
 ) -> Vec<Pair<'a, T>> {
     let mut all: BTreeMap<Arc<str>, (Option<&T>, Option<&T>)> = BTreeMap::new();
-    for part in before {
-        all.entry(name(part)).or_default().0 = Some(part);
+    for item in before {
+        all.entry(name(item)).or_default().0 = Some(item);
     }
-    for part in after {
-        all.entry(name(part)).or_default().1 = Some(part);
+    for item in after {
+        all.entry(name(item)).or_default().1 = Some(item);
     }
-    let pair = |part| match part {
+    let pair = |item| match item {
         (Some(old), Some(new)) => Some(Pair::Both(old, new)),
         (Some(old), None) => Some(Pair::Removed(old)),
         (None, Some(new)) => Some(Pair::Added(new)),
@@ -107,7 +107,7 @@
         let service = match pair {
             Pair::Removed(service) | Pair::Added(service) | Pair::Both(_, service) => service,
         };
-        let (from, to) = (tally(before, &service.name), tally(after, &service.name));
+        let (from, to) = (totals(before, &service.name), totals(after, &service.name));
         Effect {
             service: name(service),
             share: transition(from.share, to.share),
@@ -126,27 +126,27 @@
 }
 
 #[derive(Default)]
-struct Tally {
+struct Totals {
     share: u8,
     active: usize,
     draining: usize,
     slots: u64,
 }
 
-fn tally(config: &Config, name: &str) -> Tally {
-    let mut tally = Tally::default();
+fn totals(config: &Config, name: &str) -> Totals {
+    let mut totals = Totals::default();
     let Some(service) = config.service(name) else {
-        return tally;
+        return totals;
     };
-    tally.share = service.share;
+    totals.share = service.share;
     for server in config.servers_of(name) {
         match server.state {
             State::Active => {
-                tally.active += 1;
-                tally.slots += u64::from(server.limit_in(service).slots);
+                totals.active += 1;
+                totals.slots += u64::from(server.limit_in(service).slots);
             }
-            State::Drain { .. } => tally.draining += 1,
+            State::Drain { .. } => totals.draining += 1,
         }
     }
-    tally
+    totals
 }
