--- a/crates/config/examples/deployments.rs
+++ b/crates/config/examples/deployments.rs
@@ -1,10 +1,10 @@
-//! Builds the configuration of each deployment of today and prints it: `tampere` or `lima`.
+//! Prints the configuration of one of the current deployments: `tampere` (the default) or `lima`.
 
 use std::net::SocketAddr;
 
 use acacia_config::{Config, Customer, Latency, Mark, Objective, Ratio, Server, Service, print};
 
-/// Where backend servers take encapsulated packets.
+/// Port on which backend servers receive encapsulated packets.
 const PORT: u16 = 6080;
 
 fn main() {
@@ -15,20 +15,20 @@
     print!("{}", print(&config));
 }
 
-/// Crew leaders' feeds and check-ins on 15 hosts, printable maps on 4.
+/// Crew leaders' feeds and check-ins on 15 hosts, printable maps on 4 hosts.
 fn tampere() -> Config {
     let mut config = Config::default();
     config
         .add_service(
             Service::new("talkoo-live", [10, 77, 0, 1], 443, 80)
                 .callers(Mark::Paying)
-                .objective(promise(99_950, 250)),
+                .objective(objective(99_950, 250)),
         )
         .add_service(Service::new("karttapalvelu", [10, 77, 0, 2], 443, 20))
         .add_customer(Customer::new(
             "crew-leaders",
             Mark::Paying,
-            ["10.40.0.0/16".parse().expect("a block of addresses")],
+            ["10.40.0.0/16".parse().expect("a prefix")],
         ));
     let centres = ["hervanta", "lielahti", "kangasala"];
     hosts(&mut config, "talkoo-live", "live", centres, 1..=15);
@@ -36,7 +36,7 @@
     config
 }
 
-/// The enrolment desk on 15 hosts, recipe booklets on 4.
+/// The enrolment desk on 15 hosts, recipe booklets on 4 hosts.
 fn lima() -> Config {
     let mut config = Config::default();
     config
@@ -44,7 +44,7 @@
             Service::new("matricula", [10, 78, 0, 1], 443, 80)
                 .callers(Mark::Paying)
                 .limit(3, 2000)
-                .objective(promise(99_900, 400)),
+                .objective(objective(99_900, 400)),
         )
         .add_service(Service::new("recetario", [10, 78, 0, 2], 443, 20).limit(3, 2000));
     let centres = ["lima-a", "lima-b", "lima-c"];
@@ -53,7 +53,7 @@
     config
 }
 
-/// Spreads the hosts of a service over the data centres.
+/// Distributes the hosts of a service over the data centres.
 fn hosts(
     config: &mut Config,
     service: &str,
@@ -69,9 +69,10 @@
     }
 }
 
-/// So much of the work succeeds, in thousandths of a percent, and 99 % begins within the time.
-fn promise(availability: u32, within_ms: u32) -> Objective {
-    let ratio = |steps| Ratio::new(steps).expect("at most the whole");
+/// An objective with this availability, in thousandths of a percent, and 99 % of answers beginning
+/// within the given time.
+fn objective(availability: u32, within_ms: u32) -> Objective {
+    let ratio = |steps| Ratio::new(steps).expect("a ratio of at most 100%");
     Objective {
         availability: ratio(availability),
         latency: Some(Latency {
--- a/crates/config/examples/size.rs
+++ b/crates/config/examples/size.rs
@@ -1,5 +1,5 @@
-//! How large a configuration gets and how long it takes to handle: `size SERVICES SERVERS`. One
-//! line of key=value pairs, times in milliseconds.
+//! Measures the size of a configuration and the time to process it: `size SERVICES SERVERS`. Prints
+//! one line of key=value pairs, with times in milliseconds.
 
 use std::{net::Ipv4Addr, time::Instant};
 
@@ -47,7 +47,7 @@
     (value, start.elapsed().as_millis())
 }
 
-/// Services with small shares, and the servers spread over them.
+/// Services with a share of 1% each, and servers distributed over them.
 fn build(services: u32, servers: u32) -> Config {
     let mut config = Config::default();
     for number in 0..services {
