--- a/crates/api/src/ask.rs
+++ b/crates/api/src/ask.rs
@@ -15,26 +15,26 @@
 
 use crate::AdminClient;
 
-/// Why a balancer has not answered.
+/// Why a balancer did not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Error {
-    /// There is no connection to it.
+    /// No connection could be opened in time.
     #[error("no connection")]
     Unreachable,
-    /// It did not answer in time, or broke off.
+    /// The balancer did not answer in time, or the connection failed.
     #[error("no answer")]
     Silent,
 }
 
-/// Asks the balancer at `address` over a connection of its own, which ends with the answer. See
-/// [`serve`](crate::serve) for an example.
+/// Sends a request to the balancer at `address` over a new connection, which is closed after the
+/// answer. See [`serve`](crate::serve) for an example.
 ///
 /// # Errors
-/// When there is no answer within the deadline.
+/// If there is no answer before the deadline.
 pub async fn ask<T>(
     address: SocketAddr,
     deadline: Duration,
-    question: impl AsyncFnOnce(&AdminClient, Context) -> Result<T, RpcError>,
+    request: impl AsyncFnOnce(&AdminClient, Context) -> Result<T, RpcError>,
 ) -> Result<T, Error> {
     let deadline = Instant::now() + deadline;
     let stream = time::timeout_at(deadline, TcpStream::connect(address))
@@ -46,8 +46,9 @@
     let mut ctx = context::current();
     ctx.deadline = deadline.into_std();
     let admin = new.client;
-    // The connection is served here and not by a task of its own: it ends with this call.
-    let call = time::timeout_at(deadline, question(&admin, ctx));
+    // The connection is driven here and not in a task of its own, so that it is closed when this
+    // call returns.
+    let call = time::timeout_at(deadline, request(&admin, ctx));
     match answer::wait_for(call, new.dispatch).await {
         Ok(Ok(value)) => Ok(value),
         Ok(Err(_)) | Err(_) => Err(Error::Silent),
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,7 +1,7 @@
-//! What balancers answer operators: a tarpc service over TCP.
+//! The operators' interface of balancers: a tarpc service over TCP.
 //!
-//! A balancer hands three functions to [`serve`]; operators' programs ask with [`ask`]. The service
-//! only reads: changes go through the platform's store.
+//! A balancer passes three functions to [`serve`]; operators' programs send requests with [`ask`].
+//! The service is read-only: changes are made in the platform's store.
 
 mod ask;
 pub mod status;
@@ -18,33 +18,34 @@
 pub use ask::{Error, ask};
 pub use status::Status;
 
-/// Longest question in bytes, several times a legal one.
-const LONGEST_QUESTION: usize = 4_096;
-/// Connections of operators that ask, at a time.
-const ACTIVE: usize = 8;
-/// Connections on which nothing was asked yet, at a time.
-const PENDING: usize = 32;
-/// How long one has to ask something.
-const FIRST_QUESTION: Duration = Duration::from_secs(10);
-/// How long a connection may stay without a question. One whose other end has gone without a word
-/// would keep its place for good.
-const IDLE: Duration = Duration::from_secs(60);
-/// After this long without a question, a connection makes room for another operator's.
-const STALLED: Duration = Duration::from_secs(5);
+/// Maximum size of a request in bytes, several times that of a valid one.
+const MAX_REQUEST_SIZE: usize = 4_096;
+/// Maximum number of connections on which a request was sent.
+const MAX_ACTIVE: usize = 8;
+/// Maximum number of connections on which no request was sent yet.
+const MAX_PENDING: usize = 32;
+/// Time limit for the first request on a connection.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time without a request after which a connection is closed. Without it, a connection whose other
+/// end has vanished would use up one of the [`MAX_ACTIVE`] for ever.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time without a request after which a connection may be closed in favour of another operator's.
+const STALLED_AFTER: Duration = Duration::from_secs(5);
 
-/// The questions that a balancer answers.
+/// The requests that a balancer answers.
 #[tarpc::service]
 pub trait Admin {
-    /// How the balancer is.
+    /// The state of the balancer.
     async fn status() -> Status;
-    /// The document that it has in force, encoded as in the platform's store; none if it has none
-    /// yet. With the store down this is how operators see what is in force.
+    /// The document that the balancer has in force, encoded as in the platform's store; `None` if
+    /// it has none yet. While the store is down, operators see the configuration in force by this.
     async fn document() -> Option<Arc<str>>;
-    /// How the flows of each service ended here, for the report on service-level burn.
+    /// Counts of how the flows of each service ended on this balancer, for the report on
+    /// service-level burn.
     async fn ledger() -> Ledger;
 }
 
-/// The limits on operators' connections.
+/// The limits of operators' connections.
 ///
 /// ```
 /// assert_eq!(acacia_api::limiter().name(), "operators");
@@ -52,18 +53,18 @@
 #[must_use]
 pub fn limiter() -> Limiter {
     let limits = Limits {
-        pending: PENDING,
-        active: ACTIVE,
-        pending_timeout: FIRST_QUESTION,
-        idle_timeout: IDLE,
-        stalled_after: STALLED,
+        pending: MAX_PENDING,
+        active: MAX_ACTIVE,
+        pending_timeout: FIRST_REQUEST_TIMEOUT,
+        idle_timeout: IDLE_TIMEOUT,
+        stalled_after: STALLED_AFTER,
     };
     Limiter::new("operators", limits)
 }
 
-/// Answers operators until told to stop, and returns once nothing of it runs any more. The
-/// functions give the current answers; they are called on the runtime's threads, so they should
-/// read a snapshot and not wait.
+/// Handler operators until `stop` is cancelled, and returns when all of its tasks have ended. The
+/// functions return the current answers. They are called on the runtime's threads, so they should
+/// read a snapshot and must not block.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -100,28 +101,28 @@
     L: Fn() -> Ledger + Clone + Send + Sync + 'static,
 {
     listen(listener, stop, limiter, move |stream, slot| {
-        let answers = Answers {
+        let handler = Handler {
             status: status.clone(),
             document: document.clone(),
             ledger: ledger.clone(),
         };
-        server::serve_connection(stream, LONGEST_QUESTION, move |ctx, req| {
+        server::serve_connection(stream, MAX_REQUEST_SIZE, move |ctx, req| {
             slot.activate();
-            answers.clone().serve().serve(ctx, req)
+            handler.clone().serve().serve(ctx, req)
         })
     })
     .await;
 }
 
-/// The answers as a tarpc service.
+/// Implements the tarpc service by the functions passed to [`serve`].
 #[derive(Clone)]
-struct Answers<S, D, L> {
+struct Handler<S, D, L> {
     status: S,
     document: D,
     ledger: L,
 }
 
-impl<S, D, L> Admin for Answers<S, D, L>
+impl<S, D, L> Admin for Handler<S, D, L>
 where
     S: Fn() -> Status + Send,
     D: Fn() -> Option<Arc<str>> + Send,
--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -1,109 +1,110 @@
-//! How a balancer is.
+//! The state of a balancer.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use acacia_config::document::Id;
 use serde::{Deserialize, Serialize};
 
-/// A balancer's account of itself. Times are ages in milliseconds, as the clocks of two VMs
-/// differ.
+/// The state of a balancer, as it reports it. Times are ages in milliseconds, because the clocks of
+/// two VMs differ.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Status {
     /// Its name.
     pub name: Arc<str>,
-    /// Its number among the balancers.
+    /// Its id, unique among the balancers.
     pub id: u16,
     /// The data centre that it runs in.
     pub data_centre: Arc<str>,
-    /// Whether it serves, is starting or is leaving.
+    /// Whether it is starting, serving or leaving.
     pub phase: Phase,
-    /// The revision that it has in force; none if it has none yet.
+    /// The revision that it has in force; `None` if it has none yet.
     pub revision: Option<u64>,
     /// The change that made that revision.
     pub change: Option<Id>,
-    /// Whether its bucket tables don't follow that revision yet: new flows still go by an earlier
-    /// one, though the revision is known.
+    /// Whether its bucket tables are still those of an earlier revision, so that new flows are
+    /// assigned by that one.
     pub behind: bool,
     /// How long the revision has been in force, in milliseconds.
     pub enforced_ms: u64,
-    /// How long ago it heard from the store, in milliseconds; none if it never did. It goes on on
-    /// those that do not watch the store but hear of changes from their peers.
+    /// How long ago it last heard from the store, in milliseconds; `None` if it never did. The age
+    /// keeps growing on balancers that do not watch the store but learn of changes from their
+    /// peers.
     pub store_ms: Option<u64>,
     /// The other balancers that it knows.
     pub peers: Vec<Peer>,
-    /// What it does for each service.
+    /// The state of each service on this balancer.
     pub services: Vec<Service>,
-    /// Flows of each backend server through this balancer.
+    /// The flows of each backend server that this balancer remembers.
     pub servers: Vec<Server>,
-    /// Flows that this balancer remembers by a pin, of all services.
+    /// Number of flows of all services that this balancer remembers by a pin.
     pub pins: u64,
-    /// The data centres whose backend servers get no new flows, as operators evacuate them.
+    /// The data centres whose backend servers get no new flows because operators evacuate them.
     #[serde(default)]
     pub evacuations: Vec<Evacuation>,
 }
 
-/// Where a balancer stands between its start and its end.
+/// The phase of a balancer's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Phase {
-    /// It learns what is in force and does not serve yet.
+    /// It learns what configuration is in force and does not serve yet.
     #[default]
     Starting,
     /// It serves.
     Serving,
-    /// It hands over before it stops.
+    /// It hands over to the other balancers before it stops.
     Leaving,
 }
 
-/// A data centre under evacuation, as a balancer knows it.
+/// A data centre under evacuation, as known to a balancer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
     /// The data centre.
     pub data_centre: Arc<str>,
-    /// The store's revision of the operators' mark.
+    /// The store's revision of the key that orders the evacuation.
     pub revision: u64,
-    /// How long the balancer has had it in force, in milliseconds.
+    /// How long the balancer has had the evacuation in force, in milliseconds.
     pub enforced_ms: u64,
 }
 
 /// Another balancer, as this one sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its number.
+    /// Its id.
     pub id: u16,
     /// Its name.
     pub name: Arc<str>,
-    /// Where it answers operators.
+    /// The address on which it answers operators.
     pub admin: SocketAddr,
-    /// How long ago its last heartbeat came, in milliseconds; none if none ever came.
+    /// How long ago its last heartbeat arrived, in milliseconds; `None` if none ever did.
     pub heard_ms: Option<u64>,
-    /// The revision that it said it has in force.
+    /// The revision that it has in force, by its own account; `None` if none is known.
     pub revision: Option<u64>,
 }
 
-/// What a balancer does for a service.
+/// The state of a service on a balancer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// The service.
+    /// The service's name.
     pub name: Arc<str>,
     /// Its instance number.
     pub instance: u64,
-    /// The version of its bucket table that is in force here.
+    /// The version of its bucket table that is in force on this balancer.
     pub table: u64,
-    /// Flows of it that this balancer remembers; none where it does not count them apart.
+    /// Number of its flows that this balancer remembers; `None` if they are not counted by service.
     pub flows: Option<u64>,
 }
 
-/// What a backend server has through a balancer.
+/// The flows of a backend server on a balancer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// The backend server.
+    /// The backend server's name.
     pub name: Arc<str>,
-    /// Flows to it that this balancer remembers.
+    /// Number of its flows that this balancer remembers.
     pub flows: u64,
 }
 
 impl Status {
-    /// Flows of all services; none where no service's are counted.
+    /// Number of flows of all services; `None` if they are counted for no service.
     ///
     /// ```
     /// use acacia_api::{Status, status::Service};
@@ -117,7 +118,7 @@
         counted.reduce(|sum, flows| sum + flows)
     }
 
-    /// The same account when it is given out `ms` milliseconds after it was made: ages go on.
+    /// The same state `ms` milliseconds later: adds this time to all ages.
     ///
     /// ```
     /// use acacia_api::Status;
