--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -7,52 +7,53 @@
 #[derive(Debug, Clone, Parser)]
 #[command(name = "acaciactl", version)]
 pub struct Cli {
-    /// INI file with store, balancer, author, admin_port and machines; flags go before it
+    /// INI file with store, balancer, author, admin_port and machines; flags override it
     #[arg(long, global = true, value_name = "FILE")]
     pub settings: Option<PathBuf>,
     /// Address of the platform's store
     #[arg(long, global = true, value_name = "ADDRESS:PORT")]
     pub store: Option<SocketAddr>,
-    /// Where a balancer answers operators; the others are found through it (may be repeated)
+    /// Address on which a balancer answers operators; the others are found through it (may be
+    /// repeated)
     #[arg(long, global = true, value_name = "ADDRESS:PORT")]
     pub balancer: Vec<SocketAddr>,
     /// Your name in the history
     #[arg(long, global = true)]
     pub author: Option<String>,
-    /// Write JSON, for programs
+    /// Print JSON, for programs
     #[arg(long, global = true)]
     pub json: bool,
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// A subcommand with its arguments.
 #[derive(Debug, Clone, Subcommand)]
 pub enum Command {
-    /// Print a file in canonical form, or what is in force
+    /// Print a file, or the configuration in force, in canonical form
     Print {
-        /// The configuration; what is in force if left out
+        /// The configuration file; if omitted, the configuration in force
         file: Option<PathBuf>,
     },
     /// List every problem of a file
     Check {
-        /// The configuration
+        /// The configuration file
         file: PathBuf,
     },
     /// Show what applying a file would change
     Plan {
-        /// The configuration
+        /// The configuration file
         file: PathBuf,
     },
     /// Put a file in force
     Apply {
-        /// The configuration
+        /// The configuration file
         file: PathBuf,
-        /// Only over this revision, the one that the plan was made against
+        /// Apply only if this revision is in force, the one that was reviewed
         #[arg(long, value_name = "REVISION")]
         over: Option<u64>,
-        /// Whether to wait.
+        /// Whether to wait until the change is in force.
         #[command(flatten)]
         wait: Wait,
     },
@@ -61,10 +62,10 @@
         /// The backend servers
         #[arg(required = true)]
         servers: Vec<String>,
-        /// End what remains of their flows after so many seconds
+        /// End their remaining flows after this number of seconds
         #[arg(long, value_name = "SECONDS")]
         deadline: Option<u64>,
-        /// Whether to wait.
+        /// Whether to wait until the change is in force.
         #[command(flatten)]
         wait: Wait,
     },
@@ -73,13 +74,13 @@
         /// The backend servers
         #[arg(required = true)]
         servers: Vec<String>,
-        /// Whether to wait.
+        /// Whether to wait until the change is in force.
         #[command(flatten)]
         wait: Wait,
     },
     /// Show every balancer: revision, tables, peers, flows, lag
     Status,
-    /// Show how fast each service spends the failures that its objective allows
+    /// Show how fast each service uses up the failures that its objective allows
     Burn {
         /// Write the report as a self-contained page
         #[arg(long, value_name = "FILE")]
@@ -87,7 +88,7 @@
     },
     /// List the last changes
     History,
-    /// Write the completions of a shell
+    /// Generate completions for a shell
     Completions {
         /// The shell
         shell: Shell,
@@ -97,13 +98,13 @@
 /// Whether to wait until a change is in force.
 #[derive(Debug, Clone, Copy, Args)]
 pub struct Wait {
-    /// Wait until every live balancer has the change in force, at most so many seconds
+    /// Wait until every live balancer has the change in force, at most this number of seconds
     #[arg(long, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "10")]
     wait: Option<u64>,
 }
 
 impl Wait {
-    /// How long to wait; none not to wait at all.
+    /// The maximum time to wait; `None` to return at once.
     #[must_use]
     pub fn timeout(self) -> Option<Duration> {
         self.wait.map(Duration::from_secs)
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! A module for each command.
+//! The commands, one module each.
 
 pub(crate) mod apply;
 pub(crate) mod burn;
@@ -18,7 +18,7 @@
 
 use crate::Report;
 
-/// Reads a configuration from a file, or says everything that is wrong with it.
+/// Reads and checks a configuration file; on failure, the report lists all of its problems.
 fn read(file: &Path) -> Result<Config, Report> {
     let text = std::fs::read_to_string(file).map_err(|error| {
         let reason = format!("{}: {error}", file.display());
--- a/crates/ctl/src/command/check.rs
+++ b/crates/ctl/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `check`: every problem of a file.
+//! `check`: lists the problems of a file.
 
 use std::path::Path;
 
--- a/crates/ctl/src/command/completions.rs
+++ b/crates/ctl/src/command/completions.rs
@@ -1,4 +1,4 @@
-//! `completions`: for the operator's shell.
+//! `completions`: generates completions for a shell.
 
 use clap::CommandFactory as _;
 use clap_complete::Shell;
--- a/crates/ctl/src/command/history.rs
+++ b/crates/ctl/src/command/history.rs
@@ -1,4 +1,4 @@
-//! `history`: the last changes.
+//! `history`: lists the last changes.
 
 use crate::{Report, Settings, in_force, report::table};
 
@@ -18,7 +18,7 @@
     Ok(Report::new(text, &records))
 }
 
-/// A number of seconds in its largest whole unit.
+/// Formats an age in seconds, minutes, hours or days.
 fn age(seconds: u64) -> String {
     match seconds {
         0..=119 => format!("{seconds}s"),
--- a/crates/ctl/src/command/plan.rs
+++ b/crates/ctl/src/command/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: what applying a file would change.
+//! `plan`: shows what applying a file would change.
 
 use std::path::Path;
 
@@ -22,7 +22,7 @@
     Ok(Report::new(text, data))
 }
 
-/// The difference between two configurations, for people.
+/// The text diff between two configurations.
 pub(super) fn difference(before: &Config, after: &Config) -> String {
     compare(before, after).diff
 }
--- a/crates/ctl/src/command/print.rs
+++ b/crates/ctl/src/command/print.rs
@@ -1,4 +1,4 @@
-//! `print`: the canonical form of a file or of what is in force.
+//! `print`: prints a file or the configuration in force in canonical form.
 
 use std::path::Path;
 
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -20,8 +20,8 @@
     };
     let report = run(cli, invocation).await;
     let text = if json { report.json() } else { report.text };
-    // A reader that has gone (`acaciactl status | head`) is no failure of the command.
-    let _gone = if report.code == acacia_code::Code::Success || json {
+    // A closed pipe, as in `acaciactl status | head`, is not a failure of the command.
+    let _ignored = if report.code == acacia_code::Code::Success || json {
         std::io::stdout().write_all(text.as_bytes())
     } else {
         std::io::stderr().write_all(text.as_bytes())
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -5,35 +5,35 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// What came of a command.
+/// The outcome of a command.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// The result code; its exit status is the command's.
+    /// The result code, which determines the command's exit status.
     pub code: Code,
-    /// For people, with the final line break.
+    /// The outcome as text for people, with a final line break.
     pub text: String,
-    /// For programs.
+    /// The outcome as data for programs.
     pub data: Value,
 }
 
 impl Report {
-    /// A success.
+    /// Creates the report of a success.
     pub(crate) fn new(text: impl Into<String>, data: impl Serialize) -> Self {
         Report::with(Code::Success, text, data)
     }
 
-    /// A report with a code of its own.
+    /// Creates a report with the given code.
     pub(crate) fn with(code: Code, text: impl Into<String>, data: impl Serialize) -> Self {
         let mut text = text.into();
         if !text.is_empty() && !text.ends_with('\n') {
             text.push('\n');
         }
-        // Only maps with keys that are no strings can't be encoded; there are none.
+        // Encoding fails only for maps with keys that are not strings, and there are none.
         let data = serde_json::to_value(data).unwrap_or(Value::Null);
         Report { code, text, data }
     }
 
-    /// A failure with its reason.
+    /// Creates the report of a failure.
     pub(crate) fn failure(code: Code, reason: impl Display) -> Self {
         let text = format!("error={code} reason={:?}", reason.to_string());
         Report::with(code, text, json!({ "reason": reason.to_string() }))
@@ -48,7 +48,7 @@
     }
 }
 
-/// A table for people.
+/// Formats a table for people.
 pub(crate) fn table(header: &[&str], rows: impl IntoIterator<Item = Vec<String>>) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
--- a/crates/ctl/src/wait.rs
+++ b/crates/ctl/src/wait.rs
@@ -1,31 +1,32 @@
-//! Whether a change is in force on every live balancer.
+//! Checks whether a change is in force on every live balancer.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use acacia_api::{Error, Status};
 use serde::Serialize;
 
-/// Who has a revision in force and who is not known to.
+/// Which balancers have a revision in force.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
 pub struct Progress {
-    /// Balancers that have it, or a later one.
+    /// Names of the balancers that have it, or a later one, in force.
     pub in_force: Vec<String>,
-    /// Balancers that answer and don't have it, with the revision that they have.
+    /// Names of the balancers that answer but don't have it in force, with the revision or the
+    /// state that they are in.
     pub lagging: Vec<String>,
-    /// Addresses that don't answer: balancers that died a moment ago, or that are cut off and may
-    /// still serve by an older revision. Nobody can vouch for them.
+    /// Addresses that don't answer: balancers that have just crashed, or that are partitioned and
+    /// may still serve by an older revision. What they have in force is unknown.
     pub silent: Vec<String>,
 }
 
 impl Progress {
-    /// Whether the revision is in force on every balancer, and on one at least.
+    /// Whether the revision is in force on every balancer, and on at least one.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.lagging.is_empty() && self.silent.is_empty() && !self.in_force.is_empty()
     }
 }
 
-/// Judges the balancers' answers about a revision.
+/// Evaluates the balancers' answers for a revision.
 ///
 /// ```
 /// use acacia_api::{Error, Status};
