--- a/crates/ctl/src/command/apply.rs
+++ b/crates/ctl/src/command/apply.rs
@@ -18,7 +18,8 @@
     wait,
 };
 
-/// Pause between two looks at the balancers. A change takes tenths of a second.
+/// Interval between two queries of the balancers. A change comes into force within tenths of a
+/// second.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 pub(crate) async fn run(
@@ -29,12 +30,12 @@
 ) -> Result<Report, Report> {
     let config = super::read(file)?;
     let found = in_force::find(settings).await?;
-    over_found(settings, config, (over, found), timeout).await
+    apply_over(settings, config, (over, found), timeout).await
 }
 
-/// Applies a configuration over what was found in force, and waits for it if asked to. With a
-/// revision given, only over that one.
-pub(super) async fn over_found(
+/// Applies a configuration on top of the one found in force, and waits until it is in force if
+/// there is a timeout. If the revision `over` is given, applies only on top of that one.
+pub(super) async fn apply_over(
     settings: &Settings,
     config: Config,
     (over, found): (Option<u64>, Option<InForce>),
@@ -72,7 +73,7 @@
     }
 }
 
-/// Reports an outcome, after waiting for the balancers if asked to.
+/// Reports the outcome, after waiting for the balancers if there is a timeout.
 async fn finish(
     settings: &Settings,
     outcome: (&str, u64),
@@ -109,22 +110,22 @@
     }
 }
 
-/// Looks at the balancers until all have the revision or the timeout is over.
+/// Queries the balancers until all have the revision in force or the timeout is over.
 async fn poll(settings: &Settings, revision: u64, timeout: Duration) -> wait::Progress {
-    let end = Instant::now() + timeout;
+    let deadline = Instant::now() + timeout;
     loop {
-        let progress = wait::progress(revision, &fleet::survey(settings).await);
-        if progress.is_done() || Instant::now() >= end {
+        let progress = wait::progress(revision, &fleet::query_status(settings).await);
+        if progress.is_done() || Instant::now() >= deadline {
             return progress;
         }
         time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Another change came first: shows what would have been overwritten.
+/// Reports a conflict with a change that was made first, with the difference to it.
 fn conflict(theirs: Option<&Document>, ours: &Config) -> Report {
     let Some(theirs) = theirs else {
-        return Report::failure(Code::ApplyConflict, "another change came first");
+        return Report::failure(Code::ApplyConflict, "another change was made first");
     };
     let (revision, author) = (theirs.revision, &theirs.author);
     let diff = theirs
--- a/crates/ctl/src/command/burn.rs
+++ b/crates/ctl/src/command/burn.rs
@@ -1,4 +1,4 @@
-//! `burn`: the report on service-level burn, over all balancers.
+//! `burn`: reports the service-level burn over all balancers.
 
 use std::{collections::BTreeMap, net::SocketAddr, path::Path};
 
@@ -10,31 +10,41 @@
 use crate::{Report, Settings, fleet, in_force};
 
 pub(crate) async fn run(settings: &Settings, html: Option<&Path>) -> Result<Report, Report> {
-    let answers = fleet::survey(settings).await;
+    let answers = fleet::query_status(settings).await;
     if answers.is_empty() {
-        let reason = "no balancer is known: use --balancer, the settings or a store with a list";
+        let reason =
+            "no balancer is known: use --balancer, the settings file or a store that lists one";
         return Err(Report::failure(Code::Usage, reason));
     }
     let answering = answers.iter().filter(|(_, answer)| answer.is_ok());
     let answering: Vec<SocketAddr> = answering.map(|(address, _)| *address).collect();
     let ledgers = fleet::ledgers(settings, &answering).await;
     let mut merged = Ledger::default();
-    ledgers.values().flatten().for_each(|one| merged.merge(one));
+    ledgers
+        .values()
+        .flatten()
+        .for_each(|ledger| merged.merge(ledger));
     let silent: Vec<SocketAddr> = answers
         .keys()
         .filter(|address| !matches!(ledgers.get(address), Some(Ok(_))))
         .copied()
         .collect();
-    let numbers = numbers(&answers);
-    let named: Vec<u16> = silent
+    let ids = balancer_ids(&answers);
+    let silent_ids: Vec<u16> = silent
         .iter()
-        .filter_map(|address| numbers.get(address).copied())
+        .filter_map(|address| ids.get(address).copied())
         .collect();
-    // A report by the usual objectives is worth more than none, as when nothing is in force yet.
+    // If the configuration can't be read or none is in force yet, the report uses the default
+    // objectives.
     let found = in_force::find(settings).await.ok().flatten();
     let config = found.map(|found| found.config).unwrap_or_default();
-    let promised = |service: &str, mark| objective(&config, service, mark);
-    let report = report(&merged, settings.invocation.unix_time, &named, promised);
+    let objective_of = |service: &str, mark| objective(&config, service, mark);
+    let report = report(
+        &merged,
+        settings.invocation.unix_time,
+        &silent_ids,
+        objective_of,
+    );
     let mut text = table(&report);
     for address in &silent {
         text += &format!("No answer came from {address}.\n");
@@ -52,9 +62,9 @@
     Ok(Report::with(code, text, data))
 }
 
-/// The numbers of the balancers by the addresses that they answer operators on, as far as they or
-/// their peers have said.
-fn numbers(answers: &fleet::Answers) -> BTreeMap<SocketAddr, u16> {
+/// The ids of the balancers, by the addresses on which they answer operators, as reported by
+/// themselves and their peers.
+fn balancer_ids(answers: &fleet::Answers) -> BTreeMap<SocketAddr, u16> {
     let own = answers
         .iter()
         .filter_map(|(address, answer)| Some((*address, answer.as_ref().ok()?.id)));
@@ -66,9 +76,9 @@
     let usual = Objective::usual(mark);
     let service = config.service(service);
     match service.and_then(|service| service.objective) {
-        Some(promised) => Objective {
-            target: promised.availability.fraction(),
-            slow_fails: promised.latency.is_some(),
+        Some(configured) => Objective {
+            target: configured.availability.fraction(),
+            slow_fails: configured.latency.is_some(),
             ..usual
         },
         None => usual,
--- a/crates/ctl/src/command/drain.rs
+++ b/crates/ctl/src/command/drain.rs
@@ -1,4 +1,4 @@
-//! `drain` and `undrain`: whether backend servers get new flows.
+//! `drain` and `undrain`: set whether backend servers get new flows.
 
 use std::time::Duration;
 
@@ -15,20 +15,20 @@
     timeout: Option<Duration>,
 ) -> Result<Report, Report> {
     let deadline = deadline.map(|seconds| settings.invocation.unix_time.saturating_add(seconds));
-    set(settings, servers, State::Drain { deadline }, timeout).await
+    set_state(settings, servers, State::Drain { deadline }, timeout).await
 }
 
-pub(crate) async fn undo(
+pub(crate) async fn undrain(
     settings: &Settings,
     servers: &[String],
     timeout: Option<Duration>,
 ) -> Result<Report, Report> {
-    set(settings, servers, State::Active, timeout).await
+    set_state(settings, servers, State::Active, timeout).await
 }
 
-/// Changes the state of servers over what is in force, and over nothing else: a change made by
-/// someone else in between would be undone otherwise.
-async fn set(
+/// Sets the state of servers in the configuration in force. The change is applied only on top of
+/// that revision, because it would otherwise revert a change that another operator made in between.
+async fn set_state(
     settings: &Settings,
     servers: &[String],
     state: State,
@@ -38,10 +38,10 @@
     let mut config = found.config.clone();
     for name in servers {
         if !config.update_server(name, |server| server.state = state) {
-            let reason = format!("no backend server is called {name}");
+            let reason = format!("there is no backend server named {name}");
             return Err(Report::failure(Code::ServerUnknown, reason));
         }
     }
     let over = Some(found.document.revision);
-    apply::over_found(settings, config, (over, Some(found)), timeout).await
+    apply::apply_over(settings, config, (over, Some(found)), timeout).await
 }
--- a/crates/ctl/src/command/status.rs
+++ b/crates/ctl/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: every balancer.
+//! `status`: shows the state of every balancer.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
 enum Row<'a> {
     Answered {
         address: &'a SocketAddr,
-        /// Revisions behind the newest of all.
+        /// By how many revisions it is behind the newest that any balancer has.
         lag: u64,
         status: &'a Status,
     },
@@ -28,9 +28,10 @@
 }
 
 pub(crate) async fn run(settings: &Settings) -> Result<Report, Report> {
-    let answers = fleet::survey(settings).await;
+    let answers = fleet::query_status(settings).await;
     if answers.is_empty() {
-        let reason = "no balancer is known: use --balancer, the settings or a store with a list";
+        let reason =
+            "no balancer is known: use --balancer, the settings file or a store that lists one";
         return Err(Report::failure(Code::Usage, reason));
     }
     let revisions = answers.values().flatten().filter_map(|s| s.revision);
@@ -101,17 +102,18 @@
     ]
 }
 
-/// Each data centre under evacuation, with the revision of its mark and how long it has been in force.
+/// The data centres under evacuation, each with the revision of the key that orders it and how long
+/// it has been in force.
 fn evacuations(status: &Status) -> String {
-    let shown = |mark: &Evacuation| {
-        let (revision, age) = (mark.revision, seconds(mark.enforced_ms));
-        format!("{}:{revision}:{age}", mark.data_centre)
+    let format = |evacuation: &Evacuation| {
+        let (revision, age) = (evacuation.revision, seconds(evacuation.enforced_ms));
+        format!("{}:{revision}:{age}", evacuation.data_centre)
     };
-    let marks: Vec<String> = status.evacuations.iter().map(shown).collect();
-    if marks.is_empty() {
+    let evacuations: Vec<String> = status.evacuations.iter().map(format).collect();
+    if evacuations.is_empty() {
         "-".into()
     } else {
-        marks.join(" ")
+        evacuations.join(" ")
     }
 }
 
--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Asks all balancers.
+//! Queries all balancers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,31 +12,37 @@
 
 use crate::Settings;
 
-/// Balancers asked at once. A terminal must not open thousands of connections in one instant.
-const AT_ONCE: usize = 64;
+/// Maximum number of concurrent queries, so that a command does not open thousands of connections
+/// at once.
+const MAX_CONCURRENT_QUERIES: usize = 64;
 
-/// What each balancer answered, by the address that it was asked on.
+/// The answer of each balancer, by its address.
 pub(crate) type Answers = BTreeMap<SocketAddr, Result<Status, Error>>;
 
-/// Asks the balancers that are known and all that they know in turn.
-pub(crate) async fn survey(settings: &Settings) -> Answers {
+/// Queries the status of the known balancers, of their peers, and so on.
+pub(crate) async fn query_status(settings: &Settings) -> Answers {
     let mut answers = Answers::new();
-    let mut open = start(settings).await;
-    while !open.is_empty() {
-        let batch: Vec<_> = open.iter().copied().take(AT_ONCE).collect();
-        for (address, answer) in ask_all(&batch, settings.deadline).await {
+    let mut pending = known_addresses(settings).await;
+    while !pending.is_empty() {
+        let batch: Vec<_> = pending
+            .iter()
+            .copied()
+            .take(MAX_CONCURRENT_QUERIES)
+            .collect();
+        for (address, answer) in query_batch(&batch, settings.deadline).await {
             let peers = answer.iter().flat_map(|status| &status.peers);
-            open.extend(peers.map(|peer| peer.admin));
+            pending.extend(peers.map(|peer| peer.admin));
             answers.insert(address, answer);
         }
-        open.retain(|address| !answers.contains_key(address));
+        pending.retain(|address| !answers.contains_key(address));
     }
     answers
 }
 
-/// The balancers named in the settings, or else those of the platform's list. The list lags: what
-/// it names may be gone and then shows as silent, and what it lacks is found through peers.
-async fn start(settings: &Settings) -> BTreeSet<SocketAddr> {
+/// The balancers in the settings, or else those in the platform's list of VMs. The list may be out
+/// of date: balancers in it that no longer run are reported as silent, and those missing from it
+/// are found through their peers.
+async fn known_addresses(settings: &Settings) -> BTreeSet<SocketAddr> {
     if !settings.balancers.is_empty() {
         return settings.balancers.iter().copied().collect();
     }
@@ -44,43 +50,44 @@
         return BTreeSet::new();
     };
     let machines = client.machines().await.unwrap_or_default();
-    let ours = machines
+    let balancers = machines
         .iter()
         .filter(|machine| machine.name.starts_with(&*settings.machines));
-    ours.map(|machine| SocketAddr::new(machine.address, settings.admin_port))
+    balancers
+        .map(|machine| SocketAddr::new(machine.address, settings.admin_port))
         .collect()
 }
 
-async fn ask_all(
+async fn query_batch(
     addresses: &[SocketAddr],
     deadline: Duration,
 ) -> Vec<(SocketAddr, Result<Status, Error>)> {
-    let mut asking = JoinSet::new();
+    let mut queries = JoinSet::new();
     for address in addresses.iter().copied() {
-        asking.spawn(async move {
-            let question = async |admin: &acacia_api::AdminClient, ctx| admin.status(ctx).await;
-            (address, ask(address, deadline, question).await)
+        queries.spawn(async move {
+            let request = async |admin: &acacia_api::AdminClient, ctx| admin.status(ctx).await;
+            (address, ask(address, deadline, request).await)
         });
     }
-    asking.join_all().await
+    queries.join_all().await
 }
 
-/// What the balancers at these addresses have counted, by address.
+/// Queries the ledgers of the balancers at the given addresses, by address.
 pub(crate) async fn ledgers(
     settings: &Settings,
     addresses: &[SocketAddr],
 ) -> BTreeMap<SocketAddr, Result<Ledger, Error>> {
     let deadline = settings.deadline;
     let mut answers = BTreeMap::new();
-    for batch in addresses.chunks(AT_ONCE) {
-        let mut asking = JoinSet::new();
+    for batch in addresses.chunks(MAX_CONCURRENT_QUERIES) {
+        let mut queries = JoinSet::new();
         for address in batch.iter().copied() {
-            asking.spawn(async move {
-                let question = async |admin: &acacia_api::AdminClient, ctx| admin.ledger(ctx).await;
-                (address, ask(address, deadline, question).await)
+            queries.spawn(async move {
+                let request = async |admin: &acacia_api::AdminClient, ctx| admin.ledger(ctx).await;
+                (address, ask(address, deadline, request).await)
             });
         }
-        answers.extend(asking.join_all().await);
+        answers.extend(queries.join_all().await);
     }
     answers
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' command line as a library: [`Cli`] is what was asked for, [`run`] does it and
-//! gives a [`Report`] for people or programs.
+//! The operators' command line as a library: [`Cli`] holds the arguments, [`run`] runs the command
+//! and returns a [`Report`] for people or programs.
 //!
-//! Changes go through the platform's store by compare-and-swap; what is in force is asked of the
-//! balancers themselves.
+//! Changes are made in the platform's store by compare-and-swap; the balancers themselves are
+//! queried for what they have in force.
 
 mod cli;
 mod command;
@@ -16,7 +16,7 @@
 pub use report::Report;
 pub use settings::{Invocation, Settings};
 
-/// Does what the command line asks for. Never fails: a failure is a report too.
+/// Runs the command of a command line. A failure is returned as a report too.
 pub async fn run(cli: Cli, invocation: Invocation) -> Report {
     let settings = match Settings::resolve(&cli, invocation) {
         Ok(settings) => settings,
@@ -35,7 +35,7 @@
             wait,
         } => command::drain::run(&settings, &servers, deadline, wait.timeout()).await,
         Command::Undrain { servers, wait } => {
-            command::drain::undo(&settings, &servers, wait.timeout()).await
+            command::drain::undrain(&settings, &servers, wait.timeout()).await
         }
         Command::Status => command::status::run(&settings).await,
         Command::Burn { html } => command::burn::run(&settings, html.as_deref()).await,
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -6,56 +6,56 @@
 
 use crate::{Cli, Report};
 
-/// Port on which balancers answer operators, unless the settings say otherwise.
-const ADMIN_PORT: u16 = 7071;
-/// How long a balancer may take to answer. A busy one answers in milliseconds.
+/// Default port on which balancers answer operators.
+const DEFAULT_ADMIN_PORT: u16 = 7071;
+/// Time limit for a balancer's answer. A busy balancer answers within milliseconds.
 const DEADLINE: Duration = Duration::from_secs(2);
-/// A command makes a handful of calls and then ends.
+/// Rate limit of calls to the platform. A command makes only a few calls.
 const RATE: Rate = Rate {
     per_second: 10.0,
     burst: 20.0,
 };
 
-/// What the outside contributes to a command.
+/// The time and random number of one run of the command, passed in by its caller.
 #[derive(Debug, Clone, Copy)]
 pub struct Invocation {
-    /// Seconds of Unix time.
+    /// The time, in seconds of Unix time.
     pub unix_time: u64,
-    /// Drawn at random: the id of a change, and the spread of retries.
+    /// A random number: the id of the change, and the seed for the jitter of retries.
     pub random: u128,
 }
 
-/// Whom to ask and in whose name.
+/// The settings of a command: the addresses of store and balancers, and the operator's name.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The platform, if it is known.
+    /// The address of the platform's store, if known.
     pub store: Option<SocketAddr>,
-    /// Balancers that are known; the others are found through them.
+    /// The addresses of known balancers; the others are found through them.
     pub balancers: Vec<SocketAddr>,
-    /// How the names of the balancers' VMs begin in the platform's list. With balancers given,
-    /// the list is not asked.
+    /// The prefix of the names of the balancers' VMs in the platform's list. The list is not read
+    /// if `balancers` is not empty.
     pub machines: Arc<str>,
     /// Port on which balancers answer operators.
     pub admin_port: u16,
     /// The operator's name.
     pub author: Arc<str>,
-    /// How long a balancer may take to answer.
+    /// Time limit for a balancer's answer.
     pub deadline: Duration,
-    /// Time and chance.
+    /// The time and random number of this run.
     pub invocation: Invocation,
 }
 
 impl Settings {
-    /// The settings of a command: its flags, then the file.
+    /// Resolves the settings from the flags and the settings file; flags override the file.
     ///
     /// # Errors
-    /// A report with every problem of the file.
+    /// If the file can't be read or is invalid: a report with all of its problems.
     pub fn resolve(cli: &Cli, invocation: Invocation) -> Result<Self, Report> {
         let mut settings = Settings {
             store: None,
             balancers: Vec::new(),
             machines: "".into(),
-            admin_port: ADMIN_PORT,
+            admin_port: DEFAULT_ADMIN_PORT,
             author: "unknown".into(),
             deadline: DEADLINE,
             invocation,
@@ -79,7 +79,7 @@
         let mut problems = Vec::new();
         for (section, keys) in &ini {
             for (key, value) in keys {
-                if section.is_some() || !self.take(key, value) {
+                if section.is_some() || !self.set(key, value) {
                     problems.push(format!("{key}={value:?}"));
                 }
             }
@@ -92,8 +92,8 @@
         Err(Report::failure(Code::SettingsInvalid, reason))
     }
 
-    /// Takes a key; false if it is unknown or its value is wrong.
-    fn take(&mut self, key: &str, value: &str) -> bool {
+    /// Sets the value of a key; returns false if the key is unknown or the value invalid.
+    fn set(&mut self, key: &str, value: &str) -> bool {
         match key {
             "store" => value.parse().map(|a| self.store = Some(a)).is_ok(),
             "balancer" => value.parse().map(|a| self.balancers.push(a)).is_ok(),
@@ -110,10 +110,10 @@
         }
     }
 
-    /// A client of the platform.
+    /// Creates a client of the platform.
     pub(crate) fn client(&self) -> Result<Client, Report> {
         let Some(address) = self.store else {
-            let reason = "no store is named: use --store or the settings";
+            let reason = "no address of the store is given: use --store or the settings file";
             return Err(Report::failure(Code::Usage, reason));
         };
         let options = Options {
@@ -124,7 +124,7 @@
         Ok(Client::new(address, options))
     }
 
-    /// Seeds the spread of retries.
+    /// The seed for the jitter of retries.
     pub(crate) fn seed(&self) -> u64 {
         self.invocation.random as u64
     }
