--- a/crates/config/tests/it/document.rs
+++ b/crates/config/tests/it/document.rs
@@ -9,20 +9,20 @@
 
 use crate::fixture::{any_config, config, draft};
 
-/// Two documents in a row.
+/// The document that follows `before` when a change to `config` is accepted.
 fn follow(before: Option<&Document>, change: u128, config: Config) -> Document {
     Document::follow(before, &draft(change, config)).expect("a document")
 }
 
-/// A service is removed and another created on its address. Flows of the first that are still
-/// remembered somewhere must not be sent to the servers of the second.
+/// A service is removed and another is created at its address. Guards against flows of the first,
+/// which balancers may still remember, being sent to the servers of the second.
 #[test]
-fn a_service_created_again_is_another_instance() {
+fn a_service_removed_and_created_again_gets_another_instance() {
     let first = follow(None, 1, config());
     let changed = follow(Some(&first), 2, {
-        let mut more = config();
-        more.add_server(Server::new("x", "live", ([10, 1, 9, 9], 1).into(), "dc"));
-        more
+        let mut changed = config();
+        changed.add_server(Server::new("x", "live", ([10, 1, 9, 9], 1).into(), "dc"));
+        changed
     });
     let removed = follow(Some(&changed), 3, Config::default());
     let created = follow(Some(&removed), 4, config());
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_service_at_another_address_is_another_instance() {
+fn a_service_at_another_address_gets_another_instance() {
     let first = follow(None, 1, config());
     let mut moved = Config::default();
     moved.add_service(Service::new("live", [10, 77, 0, 8], 443, 70));
@@ -45,11 +45,11 @@
     assert_ne!(first.instances["live"], second.instances["live"]);
 }
 
-/// The platform was restored from a backup and holds an older document than the balancers. A
-/// change numbered from there would look old to every balancer and never come into force, and
-/// flows of a service created since would be taken for those of another.
+/// The platform was restored from a backup and has an older document than the balancers. A change
+/// with the next revision after that document would be outdated for every balancer and never come
+/// into force, and flows of a service created since the backup would be taken for those of another.
 #[test]
-fn a_change_follows_what_the_balancers_have_in_force() {
+fn a_change_is_based_on_the_document_that_the_balancers_have_in_force() {
     let backup = follow(None, 1, Config::default());
     let in_force = follow(Some(&follow(Some(&backup), 2, config())), 3, config());
     let draft = Draft {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_history_is_bounded_and_knows_recent_changes() {
+fn the_history_is_bounded_and_contains_recent_changes() {
     let mut document = follow(None, 0, config());
     for change in 1..=200 {
         document = follow(Some(&document), change, Config::default());
@@ -74,15 +74,15 @@
     assert!(!document.contains(Id::new(100)));
 }
 
-/// A damaged document, or a balancer that reports nonsense, names a revision near the end of the
-/// numbers. Counting on from there would put every later change out of reach.
+/// A corrupt document, or a balancer that reports a wrong one, has a revision near the maximum. If
+/// it were accepted, there would be no revisions left for later changes.
 #[test]
 fn a_revision_out_of_range_is_refused() {
-    let mut damaged = follow(None, 1, config());
-    damaged.revision = u64::MAX;
-    let decoded = Document::decode(&damaged.encode());
+    let mut corrupt = follow(None, 1, config());
+    corrupt.revision = u64::MAX;
+    let decoded = Document::decode(&corrupt.encode());
     let draft = Draft {
-        in_force: Some(damaged.into()),
+        in_force: Some(corrupt.into()),
         ..draft(2, config())
     };
     let followed = Document::follow(None, &draft);
@@ -90,8 +90,8 @@
     assert!(matches!(followed, Err(Error::Undecodable(_))));
 }
 
-/// The store holds a megabyte. A configuration beyond it must be refused: one that was cut would
-/// take servers away without a word.
+/// The store accepts values of up to a megabyte. A larger configuration must be refused: if it were
+/// truncated, servers would be removed silently.
 #[test]
 fn a_document_too_large_for_the_store_is_refused() {
     let mut large = Config::default();
@@ -113,27 +113,28 @@
     #![proptest_config(cases(256))]
 
     #[test]
-    fn a_document_reads_back_as_the_same_value(config in any_config(), change: u128) {
+    fn a_document_decodes_to_the_same_value(config in any_config(), change: u128) {
         let document = follow(None, change, config.clone());
         prop_assert_eq!(Document::decode(&document.encode()), Ok(document.clone()));
         prop_assert_eq!(document.config(), Ok(config));
     }
 
     #[test]
-    fn a_value_that_is_no_document_is_an_error(value in any::<String>()) {
+    fn a_value_that_is_not_a_document_is_an_error(value in any::<String>()) {
         prop_assert!(Document::decode(&value).is_err());
     }
 
-    /// Over any history of changes, a number is never used for two different services.
+    /// In any sequence of changes, an instance number is never used for two different services.
     #[test]
-    fn instances_are_never_used_twice(configs in prop::collection::vec(any_config(), 1..8)) {
+    fn instance_numbers_are_never_reused(configs in prop::collection::vec(any_config(), 1..8)) {
         let mut document = None;
         let mut used = std::collections::BTreeMap::new();
         for config in configs {
             let next = follow(document.as_ref(), 1, config.clone());
             for (name, instance) in &next.instances {
-                let front = config.service(name).map(|s| (s.address, s.port, s.protocol.label()));
-                let owner = (name.clone(), front);
+                let endpoint = config.service(name)
+                    .map(|s| (s.address, s.port, s.protocol.label()));
+                let owner = (name.clone(), endpoint);
                 prop_assert_eq!(used.entry(*instance).or_insert(owner.clone()), &owner);
             }
             document = Some(next);
--- a/crates/config/tests/it/fixture.rs
+++ b/crates/config/tests/it/fixture.rs
@@ -7,7 +7,7 @@
 };
 use proptest::prelude::*;
 
-/// So many cases from a fixed seed: the verdict is the same on every run.
+/// Runs the given number of cases from a fixed seed, so that every run tests the same cases.
 pub fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -32,12 +32,12 @@
         let address = SocketAddr::from(([10, 1, 0, host], 6080));
         config.add_server(Server::new(name, service, address, "hervanta"));
     }
-    let block = Prefix::new([10, 9, 0, 0].into(), 16).expect("a block");
-    config.add_customer(Customer::new("crew", Mark::Paying, [block]));
+    let prefix = Prefix::new([10, 9, 0, 0].into(), 16).expect("a prefix");
+    config.add_customer(Customer::new("crew", Mark::Paying, [prefix]));
     config
 }
 
-/// A change to that configuration.
+/// A draft that changes the configuration to `config`.
 pub fn draft(change: u128, config: Config) -> Draft {
     Draft {
         change: Id::new(change),
@@ -72,10 +72,10 @@
     prop_oneof![Just(Mark::Trial), Just(Mark::Paying)]
 }
 
-/// What varies between services besides their place.
+/// The random parts of a service.
 type Parts = (String, u16, bool, Mark, u16, u32, Option<Objective>);
 
-/// The services get addresses by their place, so that no two clash.
+/// Services whose names and addresses contain their position, so that no two are equal.
 fn services() -> impl Strategy<Value = Vec<Service>> {
     let ports = 1_u16..;
     let one = (
@@ -90,22 +90,22 @@
     prop::collection::vec(one, 0..6).prop_map(|parts| {
         (1..)
             .zip(parts)
-            .map(|(place, parts)| service(place, parts))
+            .map(|(position, parts)| service(position, parts))
             .collect()
     })
 }
 
-fn service(place: u8, parts: Parts) -> Service {
+fn service(position: u8, parts: Parts) -> Service {
     let (name, port, udp, mark, slots, connections, objective) = parts;
     let (address, protocol) = match udp {
         true => (
-            IpAddr::from([0x2001, 0xdb8, 0, 0, 0, 0, 0, place.into()]),
+            IpAddr::from([0x2001, 0xdb8, 0, 0, 0, 0, 0, position.into()]),
             Protocol::Udp,
         ),
-        false => (IpAddr::from([10, 0, 0, place]), Protocol::Tcp),
+        false => (IpAddr::from([10, 0, 0, position]), Protocol::Tcp),
     };
     let share = 1 + (port % 16) as u8;
-    let mut service = Service::new(&format!("s{place}-{name}"), address, port, share)
+    let mut service = Service::new(&format!("s{position}-{name}"), address, port, share)
         .callers(mark)
         .limit(slots, connections)
         .protocol(protocol);
@@ -138,13 +138,13 @@
     let customers = prop::collection::vec(customer, 0..4);
     (services(), servers, customers).prop_map(|(services, servers, customers)| {
         let mut config = Config::default();
-        for (place, (name, owner, state, limit)) in (1_u16..).zip(servers) {
+        for (position, (name, service, state, limit)) in (1_u16..).zip(servers) {
             if services.is_empty() {
                 break;
             }
-            let service = &owner.get(&services).name;
-            let address = SocketAddr::from(([10, 1, 0, place as u8], 6080 + place));
-            let mut server = Server::new(&format!("b{place}-{name}"), service, address, &name);
+            let service = &service.get(&services).name;
+            let address = SocketAddr::from(([10, 1, 0, position as u8], 6080 + position));
+            let mut server = Server::new(&format!("b{position}-{name}"), service, address, &name);
             server.state = state;
             if let Some((slots, connections)) = limit {
                 server = server.limit(slots.max(1), connections.max(1));
@@ -154,11 +154,11 @@
         for service in services {
             config.add_service(service);
         }
-        for (place, (name, mark, weight, lengths)) in (1_u8..).zip(customers) {
-            let block = |length| Prefix::new([place, 0, 0, 0].into(), 8 + length);
-            let blocks = lengths.into_iter().filter_map(block);
+        for (position, (name, mark, weight, lengths)) in (1_u8..).zip(customers) {
+            let prefix = |length| Prefix::new([position, 0, 0, 0].into(), 8 + length);
+            let prefixes = lengths.into_iter().filter_map(prefix);
             config.add_customer(
-                Customer::new(&format!("c{place}-{name}"), mark, blocks).weight(weight),
+                Customer::new(&format!("c{position}-{name}"), mark, prefixes).weight(weight),
             );
         }
         config
--- a/crates/config/tests/it/parse.rs
+++ b/crates/config/tests/it/parse.rs
@@ -6,11 +6,11 @@
 
 use crate::fixture::{any_config, config};
 
-/// The problems of the text, as code, section and key.
+/// The problems of a text, each as code, section and key.
 fn problems(text: &str) -> Vec<(Code, String, String)> {
     let invalid = parse(text).expect_err("a problem");
-    let place = |p: &acacia_config::Problem| (p.code, p.section.to_string(), p.key.to_string());
-    invalid.problems.iter().map(place).collect()
+    let summary = |p: &acacia_config::Problem| (p.code, p.section.to_string(), p.key.to_string());
+    invalid.problems.iter().map(summary).collect()
 }
 
 #[rstest]
@@ -20,32 +20,40 @@
     Code::ConfigReference,
     "a"
 )]
-#[case::key_twice("port = 80\n", Code::ConfigDuplicate, "port")]
-#[case::no_number("slots = some\n", Code::ConfigValueInvalid, "slots")]
-#[case::nothing_fits("slots = 0\n", Code::ConfigRangeExceeded, "slots")]
-#[case::same_address(
+#[case::duplicate_key("port = 80\n", Code::ConfigDuplicate, "port")]
+#[case::invalid_number("slots = some\n", Code::ConfigValueInvalid, "slots")]
+#[case::zero_slots("slots = 0\n", Code::ConfigRangeExceeded, "slots")]
+#[case::duplicate_address(
     "[servers live]\na = 10.1.0.3:6080 dc\n",
     Code::ConfigDuplicate,
     "maps-1"
 )]
-#[case::half_a_limit(
+#[case::slots_without_connections(
     "[servers live]\na = 10.1.9.9:1 dc slots=1\n",
     Code::ConfigValueInvalid,
     "a"
 )]
-#[case::latency_alone("latency = 99% within 5ms\n", Code::ConfigKeyMissing, "availability")]
+#[case::latency_without_availability(
+    "latency = 99% within 5ms\n",
+    Code::ConfigKeyMissing,
+    "availability"
+)]
 #[case::unknown_section("[backend live]\n", Code::ConfigKeyUnknown, "")]
-#[case::stray_bits(
+#[case::bits_beyond_the_length(
     "[customer c]\nmark = trial\nprefix = 10.1.1.1/8\n",
     Code::ConfigValueInvalid,
     "prefix"
 )]
-#[case::shares(
+#[case::shares_above_100_percent(
     "[service more]\naddress = 10.7.7.7\nport = 1\nshare = 1%\n",
     Code::ConfigRangeExceeded,
     "share"
 )]
-fn a_problem_is_named(#[case] added: &str, #[case] code: Code, #[case] key: &str) {
+fn a_problem_is_reported_with_its_code_and_key(
+    #[case] added: &str,
+    #[case] code: Code,
+    #[case] key: &str,
+) {
     let first = "[service live]\naddress = 10.77.0.1\nport = 443\nshare = 100%\n";
     let rest = "[servers maps]\nmaps-1 = 10.1.0.3:6080 dc\n\
                 [service maps]\naddress = 10.77.0.2\nport = 443\nshare = 0%\n";
@@ -72,10 +80,10 @@
     );
 }
 
-/// An operator cuts a file short by accident. The library drops an indented last line without
-/// '=', so a server would vanish without a word.
+/// A file is truncated by accident. The library silently drops an indented last line without '=',
+/// so that the server on it would be removed.
 #[test]
-fn a_line_cut_short_is_a_problem() {
+fn a_truncated_last_line_is_a_problem() {
     let text = print(&config()) + "  pre";
     let found = problems(&text);
     assert_eq!(found[0].0, Code::ConfigUnreadable);
@@ -84,13 +92,14 @@
 proptest! {
     #![proptest_config(cases(256))]
 
-    /// Whatever text an operator hands in, there is a value or a list of problems, never a crash.
+    /// Any text gives a configuration or a list of problems, never a panic.
     #[test]
     fn arbitrary_text_never_panics(text in any::<String>()) {
         let _outcome = parse(&text);
     }
 
-    /// The same for text that is nearly a configuration.
+    /// The same for the text of a configuration with a random edit. If it is still valid, its
+    /// canonical form parses to the same value.
     #[test]
     fn damaged_text_never_panics(
         config in any_config(), at: prop::sample::Index, cut in 0_usize..9, paste in "[\\PC\n=\\[\\]\\\\x\"']{0,6}",
@@ -100,8 +109,8 @@
         let end = (start + cut).min(text.len());
         text.splice(start..end, paste.chars());
         let text: String = text.into_iter().collect();
-        if let Ok(read) = parse(&text) {
-            prop_assert_eq!(parse(&print(&read)), Ok(read));
+        if let Ok(parsed) = parse(&text) {
+            prop_assert_eq!(parse(&print(&parsed)), Ok(parsed));
         }
     }
 }
--- a/crates/config/tests/it/plan.rs
+++ b/crates/config/tests/it/plan.rs
@@ -33,9 +33,9 @@
     assert_eq!(plan.services_left_without_active_servers().count(), 0);
 }
 
-/// An operator drains all servers of a service in one change; new callers would find nobody.
+/// An operator drains all servers of a service in one change, which would leave none for new flows.
 #[test]
-fn a_service_left_without_servers_for_new_work_is_named() {
+fn a_service_left_without_active_servers_is_reported() {
     let mut after = config();
     for name in ["maps-1", "maps-2"] {
         let drain = State::Drain { deadline: None };
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_new_address_is_a_move_and_a_replacement() {
+fn a_new_address_moves_a_service_and_replaces_a_server() {
     let mut after = acacia_config::Config::default();
     after
         .add_service(Service::new("live", [10, 77, 0, 9], 443, 60).callers(Mark::Paying))
@@ -76,10 +76,12 @@
 proptest! {
     #![proptest_config(cases(256))]
 
-    /// No difference goes unseen: changes are listed exactly when the values differ, and exactly
-    /// then the texts differ.
+    /// Guards against changes that a plan does not show: it lists changes, and has a text diff, if
+    /// and only if the configurations differ.
     #[test]
-    fn changes_are_listed_exactly_when_values_differ(one in any_config(), two in any_config()) {
+    fn changes_are_listed_if_and_only_if_configurations_differ(
+        one in any_config(), two in any_config(),
+    ) {
         for (before, after) in [(&one, &two), (&two, &one), (&one, &one)] {
             let plan = compare(before, after);
             prop_assert_eq!(plan.is_empty(), before == after);
--- a/crates/config/tests/it/print.rs
+++ b/crates/config/tests/it/print.rs
@@ -5,7 +5,7 @@
 use crate::fixture::{any_config, config};
 
 #[test]
-fn the_canonical_form_is_this() {
+fn the_canonical_form_is_stable() {
     let text = print(&config());
     let expected = "\
 [service live]
@@ -45,28 +45,30 @@
 proptest! {
     #![proptest_config(cases(256))]
 
-    /// What an operator reviews and keeps is exactly what is put in force.
+    /// Guards against a configuration in force that differs from the text that an operator
+    /// reviewed.
     #[test]
-    fn text_reads_back_as_the_same_value(config in any_config()) {
+    fn the_canonical_form_parses_to_the_same_value(config in any_config()) {
         let text = print(&config);
         prop_assert_eq!(check(&config), []);
         prop_assert_eq!(parse(&text), Ok(config));
     }
 
-    /// However a configuration was put together, the same value prints the same text.
+    /// The same services, servers and customers print the same text, in whatever order they were
+    /// added.
     #[test]
-    fn the_order_of_building_leaves_no_trace(config in any_config()) {
-        let mut again = acacia_config::Config::default();
+    fn the_order_of_insertion_does_not_matter(config in any_config()) {
+        let mut rebuilt = acacia_config::Config::default();
         for customer in config.customers().iter().rev() {
-            again.add_customer(customer.clone());
+            rebuilt.add_customer(customer.clone());
         }
         for server in config.servers().iter().rev() {
-            again.add_server(server.clone());
+            rebuilt.add_server(server.clone());
         }
         for service in config.services().iter().rev() {
-            again.add_service(service.clone());
+            rebuilt.add_service(service.clone());
         }
-        prop_assert_eq!(print(&again), print(&config));
-        prop_assert_eq!(again, config);
+        prop_assert_eq!(print(&rebuilt), print(&config));
+        prop_assert_eq!(rebuilt, config);
     }
 }
