--- a/crates/ctl/tests/it/command.rs
+++ b/crates/ctl/tests/it/command.rs
@@ -2,18 +2,18 @@
 use acacia_config::{State, parse, print};
 use serde_json::json;
 
-use crate::fixture::{Site, config};
+use crate::fixture::{Environment, config};
 
 #[tokio::test]
 async fn a_change_is_planned_applied_and_listed() {
-    let site = Site::new(0).await;
-    let file = site.file("one.ini", &config(70));
+    let env = Environment::new(0).await;
+    let file = env.file("one.ini", &config(70));
     let file = file.display();
-    let plan = site.ctl(&format!("plan {file}")).await;
-    let applied = site.ctl(&format!("apply {file}")).await;
-    let again = site.ctl(&format!("apply {file}")).await;
-    let printed = site.ctl("print").await;
-    let history = site.ctl("history --json").await;
+    let plan = env.ctl(&format!("plan {file}")).await;
+    let applied = env.ctl(&format!("apply {file}")).await;
+    let again = env.ctl(&format!("apply {file}")).await;
+    let printed = env.ctl("print").await;
+    let history = env.ctl("history --json").await;
     assert!(plan.text.contains("add service live") && plan.text.contains("+share = 70%"));
     assert_eq!(
         applied.data,
@@ -23,22 +23,22 @@
     assert_eq!(parse(&printed.text), Ok(config(70)));
     assert_eq!(history.data[0]["author"], "aino");
     assert_eq!(history.data.as_array().map(Vec::len), Some(1));
-    site.end().await;
+    env.shut_down().await;
 }
 
-/// Two operators review against revision 1. The second must not overwrite the first's change
-/// unseen, and has to see what it would have overwritten.
+/// Two operators review their changes against revision 1. Guards against the second overwriting the
+/// change of the first without having seen it.
 #[tokio::test]
-async fn the_second_of_two_operators_is_shown_the_difference() {
-    let site = Site::new(0).await;
+async fn a_conflicting_change_is_refused_with_the_difference() {
+    let env = Environment::new(0).await;
     let path = |share: u8| {
-        site.file(&share.to_string(), &config(share))
+        env.file(&share.to_string(), &config(share))
             .display()
             .to_string()
     };
-    site.ctl(&format!("apply {}", path(50))).await;
-    let first = site.ctl(&format!("apply --over 1 {}", path(60))).await;
-    let second = site.ctl(&format!("apply --over 1 {}", path(70))).await;
+    env.ctl(&format!("apply {}", path(50))).await;
+    let first = env.ctl(&format!("apply --over 1 {}", path(60))).await;
+    let second = env.ctl(&format!("apply --over 1 {}", path(70))).await;
     assert_eq!(first.code, Code::Success);
     assert_eq!(second.code, Code::ApplyConflict);
     assert!(
@@ -46,39 +46,33 @@
         "{}",
         second.text
     );
-    assert_eq!(site.stored().await.text, print(&config(60)).into());
-    site.end().await;
+    assert_eq!(env.stored().await.text, print(&config(60)).into());
+    env.shut_down().await;
 }
 
-/// The store applies the change and loses its answer; the operator must hear "accepted".
+/// The store makes the change, but its answer is lost.
 #[tokio::test]
-async fn a_lost_answer_is_reported_as_accepted() {
-    let site = Site::new(0).await;
-    site.stand.steer(|faults| faults.lose_writes = 1);
-    let report = site
-        .ctl(&format!(
-            "apply {}",
-            site.file("one", &config(70)).display()
-        ))
+async fn a_write_with_a_lost_answer_is_reported_as_accepted() {
+    let env = Environment::new(0).await;
+    env.stand.steer(|faults| faults.lose_writes = 1);
+    let report = env
+        .ctl(&format!("apply {}", env.file("one", &config(70)).display()))
         .await;
     assert_eq!(report.data["outcome"], "accepted");
-    assert_eq!(site.stand.counts().swap, 1);
-    site.end().await;
+    assert_eq!(env.stand.counts().swap, 1);
+    env.shut_down().await;
 }
 
 #[tokio::test]
 async fn servers_are_drained_and_undrained() {
-    let site = Site::new(0).await;
-    site.ctl(&format!(
-        "apply {}",
-        site.file("one", &config(70)).display()
-    ))
-    .await;
-    let drained = site.ctl("drain live-1 live-2 --deadline 60").await;
-    let during = site.stored().await.config().expect("a configuration");
-    let undrained = site.ctl("undrain live-1").await;
-    let after = site.stored().await.config().expect("a configuration");
-    let unknown = site.ctl("drain nobody").await;
+    let env = Environment::new(0).await;
+    env.ctl(&format!("apply {}", env.file("one", &config(70)).display()))
+        .await;
+    let drained = env.ctl("drain live-1 live-2 --deadline 60").await;
+    let during = env.stored().await.config().expect("a configuration");
+    let undrained = env.ctl("undrain live-1").await;
+    let after = env.stored().await.config().expect("a configuration");
+    let unknown = env.ctl("drain nobody").await;
     let deadline = Some(1_800_000_060);
     assert_eq!(
         (drained.code, undrained.code),
@@ -93,48 +87,46 @@
     assert_eq!(after.servers()[0].state, State::Active);
     assert_eq!(after.servers()[1].state, State::Drain { deadline });
     assert_eq!(unknown.code, Code::ServerUnknown);
-    site.end().await;
+    env.shut_down().await;
 }
 
-/// One balancer lags, another has died. Whoever waits must get their names and no all-clear.
+/// One balancer lags, another does not answer. Guards against a change being reported as in force
+/// everywhere while it is not.
 #[tokio::test]
-async fn waiting_names_whom_nobody_can_vouch_for() {
-    let site = Site::new(3).await;
-    let file = site.file("one", &config(70)).display().to_string();
-    site.ctl(&format!("apply {file}")).await;
-    site.roll_out([0, 2]).await;
-    let lagging = site.ctl(&format!("apply {file} --wait 0")).await;
-    let gone = site.gone();
-    let silent = site
-        .ctl(&format!("apply {file} --wait 0 --balancer {gone}"))
+async fn waiting_reports_lagging_and_silent_balancers() {
+    let env = Environment::new(3).await;
+    let file = env.file("one", &config(70)).display().to_string();
+    env.ctl(&format!("apply {file}")).await;
+    env.roll_out([0, 2]).await;
+    let lagging = env.ctl(&format!("apply {file} --wait 0")).await;
+    let unused = env.unused_address();
+    let silent = env
+        .ctl(&format!("apply {file} --wait 0 --balancer {unused}"))
         .await;
-    site.roll_out([1]).await;
-    let done = site.ctl(&format!("apply {file} --wait 0")).await;
+    env.roll_out([1]).await;
+    let done = env.ctl(&format!("apply {file} --wait 0")).await;
     assert_eq!(lagging.code, Code::WaitTimeout);
     assert_eq!(
         lagging.data["balancers"]["lagging"],
         json!(["entry-1 (revision 0)"])
     );
     assert_eq!(silent.code, Code::WaitTimeout);
-    assert_eq!(silent.data["balancers"]["silent"], json!([gone]));
+    assert_eq!(silent.data["balancers"]["silent"], json!([unused]));
     assert_eq!(done.code, Code::Success, "{}", done.text);
     assert_eq!(
         done.data["balancers"]["in_force"].as_array().map(Vec::len),
         Some(3)
     );
-    site.end().await;
+    env.shut_down().await;
 }
 
 #[tokio::test]
 async fn status_finds_all_balancers_through_one() {
-    let site = Site::new(3).await;
-    site.ctl(&format!(
-        "apply {}",
-        site.file("one", &config(70)).display()
-    ))
-    .await;
-    site.roll_out([0, 1]).await;
-    let status = site.ctl("status").await;
+    let env = Environment::new(3).await;
+    env.ctl(&format!("apply {}", env.file("one", &config(70)).display()))
+        .await;
+    env.roll_out([0, 1]).await;
+    let status = env.ctl("status").await;
     assert_eq!(status.code, Code::Success);
     let lags: Vec<_> = (0..3).map(|at| &status.data[at]["lag"]).collect();
     let names = ["entry-0", "entry-1", "entry-2"];
@@ -146,67 +138,67 @@
     assert_eq!(lags.iter().filter(|lag| **lag == &json!(1)).count(), 1);
     assert_eq!(status.text.matches("hervanta:412:3.").count(), 3);
     assert_eq!(status.data[0]["status"]["evacuations"][0]["revision"], 412);
-    site.end().await;
+    env.shut_down().await;
 }
 
-/// The store is down: operators still see what is in force, from the balancers, and a change is
-/// refused with nothing in doubt.
+/// The store is down. Operators still see what is in force, read from the balancers, and a change
+/// fails with a code that says that nothing was written.
 #[tokio::test]
-async fn with_the_store_down_the_balancers_tell_what_is_in_force() {
-    let site = Site::new(2).await;
-    let file = site.file("one", &config(70)).display().to_string();
-    site.ctl(&format!("apply {file}")).await;
-    site.roll_out([1]).await;
-    site.stand.steer(|faults| faults.down = true);
-    let printed = site.ctl("print").await;
-    let plan = site.ctl(&format!("plan {file}")).await;
-    let applied = site.ctl(&format!("apply {file}")).await;
+async fn the_configuration_in_force_is_read_from_a_balancer_while_the_store_is_down() {
+    let env = Environment::new(2).await;
+    let file = env.file("one", &config(70)).display().to_string();
+    env.ctl(&format!("apply {file}")).await;
+    env.roll_out([1]).await;
+    env.stand.steer(|faults| faults.down = true);
+    let printed = env.ctl("print").await;
+    let plan = env.ctl(&format!("plan {file}")).await;
+    let applied = env.ctl(&format!("apply {file}")).await;
     assert_eq!(parse(&printed.text), Ok(config(70)));
     assert!(plan.text.starts_with("no change over revision 1"));
     assert!([Code::PlatformUnreachable, Code::PlatformTimeout].contains(&applied.code));
-    site.end().await;
+    env.shut_down().await;
 }
 
-/// The platform was restored from a backup and has forgotten the last change, which the balancers
-/// have in force. A drain made upon the backup would revert that change everywhere.
+/// The platform was restored from a backup without the last change, which the balancers have in
+/// force. A drain on top of the backup would revert that change everywhere.
 #[tokio::test]
-async fn a_drain_over_a_restored_store_reverts_nothing() {
-    let site = Site::new(2).await;
+async fn a_drain_after_the_store_was_restored_reverts_no_change() {
+    let env = Environment::new(2).await;
     for share in [60, 70] {
-        let file = site.file("some", &config(share)).display().to_string();
-        site.ctl(&format!("apply {file}")).await;
+        let file = env.file("some", &config(share)).display().to_string();
+        env.ctl(&format!("apply {file}")).await;
     }
-    site.roll_out([0, 1]).await;
-    site.stand.restore();
-    let behind = site.stored().await.revision;
-    let drained = site.ctl("drain live-1").await;
-    let stored = site.stored().await;
+    env.roll_out([0, 1]).await;
+    env.stand.restore();
+    let behind = env.stored().await.revision;
+    let drained = env.ctl("drain live-1").await;
+    let stored = env.stored().await;
     let config = stored.config().expect("a configuration");
     assert_eq!((behind, stored.revision), (1, 3));
     assert_eq!(drained.code, Code::Success, "{}", drained.text);
     assert_eq!(config.services()[0].share, 70);
     assert_eq!(config.servers()[0].state, State::Drain { deadline: None });
-    site.end().await;
+    env.shut_down().await;
 }
 
 #[tokio::test]
-async fn with_nobody_to_ask_the_reason_is_the_platform() {
-    let site = Site::new(0).await;
-    let empty = site.ctl("print").await;
-    site.stand.steer(|faults| faults.silent = true);
-    let silent = site.ctl("print").await;
+async fn without_balancers_the_answer_of_the_platform_is_reported() {
+    let env = Environment::new(0).await;
+    let empty = env.ctl("print").await;
+    env.stand.steer(|faults| faults.silent = true);
+    let silent = env.ctl("print").await;
     assert_eq!(empty.code, Code::NothingInForce);
     assert_eq!(silent.code, Code::PlatformTimeout);
-    site.end().await;
+    env.shut_down().await;
 }
 
 #[tokio::test]
 async fn a_file_with_problems_is_checked_and_never_applied() {
-    let site = Site::new(0).await;
-    let file = site.file("bad", &config(0)).display().to_string();
-    let checked = site.ctl(&format!("check {file}")).await;
-    let applied = site.ctl(&format!("apply {file}")).await;
-    let absent = site.ctl("check nowhere.ini").await;
+    let env = Environment::new(0).await;
+    let file = env.file("bad", &config(0)).display().to_string();
+    let checked = env.ctl(&format!("check {file}")).await;
+    let applied = env.ctl(&format!("apply {file}")).await;
+    let absent = env.ctl("check nowhere.ini").await;
     assert_eq!(
         (checked.code, applied.code),
         (Code::ConfigInvalid, Code::ConfigInvalid)
@@ -214,36 +206,36 @@
     assert_eq!(checked.data[0]["key"], "share");
     assert_eq!(checked.code.exit_status(), 13);
     assert_eq!(absent.code, Code::ConfigUnreadable);
-    assert_eq!(site.stand.counts().swap, 0);
-    site.end().await;
+    assert_eq!(env.stand.counts().swap, 0);
+    env.shut_down().await;
 }
 
 #[tokio::test]
-async fn every_shell_gets_completions() {
-    let site = Site::new(0).await;
+async fn completions_are_generated_for_every_shell() {
+    let env = Environment::new(0).await;
     for shell in ["bash", "zsh", "fish"] {
-        let report = site.ctl(&format!("completions {shell}")).await;
+        let report = env.ctl(&format!("completions {shell}")).await;
         assert!(report.text.contains("undrain"), "{shell}");
     }
-    site.end().await;
+    env.shut_down().await;
 }
 
-/// One of three balancers has stopped answering. The report still comes, of the others' flows, and
-/// says whose are missing.
+/// One of three balancers does not answer. The report covers the flows of the others and names the
+/// missing one.
 #[tokio::test]
-async fn the_burn_of_all_balancers_is_merged_and_the_silent_ones_are_named() {
-    let site = Site::new(2).await;
-    let file = site.file("one.ini", &config(70));
-    site.ctl(&format!("apply {}", file.display())).await;
-    let page = site.file("burn.html", &config(70));
-    let gone = site.gone();
-    let first = site.balancers[0].0;
-    let second = site.balancers[1].0;
+async fn burn_merges_the_ledgers_of_all_balancers_and_names_silent_ones() {
+    let env = Environment::new(2).await;
+    let file = env.file("one.ini", &config(70));
+    env.ctl(&format!("apply {}", file.display())).await;
+    let page = env.file("burn.html", &config(70));
+    let unused = env.unused_address();
+    let first = env.balancers[0].0;
+    let second = env.balancers[1].0;
     let whole = format!("burn --balancer {first} --balancer {second}");
-    let partly = format!("{whole} --balancer {gone} --html {}", page.display());
+    let partly = format!("{whole} --balancer {unused} --html {}", page.display());
 
-    let all = site.ctl(&whole).await;
-    let one_silent = site.ctl(&partly).await;
+    let all = env.ctl(&whole).await;
+    let one_silent = env.ctl(&partly).await;
 
     assert_eq!(all.code, Code::Success);
     assert_eq!(all.data["report"]["sources"], 2);
@@ -253,11 +245,11 @@
         (&json!(198), &json!(2))
     );
     assert_eq!(one_silent.code, Code::BalancerUnreachable);
-    assert_eq!(one_silent.data["silent"], json!([gone]));
+    assert_eq!(one_silent.data["silent"], json!([unused]));
     assert!(
         one_silent
             .text
-            .contains(&format!("No answer came from {gone}"))
+            .contains(&format!("No answer came from {unused}"))
     );
     assert_eq!(
         one_silent.data["report"]["rows"],
@@ -268,5 +260,5 @@
         written.contains("<html") && written.contains("live"),
         "{written}"
     );
-    site.end().await;
+    env.shut_down().await;
 }
--- a/crates/ctl/tests/it/fixture.rs
+++ b/crates/ctl/tests/it/fixture.rs
@@ -21,11 +21,11 @@
 /// The time of every command, in seconds of Unix time.
 const NOW: u64 = 1_800_000_000;
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// One service with two servers and that share.
+/// One service with the given share and two servers.
 pub fn config(share: u8) -> Config {
     let mut config = Config::default();
     config.add_service(Service::new("live", [10, 77, 0, 1], 443, share));
@@ -41,7 +41,7 @@
     config
 }
 
-/// What the balancer of that number has counted: 99 good flows and a broken one.
+/// The ledger of a balancer: 99 good flows and one broken.
 fn ledger(id: u16) -> Ledger {
     let source = Source {
         balancer: id,
@@ -57,53 +57,59 @@
     ledger
 }
 
-/// A balancer as operators see it: a name and a document.
-type Shown = Arc<Mutex<Option<Document>>>;
+/// The document that a balancer has in force.
+type DocumentInForce = Arc<Mutex<Option<Document>>>;
 
-/// A platform, balancers and a place for files.
-pub struct Site {
+/// A platform, balancers and a directory for files.
+pub struct Environment {
     pub stand: Stand,
-    pub balancers: Vec<(SocketAddr, Shown)>,
+    pub balancers: Vec<(SocketAddr, DocumentInForce)>,
     stop: CancellationToken,
     tasks: JoinSet<()>,
     files: TempDir,
 }
 
-impl Site {
-    /// So many balancers, of which the first knows all others.
+impl Environment {
+    /// Starts the given number of balancers, of which the first knows all others.
     pub async fn new(balancers: u16) -> Self {
-        let mut site = Site {
-            stand: Stand::start(any(), any()).await.expect("free ports"),
+        let mut env = Environment {
+            stand: Stand::start(any_port(), any_port())
+                .await
+                .expect("free ports"),
             balancers: Vec::new(),
             stop: CancellationToken::new(),
             tasks: JoinSet::new(),
             files: TempDir::new().expect("a directory"),
         };
         for id in (0..balancers).rev() {
-            site.balancer(id).await;
+            env.start_balancer(id).await;
         }
-        site.balancers.reverse();
-        site
+        env.balancers.reverse();
+        env
     }
 
-    async fn balancer(&mut self, id: u16) {
-        let listener = TcpListener::bind(any()).await.expect("a free port");
+    async fn start_balancer(&mut self, id: u16) {
+        let listener = TcpListener::bind(any_port()).await.expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let known = self.balancers.iter().zip(0..).map(|((admin, _), id)| Peer {
+        let peers = self.balancers.iter().zip(0..).map(|((admin, _), id)| Peer {
             id,
             name: "peer".into(),
             admin: *admin,
             heard_ms: Some(1),
             revision: None,
         });
-        let peers: Vec<_> = known.collect();
-        let shown = Shown::default();
-        self.balancers.push((address, Arc::clone(&shown)));
-        let (one, two) = (Arc::clone(&shown), shown);
+        let peers: Vec<_> = peers.collect();
+        let in_force = DocumentInForce::default();
+        self.balancers.push((address, Arc::clone(&in_force)));
+        let (for_status, for_document) = (Arc::clone(&in_force), in_force);
         let status = move || Status {
             name: format!("entry-{id}").into(),
             id,
-            revision: one.lock().expect("a lock").as_ref().map(|d| d.revision),
+            revision: for_status
+                .lock()
+                .expect("a lock")
+                .as_ref()
+                .map(|d| d.revision),
             peers: peers.clone(),
             evacuations: vec![Evacuation {
                 data_centre: "hervanta".into(),
@@ -113,7 +119,8 @@
             ..Status::default()
         };
         let document = move || {
-            two.lock()
+            for_document
+                .lock()
                 .expect("a lock")
                 .as_ref()
                 .map(|d| d.encode().into())
@@ -126,7 +133,7 @@
         ));
     }
 
-    /// The store's document.
+    /// The document in the store.
     pub async fn stored(&self) -> Document {
         let client = Client::new(self.stand.address(), Options::default());
         let key = acacia_config::document::KEY.into();
@@ -134,7 +141,7 @@
         Document::decode(&entry.value.expect("a value")).expect("a document")
     }
 
-    /// Lets these balancers have the store's document in force.
+    /// Puts the store's document in force on the balancers with the given indices.
     pub async fn roll_out(&self, to: impl IntoIterator<Item = usize>) {
         let document = self.stored().await;
         for at in to {
@@ -142,20 +149,20 @@
         }
     }
 
-    /// A file with that configuration.
+    /// Writes a configuration to a file.
     pub fn file(&self, name: &str, config: &Config) -> PathBuf {
         let path = self.files.path().join(name);
         std::fs::write(&path, print(config)).expect("a file");
         path
     }
 
-    /// The address of a balancer that has gone.
-    pub fn gone(&self) -> String {
-        let listener = std::net::TcpListener::bind(any()).expect("a free port");
+    /// An address on which no balancer listens.
+    pub fn unused_address(&self) -> String {
+        let listener = std::net::TcpListener::bind(any_port()).expect("a free port");
         listener.local_addr().expect("an address").to_string()
     }
 
-    /// Runs a command line as an operator would.
+    /// Runs a command line with the addresses of the platform and of the first balancer.
     pub async fn ctl(&self, line: &str) -> Report {
         let store = self.stand.address().to_string();
         let mut words = vec!["acaciactl", "--author", "aino", "--store", &store];
@@ -179,7 +186,7 @@
         .await
     }
 
-    pub async fn end(mut self) {
+    pub async fn shut_down(mut self) {
         self.stop.cancel();
         while self.tasks.join_next().await.is_some() {}
         self.stand.stop().await;
--- a/crates/ctl/tests/it/main.rs
+++ b/crates/ctl/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! The operators' commands against a stand-in platform and small balancers, over TCP.
+//! Tests of the operators' commands against a simulated platform and minimal balancers, over TCP.
 
 mod command;
 mod fixture;
--- a/crates/ctl/tests/it/settings.rs
+++ b/crates/ctl/tests/it/settings.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn flags_go_before_the_file() {
+fn flags_override_the_file() {
     let text = "store = 10.0.0.1:1\nbalancer = 10.0.0.2:1\nbalancer = 10.0.0.3:1\nauthor = aino\n";
     let settings = resolve(text, &["--author", "väinö"]).expect("settings");
     assert_eq!(settings.store, Some(([10, 0, 0, 1], 1).into()));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn every_problem_of_the_file_is_named() {
+fn every_problem_of_the_file_is_reported() {
     let report = resolve("store = here\ncolour = red\n", &[]).expect_err("problems");
     assert_eq!(report.code, Code::SettingsInvalid);
     assert!(report.text.contains("here") && report.text.contains("colour"));
