--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operators' configuration as typed values, and its INI form.
 //!
-//! A [`Config`] is built in a few lines of Rust or read from INI with [`parse`]. [`check`] lists
-//! every problem of it at once, [`print()`] writes it in the one canonical form, [`plan`] compares
-//! two of them, and [`document`] is what the platform's store holds.
+//! A [`Config`] is built in Rust or parsed from INI with [`parse`]. [`check`] lists all of its
+//! problems, [`print()`] prints its canonical form, [`plan`] compares two configurations, and
+//! [`document`] defines the value in the platform's store.
 //!
 //! ```
 //! use acacia_config::{Config, Mark, Server, Service};
@@ -16,10 +16,10 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod callers;
 mod check;
 mod config;
 mod customer;
+mod customer_index;
 pub mod document;
 mod objective;
 mod parse;
@@ -29,10 +29,10 @@
 mod server;
 mod service;
 
-pub use callers::Callers;
 pub use check::check;
 pub use config::Config;
 pub use customer::{Customer, Mark, Prefix};
+pub use customer_index::CustomerIndex;
 pub use objective::{Latency, Objective, Ratio};
 pub use parse::parse;
 pub use print::print;
--- a/crates/config/src/plan/compare.rs
+++ b/crates/config/src/plan/compare.rs
@@ -1,8 +1,8 @@
-//! Finds the changes.
+//! Finds the changes between two configurations and their effects on services.
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use super::{Change, Effect, Step};
+use super::{Change, Effect, Transition};
 use crate::{Config, Customer, Server, Service, State};
 
 pub(super) fn changes(before: &Config, after: &Config) -> Vec<Change> {
@@ -35,27 +35,27 @@
     changes
 }
 
-/// A part that stands in one configuration or in both.
+/// A service, server or customer that is in one configuration or in both.
 enum Pair<'a, T> {
     Removed(&'a T),
     Added(&'a T),
     Both(&'a T, &'a T),
 }
 
-/// Brings together the parts of the same name, in the order of the names.
+/// Pairs the items of the same name, sorted by name.
 fn pairs<'a, T>(
     before: &'a [T],
     after: &'a [T],
     name: impl Fn(&T) -> Arc<str>,
 ) -> Vec<Pair<'a, T>> {
     let mut all: BTreeMap<Arc<str>, (Option<&T>, Option<&T>)> = BTreeMap::new();
-    for part in before {
-        all.entry(name(part)).or_default().0 = Some(part);
+    for item in before {
+        all.entry(name(item)).or_default().0 = Some(item);
     }
-    for part in after {
-        all.entry(name(part)).or_default().1 = Some(part);
+    for item in after {
+        all.entry(name(item)).or_default().1 = Some(item);
     }
-    let pair = |part| match part {
+    let pair = |item| match item {
         (Some(old), Some(new)) => Some(Pair::Both(old, new)),
         (Some(old), None) => Some(Pair::Removed(old)),
         (None, Some(new)) => Some(Pair::Added(new)),
@@ -66,16 +66,16 @@
 
 fn service(old: &Service, new: &Service, changes: &mut Vec<Change>) {
     let name = || Arc::clone(&new.name);
-    if !old.is_same_front(new) {
+    if !old.has_same_endpoint(new) {
         changes.push(Change::ServiceMoved(name()));
     }
     if old.share != new.share {
-        let step = step(old.share, new.share);
-        changes.push(Change::ShareChanged(name(), step));
+        let transition = transition(old.share, new.share);
+        changes.push(Change::ShareChanged(name(), transition));
     }
     if old.callers != new.callers {
-        let step = step(old.callers, new.callers);
-        changes.push(Change::CallersChanged(name(), step));
+        let transition = transition(old.callers, new.callers);
+        changes.push(Change::CallersChanged(name(), transition));
     }
     if (old.limit, old.objective) != (new.limit, new.objective) {
         changes.push(Change::ServiceTuned(name()));
@@ -88,16 +88,16 @@
         changes.push(Change::ServerReplaced(name()));
     }
     if old.state != new.state {
-        let step = step(old.state, new.state);
-        changes.push(Change::ServerState(name(), step));
+        let transition = transition(old.state, new.state);
+        changes.push(Change::ServerState(name(), transition));
     }
     if (old.limit, &old.data_centre) != (new.limit, &new.data_centre) {
         changes.push(Change::ServerTuned(name()));
     }
 }
 
-fn step<T>(from: T, to: T) -> Step<T> {
-    Step { from, to }
+fn transition<T>(from: T, to: T) -> Transition<T> {
+    Transition { from, to }
 }
 
 pub(super) fn effects(before: &Config, after: &Config) -> Vec<Effect> {
@@ -107,13 +107,13 @@
         let service = match pair {
             Pair::Removed(service) | Pair::Added(service) | Pair::Both(_, service) => service,
         };
-        let (from, to) = (tally(before, &service.name), tally(after, &service.name));
+        let (from, to) = (totals(before, &service.name), totals(after, &service.name));
         Effect {
             service: name(service),
-            share: step(from.share, to.share),
-            active: step(from.active, to.active),
-            draining: step(from.draining, to.draining),
-            slots: step(from.slots, to.slots),
+            share: transition(from.share, to.share),
+            active: transition(from.active, to.active),
+            draining: transition(from.draining, to.draining),
+            slots: transition(from.slots, to.slots),
         }
     });
     let changes = |e: &Effect| {
@@ -126,27 +126,27 @@
 }
 
 #[derive(Default)]
-struct Tally {
+struct Totals {
     share: u8,
     active: usize,
     draining: usize,
     slots: u64,
 }
 
-fn tally(config: &Config, name: &str) -> Tally {
-    let mut tally = Tally::default();
+fn totals(config: &Config, name: &str) -> Totals {
+    let mut totals = Totals::default();
     let Some(service) = config.service(name) else {
-        return tally;
+        return totals;
     };
-    tally.share = service.share;
+    totals.share = service.share;
     for server in config.servers_of(name) {
         match server.state {
             State::Active => {
-                tally.active += 1;
-                tally.slots += u64::from(server.limit_in(service).slots);
+                totals.active += 1;
+                totals.slots += u64::from(server.limit_in(service).slots);
             }
-            State::Drain { .. } => tally.draining += 1,
+            State::Drain { .. } => totals.draining += 1,
         }
     }
-    tally
+    totals
 }
--- a/crates/ctl/src/verb/history.rs
+++ b/crates/ctl/src/command/history.rs
@@ -1,11 +1,11 @@
-//! `history`: the last changes.
+//! `history`: lists the last changes.
 
 use crate::{Report, Settings, in_force, report::table};
 
 pub(crate) async fn run(settings: &Settings) -> Result<Report, Report> {
     let found = in_force::require(settings).await?;
     let records = found.document.records();
-    let now = settings.moment.unix;
+    let now = settings.invocation.unix_time;
     let rows = records.iter().map(|record| {
         vec![
             record.revision.to_string(),
@@ -18,7 +18,7 @@
     Ok(Report::new(text, &records))
 }
 
-/// A number of seconds in its largest whole unit.
+/// Formats an age in seconds, minutes, hours or days.
 fn age(seconds: u64) -> String {
     match seconds {
         0..=119 => format!("{seconds}s"),
