--- a/crates/ctl/tests/it/verb.rs
+++ b/crates/ctl/tests/it/verb.rs
@@ -54,7 +54,7 @@
 #[tokio::test]
 async fn a_lost_answer_is_reported_as_accepted() {
     let site = Site::new(0).await;
-    site.stand.steer(|faults| faults.lose_writes = 1);
+    site.stand.change_faults(|faults| faults.lose_writes = 1);
     let report = site
         .ctl(&format!(
             "apply {}",
@@ -157,7 +157,7 @@
     let file = site.file("one", &config(70)).display().to_string();
     site.ctl(&format!("apply {file}")).await;
     site.roll_out([1]).await;
-    site.stand.steer(|faults| faults.down = true);
+    site.stand.change_faults(|faults| faults.down = true);
     let printed = site.ctl("print").await;
     let plan = site.ctl(&format!("plan {file}")).await;
     let applied = site.ctl(&format!("apply {file}")).await;
@@ -193,7 +193,7 @@
 async fn with_nobody_to_ask_the_reason_is_the_platform() {
     let site = Site::new(0).await;
     let empty = site.ctl("print").await;
-    site.stand.steer(|faults| faults.silent = true);
+    site.stand.change_faults(|faults| faults.silent = true);
     let silent = site.ctl("print").await;
     assert_eq!(empty.code, Code::NothingInForce);
     assert_eq!(silent.code, Code::PlatformTimeout);
--- a/crates/platform/tests/it/apply/tcp.rs
+++ b/crates/platform/tests/it/apply/tcp.rs
@@ -21,7 +21,7 @@
 async fn a_write_with_a_lost_answer_is_reported_as_accepted() {
     let stand = stand().await;
     let client = client(&stand);
-    stand.steer(|faults| faults.lose_writes = 1);
+    stand.change_faults(|faults| faults.lose_writes = 1);
     let verdict = run(&client, request(1), 1).await;
     assert_eq!(verdict, Verdict::Accepted { revision: 1 });
     assert_eq!(stand.counts().swap, 1);
@@ -33,12 +33,12 @@
 async fn an_outage_after_the_write_is_reported_as_unknown() {
     let stand = stand().await;
     let client = client(&stand);
-    stand.steer(|faults| faults.lose_writes = 1);
+    stand.change_faults(|faults| faults.lose_writes = 1);
     let outage = async {
         while stand.counts().swap == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        stand.steer(|faults| faults.down = true);
+        stand.change_faults(|faults| faults.down = true);
     };
     let (verdict, ()) = tokio::join!(run(&client, request(1), 1), outage);
     let change = Id::new(1);
@@ -53,7 +53,7 @@
 async fn an_outage_before_the_write_is_reported_as_refused() {
     let stand = stand().await;
     let client = client(&stand);
-    stand.steer(|faults| faults.silent = true);
+    stand.change_faults(|faults| faults.silent = true);
     let verdict = run(&client, request(1), 1).await;
     let reason = Reason::Platform(Error::Timeout);
     assert_eq!(verdict, Verdict::Refused(reason));
@@ -70,9 +70,9 @@
         client_with_long_deadline(&stand),
         client_with_long_deadline(&stand),
     );
-    stand.steer(|faults| faults.slow_ms = 30);
+    stand.change_faults(|faults| faults.slow_ms = 30);
     let (first, second) = tokio::join!(run(&one, request(1), 1), run(&two, request(2), 2));
-    stand.steer(|faults| faults.slow_ms = 0);
+    stand.change_faults(|faults| faults.slow_ms = 0);
     let entry = one.get(&KEY.into()).await.expect("an answer");
     let document = Document::decode(entry.value.as_deref().expect("a value")).expect("a document");
     for (verdict, change) in [(first, 1), (second, 2)] {
@@ -90,7 +90,7 @@
     let client = client_with_long_deadline(&stand);
     run(&client, request(1), 1).await;
     run(&client, request(2), 1).await;
-    stand.steer(|faults| faults.stale = true);
+    stand.change_faults(|faults| faults.stale = true);
     let verdict = run(&client, request(3), 1).await;
     assert!(matches!(
         verdict,
--- a/crates/platform/tests/it/client.rs
+++ b/crates/platform/tests/it/client.rs
@@ -95,7 +95,7 @@
 async fn a_write_with_a_lost_answer_is_unknown_and_not_retried() {
     let stand = stand().await;
     let client = client(&stand);
-    stand.steer(|faults| faults.lose_writes = 1);
+    stand.change_faults(|faults| faults.lose_writes = 1);
     let lost = client.swap(swap(0, "one")).await;
     let entry = client.get(&key()).await.expect("an answer");
     assert_eq!(lost, Err(Error::Unknown));
@@ -110,9 +110,9 @@
 async fn reads_fail_after_bounded_attempts_and_succeed_after_the_outage() {
     let stand = stand().await;
     let client = client(&stand);
-    stand.steer(|faults| faults.down = true);
+    stand.change_faults(|faults| faults.down = true);
     let during = client.get(&key()).await;
-    stand.steer(|faults| faults.down = false);
+    stand.change_faults(|faults| faults.down = false);
     let after = client.get(&key()).await;
     assert!(matches!(during, Err(Error::Unreachable | Error::Timeout)));
     assert!(
@@ -128,7 +128,7 @@
 async fn reads_of_a_silent_platform_fail_after_bounded_attempts() {
     let stand = stand().await;
     let client = client(&stand);
-    stand.steer(|faults| faults.silent = true);
+    stand.change_faults(|faults| faults.silent = true);
     let answer = client.get(&key()).await;
     assert_eq!(answer, Err(Error::Timeout));
     assert_eq!(stand.counts().get, 3);
@@ -143,9 +143,9 @@
     let client = client_with_long_deadline(&stand);
     client.swap(swap(0, "one")).await.expect("written");
     client.swap(swap(1, "two")).await.expect("written");
-    stand.steer(|faults| faults.stale = true);
+    stand.change_faults(|faults| faults.stale = true);
     let stale = client.get(&key()).await;
-    stand.steer(|faults| faults.stale = false);
+    stand.change_faults(|faults| faults.stale = false);
     let entry = client.get(&key()).await.expect("an answer");
     let expected = Error::Stale {
         answered: 1,
@@ -164,7 +164,7 @@
     let client = client_with_long_deadline(&stand);
     client.swap(swap(0, "one")).await.expect("written");
     client.swap(swap(1, "two")).await.expect("written");
-    stand.steer(|faults| faults.stale = true);
+    stand.change_faults(|faults| faults.stale = true);
     let entry = client.watch(&key(), 2).await.expect("an answer");
     assert_eq!(entry.value.as_deref(), Some("one"));
     stand.stop().await;
@@ -207,7 +207,7 @@
     };
     stand.set_machines(vec![machine.clone()]);
     let prompt = client.machines().await;
-    stand.steer(|faults| faults.machines_late_ms = 3_600_000);
+    stand.change_faults(|faults| faults.machines_late_ms = 3_600_000);
     let late = client.machines().await;
     assert_eq!(prompt, Ok(vec![machine]));
     assert_eq!(late, Ok(Vec::new()));
--- a/crates/stand/src/platform/serve.rs
+++ b/crates/stand/src/platform/serve.rs
@@ -52,7 +52,7 @@
     /// use acacia_stand::platform::Stand;
     /// let any = "127.0.0.1:0".parse().expect("an address");
     /// let stand = Stand::start(any, any).await?;
-    /// stand.steer(|faults| faults.slow_ms = 50);
+    /// stand.change_faults(|faults| faults.slow_ms = 50);
     /// assert_eq!(stand.counts().total(), 0);
     /// stand.stop().await;
     /// # Ok(())
@@ -107,7 +107,7 @@
     }
 
     /// Changes the faults in force.
-    pub fn steer(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         self.shared.with(|inner, _| change(&mut inner.faults));
         self.shared.wake();
     }
