--- a/crates/e2e/tests/it/stand_in.rs
+++ b/crates/e2e/tests/it/stand_in.rs
@@ -98,7 +98,7 @@
 
     /// Runs the caller for a moment and hands on what it sends.
     fn turn(&mut self) {
-        self.stack.turn(Duration::from_millis(5)).unwrap();
+        self.stack.poll(Duration::from_millis(5)).unwrap();
         let mut bytes = [0; 2_048];
         while let Ok(len) = self.way.recv(&mut bytes) {
             let packet = &bytes[..len];
--- a/crates/stand/src/backend.rs
+++ b/crates/stand/src/backend.rs
@@ -134,7 +134,7 @@
     while !stop.is_raised() {
         server.keep_listening()?;
         let wait = if server.idle() { POLL } else { TICK };
-        server.stack.turn(wait)?;
+        server.stack.poll(wait)?;
         server.serve_connections();
         server.run_jobs(Instant::now());
         if let Some(commands) = &commands {
--- a/crates/stand/src/caller.rs
+++ b/crates/stand/src/caller.rs
@@ -158,7 +158,7 @@
         if !over {
             caller.begin_due(now - start)?;
         }
-        caller.stack.turn(TURN)?;
+        caller.stack.poll(TURN)?;
         caller.serve(Instant::now(), over);
         let requests = caller.flows.iter().any(|flow| !flow.is_feed());
         if (over || caller.begun >= options.requests && options.feeds == 0) && !requests {
--- a/crates/stand/src/stack.rs
+++ b/crates/stand/src/stack.rs
@@ -67,7 +67,7 @@
 
     /// Receives what has come, runs the protocol, sends what it has to say. Waits for a packet no
     /// longer than `wait`, less if a protocol timer is due before.
-    pub fn turn(&mut self, wait: Duration) -> std::io::Result<()> {
+    pub fn poll(&mut self, wait: Duration) -> std::io::Result<()> {
         let now = self.now();
         let due = self
             .interface
