--- a/crates/e2e/tests/it/stand_in.rs
+++ b/crates/e2e/tests/it/stand_in.rs
@@ -10,7 +10,7 @@
     net::{ADMIN, Network, TRAFFIC},
     process::Process,
 };
-use acacia_stand::{dialog::Request, stack::Stack};
+use acacia_stand::{protocol::Request, stack::Stack};
 use nix::sys::signal::Signal;
 use smoltcp::iface::SocketHandle;
 
--- a/crates/stand/src/backend.rs
+++ b/crates/stand/src/backend.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     admin::{self, Command, DONE},
-    dialog::{Answer, Request, take_line},
+    protocol::{Answer, Request, take_line},
     stack::{BATCH, Stack},
     stop::{Flag, POLL},
 };
--- a/crates/stand/src/caller.rs
+++ b/crates/stand/src/caller.rs
@@ -8,7 +8,7 @@
 use smoltcp::{iface::SocketHandle, socket::tcp};
 
 use crate::{
-    dialog::{Answer, Request, take_line},
+    protocol::{Answer, Request, take_line},
     stack::Stack,
     stop::Flag,
 };
--- a/crates/stand/src/lib.rs
+++ b/crates/stand/src/lib.rs
@@ -9,9 +9,9 @@
 pub mod admin;
 pub mod backend;
 pub mod caller;
-pub mod dialog;
 pub mod fabric;
 pub mod platform;
+pub mod protocol;
 pub mod relay;
 pub mod stack;
 pub mod stop;
--- a/crates/stand/src/dialog.rs
+++ b/crates/stand/src/protocol.rs
@@ -37,7 +37,7 @@
     /// The request's first line.
     ///
     /// ```
-    /// use acacia_stand::dialog::Request;
+    /// use acacia_stand::protocol::Request;
     /// let request = Request::Map { length: 9 };
     /// assert_eq!(Request::parse(request.line().trim_end()), Some(request));
     /// ```
@@ -92,7 +92,7 @@
     /// Reads an answer's first line, without its line end.
     ///
     /// ```
-    /// use acacia_stand::dialog::Answer;
+    /// use acacia_stand::protocol::Answer;
     /// let bytes = Answer::encode("a", b"body");
     /// let line = std::str::from_utf8(&bytes).unwrap().lines().next().unwrap();
     /// assert_eq!(Answer::parse(line).unwrap().length, 4);
@@ -115,8 +115,8 @@
 ///
 /// ```
 /// let mut buffer = b"one\ntw".to_vec();
-/// assert_eq!(acacia_stand::dialog::take_line(&mut buffer).as_deref(), Some("one"));
-/// assert_eq!(acacia_stand::dialog::take_line(&mut buffer), None);
+/// assert_eq!(acacia_stand::protocol::take_line(&mut buffer).as_deref(), Some("one"));
+/// assert_eq!(acacia_stand::protocol::take_line(&mut buffer), None);
 /// ```
 pub fn take_line(buffer: &mut Vec<u8>) -> Option<String> {
     let end = buffer.iter().position(|byte| *byte == b'\n')?;
