--- a/crates/stand/src/platform.rs
+++ b/crates/stand/src/platform.rs
@@ -1,7 +1,8 @@
-//! Stand-in for the platform: its key-value service and its list of VMs, in memory, over TCP,
-//! with faults on command.
+//! In-memory stand-in for the platform: serves its key-value store and its list of VMs over TCP,
+//! and injects faults on command.
 //!
-//! [`Stand`] starts it inside a process; [`control::Control`] steers one that runs elsewhere.
+//! [`Stand`] runs it inside the calling process; [`control::Control`] controls one that runs in
+//! another process.
 
 pub mod control;
 pub mod fault;
--- a/crates/stand/src/platform/control.rs
+++ b/crates/stand/src/platform/control.rs
@@ -1,22 +1,22 @@
-//! Steers a stand-in that runs in another process.
+//! Remote control of a stand-in that runs in another process.
 
 use acacia_platform::machine::Machine;
 
 use super::fault::{Counts, Faults};
 
-/// What a stand-in can be told. It answers on an address of its own, which no fault touches.
+/// Calls that control a stand-in. They are served on a separate address, which no fault affects.
 #[tarpc::service]
 pub trait Control {
-    /// Puts these faults in force in place of those before.
+    /// Replaces the faults in force.
     async fn faults(faults: Faults);
-    /// The connections that are open now go silent for good; new ones work.
+    /// Leaves every connection that is open now unanswered for good; later connections work.
     async fn silence_open();
-    /// Every lease lapses at once.
+    /// Expires every lease at once.
     async fn lapse_leases();
-    /// Puts a backup in place of the store, without the last write of each key.
+    /// Restores the store from a backup that lacks the last write of each key.
     async fn restore();
     /// Replaces the list of VMs.
     async fn machines(machines: Vec<Machine>);
-    /// Calls taken so far.
+    /// Returns the number of calls received so far, by kind.
     async fn counts() -> Counts;
 }
--- a/crates/stand/src/platform/fault.rs
+++ b/crates/stand/src/platform/fault.rs
@@ -1,41 +1,41 @@
-//! Faults that the stand-in brings about on command.
+//! Faults that the stand-in injects on command, and its call counters.
 
 use serde::{Deserialize, Serialize};
 
-/// The faults in force. The default is none.
+/// The faults in force. By default there are none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Faults {
-    /// Every connection is closed, open ones and new ones.
+    /// Whether open connections are closed, and new ones as soon as they are accepted.
     pub down: bool,
-    /// Connections are accepted and calls read, but nothing takes effect and nothing is answered.
+    /// Whether calls are read but neither applied nor answered. Connections are still accepted.
     pub silent: bool,
-    /// Every answer is this late, in milliseconds. The call takes effect at once.
+    /// Delay of every answer, in milliseconds. The call itself is applied at once.
     pub slow_ms: u64,
-    /// So many of the next writes take effect without being answered.
+    /// How many of the next writes are applied but not answered.
     pub lose_writes: u32,
-    /// Reads answer the value before the last write.
+    /// Whether reads return the value from before the last write.
     pub stale: bool,
-    /// The list of VMs is this late, in milliseconds.
+    /// How long a change to the list of VMs stays invisible, in milliseconds.
     pub machines_late_ms: u64,
 }
 
-/// Calls taken since the start, also those that were not answered.
+/// Calls received since the start, including those that were not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// Reads.
     pub get: u64,
     /// Compare-and-swaps.
     pub swap: u64,
-    /// Watches, one for each that waits.
+    /// Watches: one per call, however often it wakes while it waits.
     pub watch: u64,
-    /// Leases granted, kept alive and revoked.
+    /// Calls that grant, keep alive or revoke a lease.
     pub lease: u64,
     /// Reads of the list of VMs.
     pub machines: u64,
 }
 
 impl Counts {
-    /// Calls of any kind.
+    /// Returns the number of calls of any kind.
     ///
     /// ```
     /// let counts = acacia_stand::platform::fault::Counts { get: 2, watch: 1, ..Default::default() };
--- a/crates/stand/src/platform/serve.rs
+++ b/crates/stand/src/platform/serve.rs
@@ -1,4 +1,4 @@
-//! The stand-in's sockets.
+//! Serves the platform's calls and the control calls over TCP.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,14 +23,14 @@
     state::{Inner, Shared},
 };
 
-/// Longest call in bytes: a whole configuration, and as much again.
-const LONGEST_CALL: usize = 2 << 20;
-/// Connections at a time: as many as a test has balancers and operators.
-const CONNECTIONS: usize = 1000;
-/// How long a connection may stay: longer than any test.
-const LIFETIME: Duration = Duration::from_secs(24 * 3_600);
+/// Maximum size of a call, in bytes: twice the size of the largest configuration.
+const MAX_CALL_BYTES: usize = 2 << 20;
+/// Maximum number of simultaneous connections: enough for all balancers and operators of a test.
+const MAX_CONNECTIONS: usize = 1000;
+/// Maximum lifetime of a connection: longer than any test runs.
+const MAX_CONNECTION_LIFETIME: Duration = Duration::from_secs(24 * 3_600);
 
-/// A running stand-in for the platform.
+/// A running stand-in for the platform, with its listeners and state.
 #[derive(Debug)]
 pub struct Stand {
     shared: Arc<Shared>,
@@ -41,10 +41,11 @@
 }
 
 impl Stand {
-    /// Starts one that serves on `address` and is steered on `control`; port 0 takes a free one.
+    /// Starts a stand-in that serves the platform's calls on `address` and the control calls on
+    /// `control`. Port 0 selects a free port.
     ///
     /// # Errors
-    /// When an address can't be bound.
+    /// Fails if an address can't be bound.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")]
@@ -60,11 +61,11 @@
     /// ```
     pub async fn start(address: SocketAddr, control: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
-        let steering = TcpListener::bind(control).await?;
+        let control_listener = TcpListener::bind(control).await?;
         let mut stand = Stand {
             shared: Arc::new(Shared::new()),
             address: listener.local_addr()?,
-            control: steering.local_addr()?,
+            control: control_listener.local_addr()?,
             stop: CancellationToken::new(),
             tasks: JoinSet::new(),
         };
@@ -75,32 +76,32 @@
             limiter("store"),
             move |stream, slot| {
                 slot.activate();
-                platform(stream, Arc::clone(&shared))
+                serve_platform(stream, Arc::clone(&shared))
             },
         ));
         let (shared, stop) = (Arc::clone(&stand.shared), stand.stop.clone());
         stand.tasks.spawn(listen(
-            steering,
+            control_listener,
             stop,
             limiter("steering"),
             move |stream, slot| {
                 slot.activate();
-                let steer = Steer(Arc::clone(&shared));
-                server::serve_connection(stream, LONGEST_CALL, move |ctx, req| {
-                    steer.clone().serve().serve(ctx, req)
+                let session = ControlSession(Arc::clone(&shared));
+                server::serve_connection(stream, MAX_CALL_BYTES, move |ctx, req| {
+                    session.clone().serve().serve(ctx, req)
                 })
             },
         ));
         Ok(stand)
     }
 
-    /// Where it serves.
+    /// Returns the address that serves the platform's calls.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where it is steered.
+    /// Returns the address that serves the control calls.
     #[must_use]
     pub fn control(&self) -> SocketAddr {
         self.control
@@ -112,18 +113,18 @@
         self.shared.wake();
     }
 
-    /// The connections that are open now go silent for good; new ones work.
+    /// Leaves every connection that is open now unanswered for good; later connections work.
     pub fn silence_open(&self) {
         self.shared.with(silence_open);
     }
 
-    /// Every lease lapses at once.
+    /// Expires every lease at once.
     pub fn lapse_leases(&self) {
         self.shared.with(lapse_leases);
         self.shared.wake();
     }
 
-    /// Puts a backup in place of the store, without the last write of each key.
+    /// Restores the store from a backup that lacks the last write of each key.
     pub fn restore(&self) {
         self.shared.with(|inner, _| inner.store.restore());
         self.shared.wake();
@@ -135,13 +136,13 @@
         self.shared.with(set);
     }
 
-    /// Calls taken so far.
+    /// Returns the number of calls received so far, by kind.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.shared.with(|inner, _| inner.counts)
     }
 
-    /// Stops it and waits until nothing of it runs.
+    /// Stops serving and waits until all tasks have ended.
     pub async fn stop(mut self) {
         self.stop.cancel();
         while self.tasks.join_next().await.is_some() {}
@@ -150,11 +151,11 @@
 
 fn limiter(name: &'static str) -> Arc<Limiter> {
     let limits = Limits {
-        pending: CONNECTIONS,
-        active: CONNECTIONS,
-        pending_timeout: LIFETIME,
-        idle_timeout: LIFETIME,
-        stalled_after: LIFETIME,
+        pending: MAX_CONNECTIONS,
+        active: MAX_CONNECTIONS,
+        pending_timeout: MAX_CONNECTION_LIFETIME,
+        idle_timeout: MAX_CONNECTION_LIFETIME,
+        stalled_after: MAX_CONNECTION_LIFETIME,
     };
     Arc::new(Limiter::new(name, limits))
 }
@@ -167,8 +168,8 @@
     inner.store.expire(Duration::MAX);
 }
 
-/// Serves one connection for as long as the platform is not down.
-async fn platform(stream: TcpStream, shared: Arc<Shared>) {
+/// Serves one connection until it ends or the platform is set down.
+async fn serve_platform(stream: TcpStream, shared: Arc<Shared>) {
     let number = shared.with(|inner, _| {
         inner.opened += 1;
         inner.opened - 1
@@ -176,17 +177,17 @@
     let mut changes = shared.changes();
     let down = shared.clone();
     let session = Session { shared, number };
-    let serve = server::serve_connection(stream, LONGEST_CALL, move |ctx, req| {
+    let serve = server::serve_connection(stream, MAX_CALL_BYTES, move |ctx, req| {
         session.clone().serve().serve(ctx, req)
     });
     tokio::select! {
         () = serve => {}
-        () = went_down(&mut changes, &down) => {}
+        () = wait_until_down(&mut changes, &down) => {}
     }
 }
 
-/// Returns once the platform is down.
-async fn went_down(changes: &mut tokio::sync::watch::Receiver<u64>, shared: &Shared) {
+/// Waits until the platform is set down.
+async fn wait_until_down(changes: &mut tokio::sync::watch::Receiver<u64>, shared: &Shared) {
     while !shared.with(|inner, _| inner.faults.down) {
         if changes.changed().await.is_err() {
             return;
@@ -194,7 +195,7 @@
     }
 }
 
-/// The platform's calls, as one connection sees them.
+/// Serves the platform's calls of one connection.
 #[derive(Debug, Clone)]
 struct Session {
     shared: Arc<Shared>,
@@ -202,8 +203,8 @@
 }
 
 impl Session {
-    /// Counts a call and, when this connection is silent, never returns.
-    async fn begin(&self, count: impl FnOnce(&mut Counts)) {
+    /// Counts a call. Never returns if the platform or this connection is silent.
+    async fn begin_call(&self, count: impl FnOnce(&mut Counts)) {
         let silent = self.shared.with(|inner, _| {
             count(&mut inner.counts);
             inner.faults.silent || self.number < inner.silent_below
@@ -213,14 +214,15 @@
         }
     }
 
-    /// Delays an answer as the faults say.
-    async fn end<T>(&self, answer: T) -> T {
+    /// Returns `answer` after the delay that the faults in force set.
+    async fn delay_answer<T>(&self, answer: T) -> T {
         let slow = self.shared.with(|inner, _| inner.faults.slow_ms);
         time::sleep(Duration::from_millis(slow)).await;
         answer
     }
 
-    /// Applies a write, wakes the watches and answers, unless the answer is to be lost.
+    /// Applies a write, wakes the watches and returns the answer. Never returns if the faults in
+    /// force say that the answer is lost.
     async fn write<T>(&self, write: impl FnOnce(&mut Inner, Duration) -> T) -> T {
         let (answer, lost) = self.shared.with(|inner, now| {
             let answer = write(inner, now);
@@ -232,18 +234,18 @@
         if lost {
             std::future::pending::<()>().await;
         }
-        self.end(answer).await
+        self.delay_answer(answer).await
     }
 
     fn read(&self, key: &str) -> Entry {
         self.shared.with(|inner, _| match inner.faults.stale {
-            true => inner.store.get_before(key),
+            true => inner.store.get_previous(key),
             false => inner.store.get(key),
         })
     }
 
-    /// Until the next change or the next end of a lease.
-    async fn change(&self, changes: &mut tokio::sync::watch::Receiver<u64>) {
+    /// Waits for the next change or until the next lease expires.
+    async fn wait_for_change(&self, changes: &mut tokio::sync::watch::Receiver<u64>) {
         let next = self.shared.with(|inner, _| inner.store.next_expiry());
         let pause = next.map_or(Duration::MAX, |at| at.saturating_sub(self.shared.now()));
         tokio::select! {
@@ -255,57 +257,57 @@
 
 impl Platform for Session {
     async fn get(self, _: Context, key: Arc<str>) -> Entry {
-        self.begin(|counts| counts.get += 1).await;
-        self.end(self.read(&key)).await
+        self.begin_call(|counts| counts.get += 1).await;
+        self.delay_answer(self.read(&key)).await
     }
 
     async fn swap(self, _: Context, swap: Swap) -> Result<Outcome, Refusal> {
-        self.begin(|counts| counts.swap += 1).await;
+        self.begin_call(|counts| counts.swap += 1).await;
         self.write(|inner, _| inner.store.swap(swap)).await
     }
 
     async fn watch(self, _: Context, key: Arc<str>, above: u64, wait_ms: u64) -> Entry {
-        self.begin(|counts| counts.watch += 1).await;
+        self.begin_call(|counts| counts.watch += 1).await;
         let mut changes = self.shared.changes();
         let end = Instant::now() + Duration::from_millis(wait_ms);
         let wait = async {
             while self.read(&key).revision <= above {
-                self.change(&mut changes).await;
+                self.wait_for_change(&mut changes).await;
             }
         };
         let _changed = time::timeout_at(end, wait).await;
-        self.end(self.read(&key)).await
+        self.delay_answer(self.read(&key)).await
     }
 
     async fn grant(self, _: Context, ttl_ms: u64) -> Lease {
-        self.begin(|counts| counts.lease += 1).await;
+        self.begin_call(|counts| counts.lease += 1).await;
         let ttl = Duration::from_millis(ttl_ms);
         self.write(|inner, now| inner.store.grant(ttl, now)).await
     }
 
     async fn keep_alive(self, _: Context, lease: Lease) -> Result<(), Refusal> {
-        self.begin(|counts| counts.lease += 1).await;
+        self.begin_call(|counts| counts.lease += 1).await;
         self.write(|inner, now| inner.store.keep_alive(lease, now))
             .await
     }
 
     async fn revoke(self, _: Context, lease: Lease) -> Result<(), Refusal> {
-        self.begin(|counts| counts.lease += 1).await;
+        self.begin_call(|counts| counts.lease += 1).await;
         self.write(|inner, _| inner.store.revoke(lease)).await
     }
 
     async fn machines(self, _: Context) -> Vec<Machine> {
-        self.begin(|counts| counts.machines += 1).await;
+        self.begin_call(|counts| counts.machines += 1).await;
         let list = self.shared.with(|inner, now| inner.machines(now));
-        self.end(list).await
+        self.delay_answer(list).await
     }
 }
 
-/// The control calls.
+/// Serves the control calls of one connection.
 #[derive(Debug, Clone)]
-struct Steer(Arc<Shared>);
+struct ControlSession(Arc<Shared>);
 
-impl Control for Steer {
+impl Control for ControlSession {
     async fn faults(self, _: Context, faults: Faults) {
         self.0.with(|inner, _| inner.faults = faults);
         self.0.wake();
--- a/crates/stand/src/platform/state.rs
+++ b/crates/stand/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What all connections share: the store, the faults in force, the counts.
+//! State shared by all connections: the store, the faults in force and the call counters.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -13,10 +13,10 @@
     store::Store,
 };
 
-/// How many older lists of VMs are kept for the fault of being late.
-const LISTS: usize = 64;
+/// Number of lists of VMs kept, so that [`Faults::machines_late_ms`] can serve an older one.
+const MAX_MACHINE_LISTS: usize = 64;
 
-/// The state behind one lock, and what wakes those who wait for a change of it.
+/// The state behind one lock, and a channel that wakes the tasks waiting for a change.
 #[derive(Debug)]
 pub(super) struct Shared {
     start: Instant,
@@ -29,24 +29,24 @@
     pub(super) store: Store,
     pub(super) faults: Faults,
     pub(super) counts: Counts,
-    /// Connections opened so far.
+    /// Number of connections opened so far.
     pub(super) opened: u64,
-    /// Connections with a lower number are silent.
+    /// Connections with a lower number are never answered.
     pub(super) silent_below: u64,
-    lists: Vec<(Duration, Vec<Machine>)>,
+    machine_lists: Vec<(Duration, Vec<Machine>)>,
 }
 
 impl Inner {
     pub(super) fn set_machines(&mut self, now: Duration, machines: Vec<Machine>) {
-        self.lists.push((now, machines));
-        let surplus = self.lists.len().saturating_sub(LISTS);
-        self.lists.drain(..surplus);
+        self.machine_lists.push((now, machines));
+        let surplus = self.machine_lists.len().saturating_sub(MAX_MACHINE_LISTS);
+        self.machine_lists.drain(..surplus);
     }
 
-    /// The newest list that is at least as old as the fault says.
+    /// Returns the newest list that is at least as old as the injected delay.
     pub(super) fn machines(&self, now: Duration) -> Vec<Machine> {
         let late = Duration::from_millis(self.faults.machines_late_ms);
-        let mut known = self.lists.iter().rev();
+        let mut known = self.machine_lists.iter().rev();
         known
             .find(|(since, _)| *since + late <= now)
             .map_or_else(Vec::new, |(_, list)| list.clone())
@@ -66,12 +66,12 @@
         self.start.elapsed()
     }
 
-    /// Looks at the state or changes it, after ending the leases that are over.
-    pub(super) fn with<T>(&self, look: impl FnOnce(&mut Inner, Duration) -> T) -> T {
+    /// Reads or changes the state under the lock, after expiring the leases that are due.
+    pub(super) fn with<T>(&self, access: impl FnOnce(&mut Inner, Duration) -> T) -> T {
         let now = self.now();
         let mut inner = self.lock();
         let expired = inner.store.expire(now);
-        let value = look(&mut inner, now);
+        let value = access(&mut inner, now);
         drop(inner);
         if expired {
             self.wake();
@@ -79,7 +79,7 @@
         value
     }
 
-    /// Wakes all that wait for a change.
+    /// Wakes all tasks that wait for a change.
     pub(super) fn wake(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
--- a/crates/stand/src/platform/store.rs
+++ b/crates/stand/src/platform/store.rs
@@ -1,52 +1,54 @@
-//! The key-value service's state, without input, output or clock.
+//! State of the key-value store, without I/O. The caller passes the time.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use acacia_platform::store::{Entry, Lease, MAX_VALUE, Outcome, Refusal, Swap};
 
-/// Keys and leases.
+/// The keys and leases of a key-value store.
 #[derive(Debug, Default)]
 pub struct Store {
     revision: u64,
     keys: BTreeMap<Arc<str>, Key>,
-    leases: BTreeMap<Lease, Term>,
+    leases: BTreeMap<Lease, LeaseTerm>,
     granted: u64,
 }
 
-/// A key's value, and the one before it for the fault of answering old values.
+/// A key's current value, and its previous one for stale reads and restores.
 #[derive(Debug)]
 struct Key {
-    now: Entry,
-    before: Entry,
+    current: Entry,
+    previous: Entry,
     lease: Option<Lease>,
 }
 
-/// How long a lease lasts.
+/// Duration and expiry time of a lease.
 #[derive(Debug, Clone, Copy)]
-struct Term {
+struct LeaseTerm {
     ttl: Duration,
-    ends: Duration,
+    expires: Duration,
 }
 
 impl Store {
-    /// What a key holds.
+    /// Returns the current entry of a key.
     #[must_use]
     pub fn get(&self, key: &str) -> Entry {
-        self.keys.get(key).map_or(Entry::ABSENT, |k| k.now.clone())
+        self.keys
+            .get(key)
+            .map_or(Entry::ABSENT, |k| k.current.clone())
     }
 
-    /// What a key held before its last write.
+    /// Returns the entry that a key held before its last write.
     #[must_use]
-    pub fn get_before(&self, key: &str) -> Entry {
+    pub fn get_previous(&self, key: &str) -> Entry {
         self.keys
             .get(key)
-            .map_or(Entry::ABSENT, |k| k.before.clone())
+            .map_or(Entry::ABSENT, |k| k.previous.clone())
     }
 
-    /// Compares and swaps.
+    /// Replaces the value of a key if its revision is the expected one.
     ///
     /// # Errors
-    /// When the value is too large or the lease is gone.
+    /// Fails if the value is too large or the lease doesn't exist.
     ///
     /// ```
     /// use acacia_platform::store::{Outcome, Swap};
@@ -62,90 +64,97 @@
         if swap.lease.is_some_and(|l| !self.leases.contains_key(&l)) {
             return Err(Refusal::LeaseGone);
         }
-        let before = self.get(&swap.key);
-        if before.revision != swap.expected {
-            let revision = before.revision;
+        let previous = self.get(&swap.key);
+        if previous.revision != swap.expected {
+            let revision = previous.revision;
             return Ok(Outcome::Conflict { revision });
         }
-        let revision = self.write(swap.key, before, swap.value, swap.lease);
+        let revision = self.write(swap.key, previous, swap.value, swap.lease);
         Ok(Outcome::Written { revision })
     }
 
-    /// Puts a backup in place of the store: every key holds what it held before its last write,
-    /// and revisions count on from there.
+    /// Restores the store from a backup that lacks the last write of each key. Revisions continue
+    /// from the highest one in the backup.
     pub fn restore(&mut self) {
         for key in self.keys.values_mut() {
-            key.now = key.before.clone();
+            key.current = key.previous.clone();
         }
-        let newest = self.keys.values().map(|key| key.now.revision).max();
+        let newest = self.keys.values().map(|key| key.current.revision).max();
         self.revision = newest.unwrap_or(0);
     }
 
     fn write(
         &mut self,
         key: Arc<str>,
-        before: Entry,
+        previous: Entry,
         value: Option<Arc<str>>,
         lease: Option<Lease>,
     ) -> u64 {
         self.revision += 1;
         let revision = self.revision;
-        let now = Entry { revision, value };
-        self.keys.insert(key, Key { now, before, lease });
+        let current = Entry { revision, value };
+        self.keys.insert(
+            key,
+            Key {
+                current,
+                previous,
+                lease,
+            },
+        );
         revision
     }
 
-    /// Grants a lease at the time `now`.
+    /// Grants a lease that expires `ttl` after `now`.
     pub fn grant(&mut self, ttl: Duration, now: Duration) -> Lease {
         self.granted += 1;
         let lease = Lease(self.granted);
-        let ends = now + ttl;
-        self.leases.insert(lease, Term { ttl, ends });
+        let expires = now + ttl;
+        self.leases.insert(lease, LeaseTerm { ttl, expires });
         lease
     }
 
-    /// Starts a lease's time anew.
+    /// Renews a lease for its whole duration from `now` on.
     ///
     /// # Errors
-    /// When it is gone.
+    /// Fails if the lease doesn't exist.
     pub fn keep_alive(&mut self, lease: Lease, now: Duration) -> Result<(), Refusal> {
         let term = self.leases.get_mut(&lease).ok_or(Refusal::LeaseGone)?;
-        term.ends = now + term.ttl;
+        term.expires = now + term.ttl;
         Ok(())
     }
 
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease and removes the keys bound to it.
     ///
     /// # Errors
-    /// When it is gone already.
+    /// Fails if the lease doesn't exist.
     pub fn revoke(&mut self, lease: Lease) -> Result<(), Refusal> {
         self.leases.remove(&lease).ok_or(Refusal::LeaseGone)?;
         let bound: Vec<_> = self
             .keys
             .iter()
             .filter(|(_, key)| key.lease == Some(lease))
-            .map(|(name, key)| (Arc::clone(name), key.now.clone()))
+            .map(|(name, key)| (Arc::clone(name), key.current.clone()))
             .collect();
-        for (name, before) in bound {
-            self.write(name, before, None, None);
+        for (name, previous) in bound {
+            self.write(name, previous, None, None);
         }
         Ok(())
     }
 
-    /// Ends every lease whose time is over at `now`; true if there was one.
+    /// Revokes the leases that have expired at `now`. Returns whether there was one.
     pub fn expire(&mut self, now: Duration) -> bool {
-        let over: Vec<_> = self
+        let expired: Vec<_> = self
             .leases
             .iter()
-            .filter(|(_, term)| term.ends <= now)
+            .filter(|(_, term)| term.expires <= now)
             .map(|(lease, _)| *lease)
             .collect();
-        over.iter().any(|lease| self.revoke(*lease).is_ok())
+        expired.iter().any(|lease| self.revoke(*lease).is_ok())
     }
 
-    /// When the next lease ends.
+    /// Returns when the next lease expires.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
-        self.leases.values().map(|term| term.ends).min()
+        self.leases.values().map(|term| term.expires).min()
     }
 }
