--- a/crates/stand/src/lib.rs
+++ b/crates/stand/src/lib.rs
@@ -1,10 +1,11 @@
-//! Small stand-ins for the outside, for the demo and the tests with real processes: the fabric that
-//! sprays packets over the balancers, backend servers and callers that speak real TCP, and the
-//! platform.
+//! Stand-ins for the systems around the balancers, for the demo and for tests that run real
+//! processes: the fabric that spreads packets over the balancers, backend servers and callers that
+//! speak real TCP, the network between the balancers, and the platform.
 //!
-//! They are one program with a subcommand each, so that a test starts what it needs as separate
-//! processes. TCP is smoltcp's, over a device that is an encapsulated UDP socket: no privileges
-//! are needed, and every packet is real bytes.
+//! Each stand-in is a subcommand of one program, so that a test can run the ones it needs as
+//! separate processes. Backend servers and callers use the TCP implementation of smoltcp, which
+//! sends and receives its IP packets through a UDP socket. This needs no privileges, and the
+//! packets that balancers see are those of a real TCP connection.
 
 pub mod admin;
 pub mod backend;
--- a/crates/stand/src/main.rs
+++ b/crates/stand/src/main.rs
@@ -1,4 +1,4 @@
-//! `acacia-stand`: the outside of the system in small, for the demo and the tests.
+//! `acacia-stand`: runs stand-ins for the systems around the balancers, for the demo and the tests.
 
 use std::net::SocketAddr;
 
@@ -12,31 +12,32 @@
 #[command(
     name = "acacia-stand",
     version,
-    about = "Stand-ins for fabric, servers and callers"
+    about = "Stand-ins for the fabric, the network between balancers, the platform, backend servers and callers"
 )]
 enum Command {
-    /// Sprays callers' packets over the balancers.
+    /// Spreads callers' packets over the balancers and delivers answers to the callers.
     Fabric(fabric::Options),
     /// Serves requests over real TCP.
     Backend(backend::Options),
-    /// Opens feeds and requests, and prints what became of them.
+    /// Opens feeds, sends requests and prints how many succeeded and failed.
     Caller(caller::Options),
-    /// Serves a key-value service and a list of VMs from memory.
+    /// Serves a key-value store and a list of VMs from memory.
     Platform {
-        /// Where it serves.
+        /// Address that serves the platform's calls.
         #[arg(long)]
         listen: SocketAddr,
-        /// Where it is told its faults.
+        /// Address that serves the calls that inject faults.
         #[arg(long)]
         control: SocketAddr,
     },
-    /// Passes on what balancers say to each other and to the platform, and cuts it on command.
+    /// Forwards the traffic among balancers and between them and the platform, and blocks it on
+    /// command.
     Relay(relay::Options),
-    /// Sends a command to a running stand-in, as JSON.
+    /// Sends a JSON command to a running stand-in.
     Admin {
-        /// The stand-in's administration socket.
+        /// Address of the stand-in's administration socket.
         to: SocketAddr,
-        /// For instance '{"balancers":["127.0.0.1:7001"]}'.
+        /// The command, for instance '{"balancers":["127.0.0.1:7001"]}'.
         command: String,
     },
 }
