--- a/crates/stand/src/stop.rs
+++ b/crates/stand/src/stop.rs
@@ -1,4 +1,4 @@
-//! Ending on a signal.
+//! Graceful shutdown on a signal.
 
 use std::sync::{
     Arc,
@@ -7,15 +7,16 @@
 
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-/// Raised once the process was asked to end. Loops look at it at least every [`POLL`].
+/// A shutdown flag, raised once the process was asked to end. Every main loop checks it at least
+/// once per [`POLL`].
 #[derive(Debug, Clone, Default)]
 pub struct Flag(Arc<AtomicBool>);
 
-/// The longest that a loop waits for input before it looks at its [`Flag`].
+/// Maximum time that a loop waits for input before it checks its [`Flag`].
 pub const POLL: std::time::Duration = std::time::Duration::from_millis(50);
 
 impl Flag {
-    /// A flag that SIGINT and SIGTERM raise.
+    /// Returns a flag that is raised by SIGINT and SIGTERM.
     pub fn on_signals() -> std::io::Result<Self> {
         let flag = Flag::default();
         signal_hook::flag::register(SIGTERM, flag.0.clone())?;
@@ -23,7 +24,7 @@
         Ok(flag)
     }
 
-    /// Whether the process should end.
+    /// Returns whether the process should end.
     ///
     /// ```
     /// let flag = acacia_stand::stop::Flag::default();
@@ -35,7 +36,7 @@
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Asks for the end from inside the process.
+    /// Requests the shutdown from inside the process.
     pub fn raise(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
