--- a/crates/stand/src/protocol.rs
+++ b/crates/stand/src/protocol.rs
@@ -1,28 +1,31 @@
-//! What callers ask of backend servers, and what these answer: a line of text, then a body.
+//! The application protocol between callers and backend servers. A message is a line of text,
+//! followed by a body.
 
 /// A caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
-    /// A live feed: a line every so many milliseconds until the caller closes.
+    /// Subscribes to a live feed: the server sends lines at an interval until the caller closes the
+    /// connection.
     Feed {
         /// Time between two lines, in milliseconds.
         interval: u64,
     },
-    /// A check-in or reservation: not idempotent, so a server must see each id at most once.
+    /// Makes a check-in or reservation. It is not idempotent, so each id must reach a server at most
+    /// once.
     Checkin {
-        /// Chosen by the caller, unique over its life.
+        /// Identifier chosen by the caller, unique while the caller runs.
         id: u64,
-        /// Length of the body that follows, in bytes. The answer repeats the body.
+        /// Length of the body that follows, in bytes. The answer echoes the body.
         length: usize,
     },
-    /// A download of so many bytes.
+    /// Downloads a body of the given length.
     Map {
         /// Length of the answer's body, in bytes.
         length: usize,
     },
 }
 
-/// The head of an answer to [`Request::Checkin`] and [`Request::Map`].
+/// The header line of an answer to [`Request::Checkin`] and [`Request::Map`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// The backend server that ran the request.
@@ -34,7 +37,7 @@
 }
 
 impl Request {
-    /// The request's first line.
+    /// Returns the first line of the request, with its line end.
     ///
     /// ```
     /// use acacia_stand::protocol::Request;
@@ -50,11 +53,11 @@
         }
     }
 
-    /// Reads a first line, without its line end.
+    /// Parses the first line of a request, without its line end.
     #[must_use]
     pub fn parse(line: &str) -> Option<Self> {
-        let words: Vec<&str> = line.split(' ').collect();
-        match words[..] {
+        let fields: Vec<&str> = line.split(' ').collect();
+        match fields[..] {
             ["FEED", interval] => Some(Request::Feed {
                 interval: interval.parse().ok()?,
             }),
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Length of the body that follows the line, in bytes.
+    /// Returns the length of the body that follows the first line, in bytes.
     #[must_use]
     pub fn body(&self) -> usize {
         match self {
@@ -80,7 +83,7 @@
 }
 
 impl Answer {
-    /// An answer with `body`, ready to send.
+    /// Encodes an answer of `server` with `body`.
     #[must_use]
     pub fn encode(server: &str, body: &[u8]) -> Vec<u8> {
         let hash = blake3::hash(body).to_hex();
@@ -89,7 +92,7 @@
         bytes
     }
 
-    /// Reads an answer's first line, without its line end.
+    /// Parses the first line of an answer, without its line end.
     ///
     /// ```
     /// use acacia_stand::protocol::Answer;
@@ -99,8 +102,8 @@
     /// ```
     #[must_use]
     pub fn parse(line: &str) -> Option<Self> {
-        let words: Vec<&str> = line.split(' ').collect();
-        let ["OK", server, length, hash] = words[..] else {
+        let fields: Vec<&str> = line.split(' ').collect();
+        let ["OK", server, length, hash] = fields[..] else {
             return None;
         };
         Some(Answer {
@@ -111,7 +114,8 @@
     }
 }
 
-/// Takes the first line off `buffer` once it is complete; the line end is dropped.
+/// Removes the first line from `buffer` and returns it without its line end, or returns `None` if
+/// the line is not complete.
 ///
 /// ```
 /// let mut buffer = b"one\ntw".to_vec();
