--- a/crates/stand/src/fabric.rs
+++ b/crates/stand/src/fabric.rs
@@ -1,5 +1,5 @@
-//! The fabric: hands each caller's packet to a balancer of its choosing, and each answer straight
-//! to its caller.
+//! The fabric: forwards each packet of a caller to a randomly chosen balancer, and each answer
+//! directly to its caller.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, UdpSocket},
@@ -17,24 +17,24 @@
 };
 
 /// Length of an IPv4 header without options, in bytes.
-const IPV4_HEADER: usize = 20;
+const IPV4_HEADER_BYTES: usize = 20;
 
-/// Addresses and behaviour.
+/// Addresses, the initial balancers and the random seed.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Where callers send their packets.
+    /// Address that receives the packets of callers.
     #[arg(long)]
     pub callers: SocketAddr,
-    /// Where backend servers and balancers send what is for callers.
+    /// Address that receives the packets of backend servers and balancers for callers.
     #[arg(long)]
     pub answers: SocketAddr,
-    /// Where commands come in.
+    /// Address that receives administration commands.
     #[arg(long)]
     pub admin: SocketAddr,
-    /// Balancers to spray over at first.
+    /// Balancers over which packets are spread at first.
     #[arg(long, value_delimiter = ',')]
     pub balancers: Vec<SocketAddr>,
-    /// Seed of the choice of balancers.
+    /// Seed of the random choice of balancers and of lost packets.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
@@ -68,14 +68,21 @@
         options.balancers.len()
     );
     thread::scope(|scope| {
-        scope.spawn(|| each_packet(&callers, stop, |packet, from| spray(&state, packet, from)));
         scope.spawn(|| {
-            each_packet(&answers, stop, |packet, _| {
-                lock(&state).endpoints.get(&address(packet, 16)?).copied()
+            forward_packets(&callers, stop, |packet, from| {
+                choose_balancer(&state, packet, from)
+            })
+        });
+        scope.spawn(|| {
+            forward_packets(&answers, stop, |packet, _| {
+                lock(&state)
+                    .endpoints
+                    .get(&ipv4_address(packet, 16)?)
+                    .copied()
             });
         });
         while !stop.is_raised() {
-            if let Err(error) = admin::receive(&commands, |command| obey(&state, command)) {
+            if let Err(error) = admin::receive(&commands, |command| execute(&state, command)) {
                 log::warn!("event=command-failed error=\"{error}\"");
             }
         }
@@ -83,7 +90,7 @@
     Ok(())
 }
 
-fn each_packet(
+fn forward_packets(
     socket: &UdpSocket,
     stop: &Flag,
     route: impl Fn(&[u8], SocketAddr) -> Option<SocketAddr>,
@@ -94,14 +101,15 @@
             continue;
         };
         if let Some(to) = route(&bytes[..len], from) {
-            // A full socket buffer loses the packet as a network would; TCP sends it again.
+            // A packet that doesn't fit the socket buffer is lost, as in a network; TCP
+            // retransmits it.
             let _ = socket.send_to(&bytes[..len], to);
         }
     }
 }
 
-fn spray(state: &Mutex<State>, packet: &[u8], from: SocketAddr) -> Option<SocketAddr> {
-    let source = address(packet, 12)?;
+fn choose_balancer(state: &Mutex<State>, packet: &[u8], from: SocketAddr) -> Option<SocketAddr> {
+    let source = ipv4_address(packet, 12)?;
     let mut state = lock(state);
     state.endpoints.insert(source, from);
     if state.balancers.is_empty() || state.random.random_range(0..1000) < state.loss {
@@ -112,18 +120,18 @@
     Some(state.balancers[choice])
 }
 
-fn obey(state: &Mutex<State>, command: Command) -> String {
+fn execute(state: &Mutex<State>, command: Command) -> String {
     let mut state = lock(state);
     match command {
         Command::Balancers(balancers) => state.balancers = balancers,
         Command::Loss(loss) => state.loss = loss,
-        _ => return "not for the fabric".to_owned(),
+        _ => return "the fabric doesn't support this command".to_owned(),
     }
     DONE.to_owned()
 }
 
-fn address(packet: &[u8], at: usize) -> Option<Ipv4Addr> {
-    let header = packet.get(..IPV4_HEADER)?;
+fn ipv4_address(packet: &[u8], at: usize) -> Option<Ipv4Addr> {
+    let header = packet.get(..IPV4_HEADER_BYTES)?;
     Some(Ipv4Addr::new(
         header[at],
         header[at + 1],
