--- a/crates/stand/src/backend.rs
+++ b/crates/stand/src/backend.rs
@@ -1,4 +1,5 @@
-//! A backend server: real TCP, a few slots in which work takes its time, and a record of what ran.
+//! A backend server: serves requests over real TCP, runs a limited number of jobs at a time, each
+//! for a set duration, and counts what it served.
 
 use std::{
     collections::VecDeque,
@@ -12,62 +13,63 @@
 use crate::{
     admin::{self, Command, DONE},
     protocol::{Answer, Request, take_line},
-    stack::{BATCH, Stack},
+    stack::{MAX_PACKETS_PER_POLL, Stack},
     stop::{Flag, POLL},
 };
 
-/// Sockets that wait for an opening: as many as one turn can bring. After a moment without processor
-/// a burst lies in the link's socket; an opening that met no listening socket would be answered by a
-/// reset, and a test would count a caller as refused that no balancer refused.
-const BACKLOG: usize = BATCH;
-/// The shortest wait between two looks at work that is due.
-const TICK: Duration = Duration::from_millis(2);
+/// Number of listening sockets: as many as the SYNs that one poll can receive. If the process gets
+/// no processor time for a while, a burst of SYNs queues in the UDP socket. A SYN without a
+/// listening socket would be answered by a reset, and a test would count its caller as refused
+/// although no balancer refused it.
+const LISTENING_SOCKETS: usize = MAX_PACKETS_PER_POLL;
+/// Maximum wait for packets while jobs or feeds are active, so that those due are served in time.
+const ACTIVE_WAIT: Duration = Duration::from_millis(2);
 
 /// Addresses, speed and limits.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Name given in answers.
+    /// Name of this server, returned in its answers.
     #[arg(long)]
     pub name: String,
-    /// Where balancers send encapsulated packets.
+    /// Address that receives encapsulated packets from balancers.
     #[arg(long)]
     pub listen: SocketAddr,
-    /// Where answers for callers are sent.
+    /// Address of the fabric, to which answers for callers are sent.
     #[arg(long)]
     pub fabric: SocketAddr,
-    /// Where commands come in.
+    /// Address that receives administration commands.
     #[arg(long)]
     pub admin: Option<SocketAddr>,
-    /// The service's address and port, which this server answers for.
+    /// The service's address and port, for which this server answers.
     #[arg(long)]
     pub service: SocketAddrV4,
-    /// Pieces of work that run at the same time.
+    /// Maximum number of jobs that run at the same time.
     #[arg(long, default_value_t = 2)]
     pub slots: usize,
-    /// How long a piece of work takes, in milliseconds.
+    /// Duration of a job, in milliseconds.
     #[arg(long, default_value_t = 2)]
     pub work: u64,
-    /// Connections held at once; further openings are not answered.
+    /// Maximum number of simultaneous connections; a SYN beyond it is not accepted.
     #[arg(long, default_value_t = 2000)]
     pub connections: usize,
 }
 
-/// What ran, in counts.
+/// Counts of what the server did.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Outcome {
     /// Connections opened.
     pub opened: u64,
     /// Check-ins run.
     pub checkins: u64,
-    /// Check-ins run though their id had run before: always a fault.
+    /// Check-ins whose id had been run before. Any count but 0 is a fault.
     pub duplicates: u64,
     /// Downloads run.
     pub maps: u64,
-    /// Feeds begun.
+    /// Feeds started.
     pub feeds: u64,
-    /// Requests that could not be read.
+    /// Requests that could not be parsed.
     pub unreadable: u64,
-    /// Packets that belong to no connection here, answered by a reset.
+    /// Resets sent in answer to packets that belong to no connection.
     pub resets: u64,
 }
 
@@ -102,8 +104,8 @@
     connections: Vec<Connection>,
     waiting: VecDeque<Job>,
     running: Vec<(Instant, Job)>,
-    seen: Set<u64>,
-    work: Duration,
+    completed_ids: Set<u64>,
+    job_duration: Duration,
     outcome: Outcome,
 }
 
@@ -122,8 +124,8 @@
         connections: Vec::new(),
         waiting: VecDeque::new(),
         running: Vec::new(),
-        seen: Set::default(),
-        work: Duration::from_millis(options.work),
+        completed_ids: Set::default(),
+        job_duration: Duration::from_millis(options.work),
         outcome: Outcome::default(),
     };
     log::info!(
@@ -132,13 +134,13 @@
         options.listen
     );
     while !stop.is_raised() {
-        server.keep_listening()?;
-        let wait = if server.idle() { POLL } else { TICK };
+        server.refill_listening_sockets()?;
+        let wait = if server.is_idle() { POLL } else { ACTIVE_WAIT };
         server.stack.poll(wait)?;
         server.serve_connections();
         server.run_jobs(Instant::now());
         if let Some(commands) = &commands {
-            admin::receive(commands, |command| server.obey(&command))?;
+            admin::receive(commands, |command| server.execute(&command))?;
         }
     }
     Ok(Outcome {
@@ -148,16 +150,16 @@
 }
 
 impl Server<'_> {
-    fn obey(&mut self, command: &Command) -> String {
+    fn execute(&mut self, command: &Command) -> String {
         match command {
-            Command::Work(millis) => self.work = Duration::from_millis(*millis),
+            Command::Work(millis) => self.job_duration = Duration::from_millis(*millis),
             Command::Opened => return self.outcome.opened.to_string(),
-            _ => return "not for a backend server".into(),
+            _ => return "the backend server doesn't support this command".into(),
         }
         DONE.to_owned()
     }
 
-    fn idle(&self) -> bool {
+    fn is_idle(&self) -> bool {
         self.running.is_empty()
             && self
                 .connections
@@ -165,10 +167,10 @@
                 .all(|c| !c.opened || c.feed.is_none())
     }
 
-    fn keep_listening(&mut self) -> anyhow::Result<()> {
+    fn refill_listening_sockets(&mut self) -> anyhow::Result<()> {
         let listening = self.connections.iter().filter(|c| !c.opened).count();
-        for _ in listening..BACKLOG {
-            if self.connections.len() >= self.options.connections + BACKLOG {
+        for _ in listening..LISTENING_SOCKETS {
+            if self.connections.len() >= self.options.connections + LISTENING_SOCKETS {
                 break;
             }
             let handle = self.stack.add();
@@ -219,7 +221,7 @@
             let Some(job) = self.waiting.pop_front() else {
                 break;
             };
-            self.running.push((now + self.work, job));
+            self.running.push((now + self.job_duration, job));
         }
     }
 
@@ -227,7 +229,7 @@
         let body = match &job.request {
             Request::Checkin { id, .. } => {
                 self.outcome.checkins += 1;
-                if !self.seen.insert(*id) {
+                if !self.completed_ids.insert(*id) {
                     self.outcome.duplicates += 1;
                 }
                 job.body.clone()
@@ -261,11 +263,11 @@
 
     fn receive(&mut self, socket: &mut tcp::Socket<'_>) {
         while socket.can_recv() {
-            let taken = socket.recv(|bytes| {
+            let result = socket.recv(|bytes| {
                 self.received.extend_from_slice(bytes);
                 (bytes.len(), bytes.len())
             });
-            if taken.is_err() {
+            if result.is_err() {
                 break;
             }
         }
--- a/crates/stand/src/stack.rs
+++ b/crates/stand/src/stack.rs
@@ -1,4 +1,4 @@
-//! A TCP/IP stack in user space whose link is an encapsulated UDP socket.
+//! A TCP/IP stack in user space that carries each IP packet in a UDP datagram.
 
 use std::{
     collections::VecDeque,
@@ -13,35 +13,35 @@
     wire::{HardwareAddress, IpAddress, IpCidr, IpEndpoint},
 };
 
-/// Largest IP packet, in bytes: an Ethernet frame less what the encapsulation adds.
+/// Maximum size of an IP packet, in bytes: the MTU of Ethernet less the encapsulation's headers.
 const MTU: usize = 1450;
-/// Buffer of each TCP socket, each way, in bytes.
-const BUFFER: usize = 16 * 1024;
-/// Where the TCP flags stand in a packet without IP options, and three of them.
-const FLAGS: usize = 33;
+/// Size of the send buffer and of the receive buffer of a TCP socket, in bytes.
+const SOCKET_BUFFER_BYTES: usize = 16 * 1024;
+/// Offset of the TCP flags in a packet without IP options.
+const TCP_FLAGS_OFFSET: usize = 33;
 const SYN: u8 = 2;
 const RESET: u8 = 4;
 const ACK: u8 = 16;
-/// Packets taken in per turn, so that a flood can't keep timers from running.
-pub const BATCH: usize = 32;
+/// Maximum number of packets received per poll, so that a flood can't starve the protocol timers.
+pub const MAX_PACKETS_PER_POLL: usize = 32;
 
-/// The stack: an interface, its sockets and the link.
+/// A network interface with its TCP sockets, and the UDP socket that carries its packets.
 pub struct Stack {
     interface: Interface,
     sockets: SocketSet<'static>,
     device: Device,
     link: UdpSocket,
-    towards: SocketAddr,
+    next_hop: SocketAddr,
     started: Instant,
     resets: u64,
 }
 
 impl Stack {
-    /// A stack with `address`, that receives on `link` and sends everything to `towards`.
+    /// Creates a stack with `address` that receives on `link` and sends every packet to `next_hop`.
     pub fn new(
         address: Ipv4Addr,
         link: UdpSocket,
-        towards: SocketAddr,
+        next_hop: SocketAddr,
         seed: u64,
     ) -> anyhow::Result<Self> {
         let mut device = Device::default();
@@ -59,14 +59,14 @@
             sockets: SocketSet::new(Vec::new()),
             device,
             link,
-            towards,
+            next_hop,
             started: Instant::now(),
             resets: 0,
         })
     }
 
-    /// Receives what has come, runs the protocol, sends what it has to say. Waits for a packet no
-    /// longer than `wait`, less if a protocol timer is due before.
+    /// Receives pending packets, runs the protocol and sends the resulting packets. Waits for a
+    /// packet until `wait` has passed or a protocol timer is due, whichever comes first.
     pub fn poll(&mut self, wait: Duration) -> std::io::Result<()> {
         let now = self.now();
         let due = self
@@ -79,9 +79,9 @@
         self.link.set_nonblocking(false)?;
         self.link.set_read_timeout(Some(wait))?;
         let mut bytes = [0; 2048];
-        for _ in 0..BATCH {
+        for _ in 0..MAX_PACKETS_PER_POLL {
             match self.link.recv(&mut bytes) {
-                Ok(len) if self.is_repeated(&bytes[..len]) => {}
+                Ok(len) if self.is_repeated_syn(&bytes[..len]) => {}
                 Ok(len) => self.device.received.push_back(bytes[..len].to_vec()),
                 Err(_) => break,
             }
@@ -90,61 +90,67 @@
         self.interface
             .poll(self.now(), &mut self.device, &mut self.sockets);
         while let Some(packet) = self.device.to_send.pop_front() {
-            if packet.get(FLAGS).is_some_and(|flags| flags & RESET != 0) {
+            if packet
+                .get(TCP_FLAGS_OFFSET)
+                .is_some_and(|flags| flags & RESET != 0)
+            {
                 self.resets += 1;
-                let Ends { from, to } = Ends::of(&packet);
+                let Endpoints { from, to } = Endpoints::of(&packet);
                 log::info!("event=reset-sent from={from} to={to}");
             }
-            // A full socket buffer loses the packet as a network would; TCP sends it again.
-            let _ = self.link.send_to(&packet, self.towards);
+            // A packet that doesn't fit the socket buffer is lost, as in a network; TCP
+            // retransmits it.
+            let _ = self.link.send_to(&packet, self.next_hop);
         }
         Ok(())
     }
 
-    /// Whether a packet opens a flow that a socket has, or that opens in this turn already.
+    /// Returns whether a packet is a repeated SYN: its flow already has a socket, or another SYN of
+    /// the flow was received in the same poll.
     ///
-    /// The library gives an opening to the first socket that takes it, and a listening one may come
-    /// before the flow's own. An opening that its caller has sent again, as the first waited here for
-    /// over a second, would then open the flow twice, with two sequence numbers, and the flow's own
-    /// packets be answered by resets. Dropped, it is made good by the first one's answer.
-    fn is_repeated(&self, packet: &[u8]) -> bool {
-        let opens = |packet: &[u8]| {
+    /// smoltcp passes a SYN to the first socket that accepts it, and a listening socket may precede
+    /// the one that already holds the flow. If a SYN waits here for over a second, the caller
+    /// retransmits it; accepting both would open the flow twice, with two initial sequence numbers,
+    /// and later packets of the flow would be answered by resets. The repeated SYN can be dropped,
+    /// because the answer to the first one serves the caller as well.
+    fn is_repeated_syn(&self, packet: &[u8]) -> bool {
+        let is_syn = |packet: &[u8]| {
             packet
-                .get(FLAGS)
+                .get(TCP_FLAGS_OFFSET)
                 .is_some_and(|flags| flags & (SYN | ACK) == SYN)
         };
-        if !opens(packet) {
+        if !is_syn(packet) {
             return false;
         }
-        let remote = Some(Ends::of(packet).from);
+        let remote = Some(Endpoints::of(packet).from);
         let mut sockets = self.sockets.iter().map(|(_, socket)| match socket {
             smoltcp::socket::Socket::Tcp(socket) => socket,
         });
         let mut received = self.device.received.iter();
         sockets.any(|socket| socket.is_active() && socket.remote_endpoint().map(endpoint) == remote)
-            || received.any(|other| opens(other) && Some(Ends::of(other).from) == remote)
+            || received.any(|other| is_syn(other) && Some(Endpoints::of(other).from) == remote)
     }
 
-    /// Resets sent: answers to packets that belong to no connection here.
+    /// Returns the number of resets sent in answer to packets that belong to no connection.
     #[must_use]
     pub fn resets(&self) -> u64 {
         self.resets
     }
 
-    /// Adds a closed TCP socket.
+    /// Adds a closed TCP socket and returns its handle.
     pub fn add(&mut self) -> SocketHandle {
-        let buffer = || tcp::SocketBuffer::new(vec![0; BUFFER]);
+        let buffer = || tcp::SocketBuffer::new(vec![0; SOCKET_BUFFER_BYTES]);
         let mut socket = tcp::Socket::new(buffer(), buffer());
         socket.set_nagle_enabled(false);
         self.sockets.add(socket)
     }
 
-    /// The TCP socket of `handle`.
+    /// Returns the TCP socket of `handle`.
     pub fn socket(&mut self, handle: SocketHandle) -> &mut tcp::Socket<'static> {
         self.sockets.get_mut(handle)
     }
 
-    /// Opens a connection from `port` to `remote`.
+    /// Opens a connection from the local `port` to `remote`.
     pub fn connect(
         &mut self,
         handle: SocketHandle,
@@ -167,19 +173,20 @@
     }
 }
 
-/// Where a TCP packet without IP options comes from and goes to.
-struct Ends {
+/// Source and destination of a TCP packet without IP options.
+struct Endpoints {
     from: SocketAddrV4,
     to: SocketAddrV4,
 }
 
-impl Ends {
-    /// Zeroes stand for what a short packet lacks.
+impl Endpoints {
+    /// Reads the endpoints from a packet's headers. Bytes beyond the end of a short packet count as
+    /// 0.
     fn of(packet: &[u8]) -> Self {
         let byte = |at: usize| packet.get(at).copied().unwrap_or(0);
         let address = |at: usize| Ipv4Addr::new(byte(at), byte(at + 1), byte(at + 2), byte(at + 3));
         let port = |at: usize| u16::from_be_bytes([byte(at), byte(at + 1)]);
-        Ends {
+        Endpoints {
             from: SocketAddrV4::new(address(12), port(20)),
             to: SocketAddrV4::new(address(16), port(22)),
         }
