--- a/crates/stand/src/relay.rs
+++ b/crates/stand/src/relay.rs
@@ -1,8 +1,8 @@
-//! The network between the balancers, and between each of them and the platform: passes
-//! everything on, and on command cuts chosen directions or lets open connections go silent.
+//! The network among the balancers, and between each of them and the platform. It forwards all
+//! traffic, and on command blocks chosen directions or discards what open connections carry.
 //!
-//! It stands at the addresses that balancers advertise. The sender of a datagram is known by its
-//! source address, that of a control connection by its first frame.
+//! The relay listens on the addresses that balancers advertise. It identifies the sender of a
+//! datagram by the source address, and that of a control connection by the first frame.
 
 use std::{
     collections::BTreeMap,
@@ -29,31 +29,34 @@
     stop::{Flag, POLL},
 };
 
-/// Stands for the platform where a balancer's number is expected. No balancer has this number.
+/// Identifies the platform in a direction, in place of a balancer's number. No balancer has this
+/// number.
 pub const PLATFORM: u16 = u16::MAX;
 
-/// Bytes before each frame that tell its length.
-const LENGTH: usize = 8;
-/// Bytes taken from a connection at once. What a cut holds back beyond them stays with the kernel,
-/// and passes after the cut, as TCP sends it again.
-const CHUNK: usize = 16 << 10;
+/// Size of the length field before each frame, in bytes.
+const LENGTH_FIELD_BYTES: usize = 8;
+/// Maximum number of bytes read from a connection at once. While a direction is blocked, the bytes
+/// beyond these stay in the kernel's buffers. They are forwarded once it is open again, as TCP would
+/// retransmit them after an outage.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Addresses.
+/// Addresses of the balancers, the platform and the administration socket.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
     /// A balancer as NUMBER,ADVERTISED,REAL; the last two are IP numbers.
     #[arg(long = "balancer")]
     pub balancers: Vec<Balancer>,
-    /// Port of the encapsulation.
+    /// Port of encapsulated packets.
     #[arg(long)]
     pub traffic: u16,
     /// Port of control traffic between balancers.
     #[arg(long)]
     pub control: u16,
-    /// The platform, offered to each balancer at its advertised address and the same port.
+    /// Address of the platform. Each balancer reaches it through the relay, at the balancer's
+    /// advertised address and the platform's port.
     #[arg(long)]
     pub platform: SocketAddrV4,
-    /// Where commands come in.
+    /// Address that receives administration commands.
     #[arg(long)]
     pub admin: SocketAddr,
 }
@@ -61,11 +64,11 @@
 /// A balancer behind the relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Balancer {
-    /// Its number.
+    /// The balancer's number.
     pub id: u16,
-    /// Where the others reach it.
+    /// Advertised address, at which the other balancers reach it through the relay.
     pub advertised: Ipv4Addr,
-    /// Where it listens.
+    /// Address on which the balancer listens.
     pub real: Ipv4Addr,
 }
 
@@ -90,24 +93,25 @@
     }
 }
 
-/// A sender and a receiver.
+/// The numbers of a sender and a receiver.
 type Direction = (u16, u16);
 
-/// What does not pass.
+/// Traffic that is not forwarded.
 #[derive(Debug, Default)]
 struct Faults {
     cut: Set<Direction>,
-    /// Connections with a number below this are silent for good.
+    /// For each direction, the number below which connections are silent: bytes read from them are
+    /// discarded for good.
     silent_below: Map<Direction, u64>,
 }
 
-/// What all tasks share.
+/// State shared by all tasks.
 #[derive(Debug)]
 struct Shared {
     faults: watch::Sender<Faults>,
     opened: AtomicU64,
     senders: Map<Ipv4Addr, u16>,
-    /// Bytes of control traffic passed on, by sender.
+    /// Bytes of control traffic forwarded, by sender.
     sent: Mutex<BTreeMap<u16, u64>>,
 }
 
@@ -142,7 +146,7 @@
             });
         });
         while !stop.is_raised() {
-            if let Err(error) = admin::receive(&commands, |command| obey(&shared, command)) {
+            if let Err(error) = admin::receive(&commands, |command| execute(&shared, command)) {
                 log::warn!("event=command-failed error=\"{error}\"");
             }
         }
@@ -157,24 +161,24 @@
         let real = |port| SocketAddrV4::new(balancer.real, port);
         let socket = UdpSocket::bind(at(options.traffic)).await?;
         let (id, state) = (balancer.id, Arc::clone(shared));
-        tasks.spawn(datagrams(state, socket, id, real(options.traffic)));
+        tasks.spawn(forward_datagrams(state, socket, id, real(options.traffic)));
 
         let listener = TcpListener::bind(at(options.control)).await?;
         let (state, to) = (Arc::clone(shared), real(options.control));
         tasks.spawn(accept(listener, move |stream| {
-            control(Arc::clone(&state), stream, id, to)
+            forward_control(Arc::clone(&state), stream, id, to)
         }));
 
         let listener = TcpListener::bind(at(options.platform.port())).await?;
         let (state, to) = (Arc::clone(shared), options.platform);
         tasks.spawn(accept(listener, move |stream| {
-            platform(Arc::clone(&state), stream, id, to)
+            forward_platform(Arc::clone(&state), stream, id, to)
         }));
     }
     Ok(tasks)
 }
 
-fn obey(shared: &Shared, command: Command) -> String {
+fn execute(shared: &Shared, command: Command) -> String {
     match command {
         Command::Cut(directions) => shared
             .faults
@@ -187,16 +191,17 @@
             });
         }
         Command::Sent => return serde_json::json!(*shared.sent()).to_string(),
-        _ => return "not for the relay".to_owned(),
+        _ => return "the relay doesn't support this command".to_owned(),
     }
     DONE.to_owned()
 }
 
-/// Passes on redirected packets for balancer `to`.
-async fn datagrams(shared: Arc<Shared>, socket: UdpSocket, to: u16, real: SocketAddrV4) {
+/// Forwards redirected packets to balancer `to`.
+async fn forward_datagrams(shared: Arc<Shared>, socket: UdpSocket, to: u16, real: SocketAddrV4) {
     let mut bytes = vec![0; 1 << 16];
     loop {
-        // An error tells that an earlier datagram found no listener: that balancer has ended.
+        // An error reports that an earlier datagram found no listener, because the balancer has
+        // stopped.
         let Ok((len, from)) = socket.recv_from(&mut bytes).await else {
             continue;
         };
@@ -206,13 +211,14 @@
         };
         let cut = sender.is_some_and(|from| shared.faults.borrow().cut.contains(&(*from, to)));
         if !cut {
-            // A full socket buffer loses the packet as a network would.
+            // A packet that doesn't fit the socket buffer is lost, as in a network.
             let _ = socket.send_to(&bytes[..len], real).await;
         }
     }
 }
 
-/// Serves each connection in a task, until its own is ended.
+/// Accepts connections and serves each in a task of its own. They end when the task that runs this
+/// function is aborted.
 async fn accept<F>(listener: TcpListener, serve: impl Fn(TcpStream) -> F)
 where
     F: Future<Output = io::Result<()>> + Send + 'static,
@@ -225,69 +231,69 @@
                     connections.spawn(serve(stream));
                 }
             }
-            // How a connection ended is told to both its ends by closing them.
+            // The result is ignored: both peers learn of the end when their connections close.
             Some(_) = connections.join_next() => {}
         }
     }
 }
 
-/// Passes on one control connection towards balancer `to`.
-async fn control(
+/// Forwards one control connection to balancer `to`.
+async fn forward_control(
     shared: Arc<Shared>,
     mut stream: TcpStream,
     to: u16,
     real: SocketAddrV4,
 ) -> io::Result<()> {
     let number = shared.opened.fetch_add(1, Ordering::Relaxed);
-    let mut onward = TcpStream::connect(real).await?;
-    let mut start = [0; LENGTH + 2];
+    let mut upstream = TcpStream::connect(real).await?;
+    let mut start = [0; LENGTH_FIELD_BYTES + 2];
     stream.read_exact(&mut start).await?;
-    let from = u16::from_be_bytes([start[LENGTH], start[LENGTH + 1]]);
-    let pass = Pass {
+    let from = u16::from_be_bytes([start[LENGTH_FIELD_BYTES], start[LENGTH_FIELD_BYTES + 1]]);
+    let forwarder = Forwarder {
         shared,
         direction: (from, to),
         number,
     };
-    let (read, mut back) = stream.split();
-    let (mut answers, write) = onward.split();
+    let (read, mut write_back) = stream.split();
+    let (mut answers, write_upstream) = upstream.split();
     tokio::select! {
-        ended = pass.run(&start, read, write) => ended,
-        ended = tokio::io::copy(&mut answers, &mut back) => ended.map(|_| ()),
+        ended = forwarder.run(&start, read, write_upstream) => ended,
+        ended = tokio::io::copy(&mut answers, &mut write_back) => ended.map(|_| ()),
     }
 }
 
-/// Passes on one connection of balancer `from` to the platform.
-async fn platform(
+/// Forwards one connection of balancer `from` to the platform, in both directions.
+async fn forward_platform(
     shared: Arc<Shared>,
     mut stream: TcpStream,
     from: u16,
     real: SocketAddrV4,
 ) -> io::Result<()> {
     let number = shared.opened.fetch_add(1, Ordering::Relaxed);
-    let mut onward = TcpStream::connect(real).await?;
-    let pass = |direction| Pass {
+    let mut upstream = TcpStream::connect(real).await?;
+    let forwarder = |direction| Forwarder {
         shared: Arc::clone(&shared),
         direction,
         number,
     };
-    let (there, here) = (pass((from, PLATFORM)), pass((PLATFORM, from)));
-    let (calls, back) = stream.split();
-    let (answers, forth) = onward.split();
+    let (to_platform, from_platform) = (forwarder((from, PLATFORM)), forwarder((PLATFORM, from)));
+    let (calls, write_back) = stream.split();
+    let (answers, write_upstream) = upstream.split();
     tokio::select! {
-        ended = there.run(&[], calls, forth) => ended,
-        ended = here.run(&[], answers, back) => ended,
+        ended = to_platform.run(&[], calls, write_upstream) => ended,
+        ended = from_platform.run(&[], answers, write_back) => ended,
     }
 }
 
-/// One direction of a connection.
-struct Pass {
+/// Forwards one direction of a connection.
+struct Forwarder {
     shared: Arc<Shared>,
     direction: Direction,
     number: u64,
 }
 
-impl Pass {
-    /// Passes on `first` and then what is read, until the end of the input.
+impl Forwarder {
+    /// Forwards `first` and then the bytes read from `from`, until the end of the input.
     async fn run(
         &self,
         first: &[u8],
@@ -295,17 +301,17 @@
         mut to: impl AsyncWrite + Unpin,
     ) -> io::Result<()> {
         self.write(first, &mut to).await?;
-        let mut bytes = vec![0; CHUNK];
+        let mut bytes = vec![0; READ_BUFFER_BYTES];
         loop {
             let len = from.read(&mut bytes).await?;
             if len == 0 {
-                return self.end().await;
+                return self.forward_end().await;
             }
             self.write(&bytes[..len], &mut to).await?;
         }
     }
 
-    /// Waits until the direction is not cut; gives whether the connection is silent.
+    /// Waits until the direction is not blocked, and returns whether the connection is silent.
     async fn is_silent(&self) -> bool {
         let mut faults = self.shared.faults.subscribe();
         let open = faults.wait_for(|faults| !faults.cut.contains(&self.direction));
@@ -315,15 +321,16 @@
         })
     }
 
-    /// The end of the input passes like bytes: after a cut, and never on a silent connection.
-    async fn end(&self) -> io::Result<()> {
+    /// Forwards the end of the input: once the direction is not blocked, and never on a silent
+    /// connection.
+    async fn forward_end(&self) -> io::Result<()> {
         if self.is_silent().await {
             std::future::pending::<()>().await;
         }
         Ok(())
     }
 
-    /// Writes once the direction is not cut; writes nothing on a silent connection.
+    /// Writes once the direction is not blocked. Discards the bytes on a silent connection.
     async fn write(&self, bytes: &[u8], to: &mut (impl AsyncWrite + Unpin)) -> io::Result<()> {
         if self.is_silent().await {
             return Ok(());
