--- a/crates/stand/src/caller.rs
+++ b/crates/stand/src/caller.rs
@@ -1,4 +1,5 @@
-//! A caller with many flows: feeds held open, and requests one after another.
+//! A caller with many flows: keeps feeds open and sends requests at a set rate, each over its own
+//! TCP connection.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, SocketAddrV4, UdpSocket},
@@ -13,77 +14,79 @@
     stop::Flag,
 };
 
-/// Lowest port of a flow.
+/// Lowest source port of a flow.
 const FIRST_PORT: u16 = 10_000;
-/// The longest wait for packets in one turn.
-const TURN: Duration = Duration::from_millis(5);
-/// A request whose answer takes longer counts as broken.
-const ANSWER: Duration = Duration::from_secs(15);
-/// A feed that is silent for so many of its intervals counts as broken.
-const SILENT_INTERVALS: u32 = 40;
+/// Maximum wait for packets in one poll.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(5);
+/// How long to wait for an answer. After it, an established flow counts as broken and another as
+/// unanswered.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
+/// Number of its intervals for which a feed may be silent, if that is longer than
+/// [`ANSWER_TIMEOUT`]. After it, the feed counts as broken.
+const MAX_SILENT_INTERVALS: u32 = 40;
 
-/// What to ask, and how much of it.
+/// Addresses, and which feeds and requests to open.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Where packets are sent: the fabric.
+    /// Address of the fabric, to which packets are sent.
     #[arg(long)]
     pub fabric: SocketAddr,
-    /// Where answers come in.
+    /// Address that receives answers.
     #[arg(long, default_value = "127.0.0.1:0")]
     pub listen: SocketAddr,
-    /// This caller's own address.
+    /// IP address of this caller in the packets that it sends.
     #[arg(long)]
     pub address: Ipv4Addr,
     /// The service's address and port.
     #[arg(long)]
     pub service: SocketAddrV4,
-    /// Feeds held open until the end.
+    /// Number of feeds, which are kept open until the end.
     #[arg(long, default_value_t = 0)]
     pub feeds: usize,
     /// Time between two lines of a feed, in milliseconds.
     #[arg(long, default_value_t = 200)]
     pub interval: u64,
-    /// Check-ins and downloads are begun at this rate, a second.
+    /// Number of requests (check-ins or downloads) started per second.
     #[arg(long, default_value_t = 0.0)]
     pub rate: f64,
-    /// Length of a check-in's body, in bytes; 0 for downloads instead.
+    /// Length of a check-in's body, in bytes. If it is 0, the requests are downloads.
     #[arg(long, default_value_t = 4000)]
     pub checkin: usize,
     /// Length of a download, in bytes.
     #[arg(long, default_value_t = 20_000)]
     pub map: usize,
-    /// How long to begin requests, in seconds; feeds stay open as long.
+    /// For how long new requests are started and feeds stay open, in seconds.
     #[arg(long, default_value_t = 5.0)]
     pub seconds: f64,
-    /// How many requests to make, at most.
+    /// Maximum number of requests.
     #[arg(long, default_value_t = usize::MAX)]
     pub requests: usize,
-    /// Name of this caller in the line of results.
+    /// Name of this caller in the line that reports its results.
     #[arg(long, default_value = "caller")]
     pub name: String,
 }
 
-/// What became of the flows, in counts.
+/// Counts of flows by their result.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// Flows opened: feeds and requests.
+    /// Flows opened, for feeds and requests.
     pub opened: u64,
     /// Requests answered in full with the right hash.
     pub done: u64,
-    /// Feeds that were answered and lasted to the end.
+    /// Feeds that delivered lines and stayed open until the end.
     pub lasted: u64,
-    /// Established flows that ended otherwise, and answers that were wrong.
+    /// Established flows that failed otherwise, including those with a wrong answer.
     pub broken: u64,
-    /// Openings answered by a reset: not run.
+    /// Flows whose SYN was answered by a reset. Their requests were not run.
     pub refused: u64,
-    /// Openings that were not answered in time.
+    /// Flows whose SYN was not answered in time, and feeds that delivered nothing by the end.
     pub unanswered: u64,
-    /// Answer times of the requests done, in microseconds, in order of completion.
+    /// Response times of the completed requests, in microseconds, in order of completion.
     pub times: Vec<u64>,
 }
 
 impl Outcome {
-    /// One line of key=value pairs.
+    /// Formats the counts and response times as one line of key=value pairs.
     ///
     /// ```
     /// let line = acacia_stand::caller::Outcome::default().line("crew");
@@ -118,14 +121,14 @@
     body: Vec<u8>,
     received: Vec<u8>,
     answer: Option<Answer>,
-    begun: Instant,
-    heard: Instant,
+    started: Instant,
+    last_received: Instant,
     established: bool,
-    result: Option<Result>,
+    result: Option<FlowResult>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Result {
+enum FlowResult {
     Done,
     Lasted,
     Broken(&'static str),
@@ -133,7 +136,8 @@
     Unanswered,
 }
 
-/// Runs until the time is over or `stop` is raised, and every request has ended.
+/// Runs until the set time has passed or `stop` is raised, then waits for the open requests to end.
+/// Without feeds, it also ends once the maximum number of requests has ended.
 pub fn run(options: &Options, stop: &Flag) -> anyhow::Result<Outcome> {
     let link = UdpSocket::bind(options.listen)?;
     let seed = u64::from(options.address.to_bits());
@@ -142,12 +146,12 @@
         stack: Stack::new(options.address, link, options.fabric, seed)?,
         flows: Vec::new(),
         next_port: FIRST_PORT,
-        begun: 0,
+        started_requests: 0,
         outcome: Outcome::default(),
     };
     let start = Instant::now();
     for _ in 0..options.feeds {
-        caller.begin(Request::Feed {
+        caller.start_flow(Request::Feed {
             interval: options.interval,
         })?;
     }
@@ -156,12 +160,13 @@
         let now = Instant::now();
         let over = now - start >= length || stop.is_raised();
         if !over {
-            caller.begin_due(now - start)?;
+            caller.start_due_requests(now - start)?;
         }
-        caller.stack.poll(TURN)?;
+        caller.stack.poll(MAX_POLL_WAIT)?;
         caller.serve(Instant::now(), over);
         let requests = caller.flows.iter().any(|flow| !flow.is_feed());
-        if (over || caller.begun >= options.requests && options.feeds == 0) && !requests {
+        if (over || caller.started_requests >= options.requests && options.feeds == 0) && !requests
+        {
             break;
         }
     }
@@ -174,17 +179,17 @@
     stack: Stack,
     flows: Vec<Flow>,
     next_port: u16,
-    begun: usize,
+    started_requests: usize,
     outcome: Outcome,
 }
 
 impl Caller<'_> {
-    fn begin_due(&mut self, elapsed: Duration) -> anyhow::Result<()> {
+    fn start_due_requests(&mut self, elapsed: Duration) -> anyhow::Result<()> {
         let due = (elapsed.as_secs_f64() * self.options.rate).floor() as usize;
-        while self.begun < due.min(self.options.requests) {
-            self.begun += 1;
-            let id = u64::from(self.options.address.to_bits()) << 32 | self.begun as u64;
-            self.begin(match self.options.checkin {
+        while self.started_requests < due.min(self.options.requests) {
+            self.started_requests += 1;
+            let id = u64::from(self.options.address.to_bits()) << 32 | self.started_requests as u64;
+            self.start_flow(match self.options.checkin {
                 0 => Request::Map {
                     length: self.options.map,
                 },
@@ -194,7 +199,7 @@
         Ok(())
     }
 
-    fn begin(&mut self, request: Request) -> anyhow::Result<()> {
+    fn start_flow(&mut self, request: Request) -> anyhow::Result<()> {
         let handle = self.stack.add();
         let port = self.next_port;
         self.next_port = self.next_port.checked_add(1).unwrap_or(FIRST_PORT);
@@ -215,8 +220,8 @@
             body,
             received: Vec::new(),
             answer: None,
-            begun: now,
-            heard: now,
+            started: now,
+            last_received: now,
             established: false,
             result: None,
         });
@@ -228,7 +233,7 @@
             let socket = self.stack.socket(flow.handle);
             flow.exchange(socket, now);
             if flow.result.is_none() {
-                flow.result = flow.judge(socket, now, over);
+                flow.result = flow.classify(socket, now, over);
             }
             if flow.result.is_some() {
                 socket.close();
@@ -250,8 +255,8 @@
             self.count(
                 &Flow {
                     result: flow.result.or(Some(match flow.received.is_empty() {
-                        true => Result::Unanswered,
-                        false => Result::Lasted,
+                        true => FlowResult::Unanswered,
+                        false => FlowResult::Lasted,
                     })),
                     ..flow
                 },
@@ -262,20 +267,20 @@
 
     fn count(&mut self, flow: &Flow, now: Instant) {
         match flow.result {
-            Some(Result::Done) => {
+            Some(FlowResult::Done) => {
                 self.outcome.done += 1;
                 self.outcome
                     .times
-                    .push((now - flow.begun).as_micros() as u64);
+                    .push((now - flow.started).as_micros() as u64);
             }
-            Some(Result::Lasted) => self.outcome.lasted += 1,
-            Some(Result::Refused) => {
+            Some(FlowResult::Lasted) => self.outcome.lasted += 1,
+            Some(FlowResult::Refused) => {
                 self.outcome.refused += 1;
-                let after = (now - flow.begun).as_millis();
+                let after = (now - flow.started).as_millis();
                 log::warn!("event=flow-refused port={} after_ms={after}", flow.port);
             }
-            Some(Result::Unanswered) => self.outcome.unanswered += 1,
-            Some(Result::Broken(reason)) => {
+            Some(FlowResult::Unanswered) => self.outcome.unanswered += 1,
+            Some(FlowResult::Broken(reason)) => {
                 self.outcome.broken += 1;
                 log::warn!("event=flow-broken port={} reason={reason}", flow.port);
             }
@@ -298,63 +303,68 @@
             self.to_send.drain(..sent);
         }
         while socket.can_recv() {
-            let taken = socket.recv(|bytes| {
+            let result = socket.recv(|bytes| {
                 self.received.extend_from_slice(bytes);
                 (bytes.len(), ())
             });
-            if taken.is_err() {
+            if result.is_err() {
                 break;
             }
-            self.heard = now;
+            self.last_received = now;
         }
     }
 
-    fn judge(&mut self, socket: &tcp::Socket<'_>, now: Instant, over: bool) -> Option<Result> {
+    fn classify(
+        &mut self,
+        socket: &tcp::Socket<'_>,
+        now: Instant,
+        over: bool,
+    ) -> Option<FlowResult> {
         let ended = !socket.may_recv() && !matches!(socket.state(), tcp::State::SynSent);
         if !self.established && ended {
-            return Some(Result::Refused);
+            return Some(FlowResult::Refused);
         }
         if self.is_feed() {
-            return self.judge_feed(now, ended, over);
+            return self.classify_feed(now, ended, over);
         }
         if self.answer.is_none() {
             self.answer = take_line(&mut self.received).and_then(|line| Answer::parse(&line));
         }
         match &self.answer {
             Some(answer) if self.received.len() >= answer.length => {
-                let whole = blake3::hash(&self.received).to_hex().as_str() == answer.hash;
-                let own = self.body.is_empty() || self.body == self.received;
-                Some(if whole && own {
-                    Result::Done
+                let is_intact = blake3::hash(&self.received).to_hex().as_str() == answer.hash;
+                let is_echo = self.body.is_empty() || self.body == self.received;
+                Some(if is_intact && is_echo {
+                    FlowResult::Done
                 } else {
-                    Result::Broken("wrong-answer")
+                    FlowResult::Broken("wrong-answer")
                 })
             }
-            _ if ended => Some(Result::Broken("ended-early")),
-            _ if now - self.begun < ANSWER => None,
-            _ if self.established => Some(Result::Broken("answer-late")),
-            _ => Some(Result::Unanswered),
+            _ if ended => Some(FlowResult::Broken("ended-early")),
+            _ if now - self.started < ANSWER_TIMEOUT => None,
+            _ if self.established => Some(FlowResult::Broken("answer-late")),
+            _ => Some(FlowResult::Unanswered),
         }
     }
 
-    fn judge_feed(&mut self, now: Instant, ended: bool, over: bool) -> Option<Result> {
+    fn classify_feed(&mut self, now: Instant, ended: bool, over: bool) -> Option<FlowResult> {
         let Request::Feed { interval } = self.request else {
             return None;
         };
-        let silence = Duration::from_millis(interval) * SILENT_INTERVALS;
+        let silence = Duration::from_millis(interval) * MAX_SILENT_INTERVALS;
         if ended {
-            Some(Result::Broken("feed-ended"))
-        } else if now - self.heard > silence.max(ANSWER) {
+            Some(FlowResult::Broken("feed-ended"))
+        } else if now - self.last_received > silence.max(ANSWER_TIMEOUT) {
             Some(if self.established {
-                Result::Broken("feed-silent")
+                FlowResult::Broken("feed-silent")
             } else {
-                Result::Unanswered
+                FlowResult::Unanswered
             })
         } else if over {
             Some(if self.received.is_empty() {
-                Result::Unanswered
+                FlowResult::Unanswered
             } else {
-                Result::Lasted
+                FlowResult::Lasted
             })
         } else {
             None
