--- a/crates/stand/src/main.rs
+++ b/crates/stand/src/main.rs
@@ -12,7 +12,7 @@
 #[command(
     name = "acacia-stand",
     version,
-    about = "Stand-ins for the fabric, the network between balancers, the platform, backend servers and callers"
+    about = "Stand-ins for the systems around the balancers"
 )]
 enum Command {
     /// Spreads callers' packets over the balancers and delivers answers to the callers.
