--- a/crates/stand/src/relay.rs
+++ b/crates/stand/src/relay.rs
@@ -43,7 +43,7 @@
 /// Addresses of the balancers, the platform and the administration socket.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// A balancer as NUMBER,ADVERTISED,REAL; the last two are IP numbers.
+    /// A balancer as NUMBER,ADVERTISED,REAL, where the last two are IPv4 addresses.
     #[arg(long = "balancer")]
     pub balancers: Vec<Balancer>,
     /// Port of encapsulated packets.
