--- a/crates/stand/src/backend.rs
+++ b/crates/stand/src/backend.rs
@@ -293,10 +293,10 @@
             }
             return None;
         }
-        if self.busy || self.received.len() < request.body() {
+        if self.busy || self.received.len() < request.body_length() {
             return None;
         }
-        let body = self.received.drain(..request.body()).collect();
+        let body = self.received.drain(..request.body_length()).collect();
         self.request = None;
         self.busy = true;
         Some(Job {
--- a/crates/stand/src/caller.rs
+++ b/crates/stand/src/caller.rs
@@ -205,7 +205,7 @@
         self.next_port = self.next_port.checked_add(1).unwrap_or(FIRST_PORT);
         let service = (*self.options.service.ip(), self.options.service.port());
         self.stack.connect(handle, service, port)?;
-        let body: Vec<u8> = (0..request.body())
+        let body: Vec<u8> = (0..request.body_length())
             .map(|at| (at * 31 % 256) as u8)
             .collect();
         let mut to_send = request.line().into_bytes();
--- a/crates/stand/src/protocol.rs
+++ b/crates/stand/src/protocol.rs
@@ -74,7 +74,7 @@
 
     /// Returns the length of the body that follows the first line, in bytes.
     #[must_use]
-    pub fn body(&self) -> usize {
+    pub fn body_length(&self) -> usize {
         match self {
             Request::Checkin { length, .. } => *length,
             _ => 0,
