--- a/crates/stand/src/fabric.rs
+++ b/crates/stand/src/fabric.rs
@@ -42,8 +42,8 @@
 #[derive(Debug)]
 struct State {
     balancers: Vec<SocketAddr>,
-    loss: u32,
-    endpoints: Map<Ipv4Addr, SocketAddr>,
+    loss_per_mille: u32,
+    caller_endpoints: Map<Ipv4Addr, SocketAddr>,
     random: Pcg64Mcg,
 }
 
@@ -58,8 +58,8 @@
     let (callers, answers, commands) = (callers?, answers?, commands?);
     let state = Arc::new(Mutex::new(State {
         balancers: options.balancers.clone(),
-        loss: 0,
-        endpoints: Map::default(),
+        loss_per_mille: 0,
+        caller_endpoints: Map::default(),
         random: Pcg64Mcg::seed_from_u64(options.seed),
     }));
     log::info!(
@@ -76,7 +76,7 @@
         scope.spawn(|| {
             forward_packets(&answers, stop, |packet, _| {
                 lock(&state)
-                    .endpoints
+                    .caller_endpoints
                     .get(&ipv4_address(packet, 16)?)
                     .copied()
             });
@@ -111,8 +111,8 @@
 fn choose_balancer(state: &Mutex<State>, packet: &[u8], from: SocketAddr) -> Option<SocketAddr> {
     let source = ipv4_address(packet, 12)?;
     let mut state = lock(state);
-    state.endpoints.insert(source, from);
-    if state.balancers.is_empty() || state.random.random_range(0..1000) < state.loss {
+    state.caller_endpoints.insert(source, from);
+    if state.balancers.is_empty() || state.random.random_range(0..1000) < state.loss_per_mille {
         return None;
     }
     let count = state.balancers.len();
@@ -124,7 +124,7 @@
     let mut state = lock(state);
     match command {
         Command::Balancers(balancers) => state.balancers = balancers,
-        Command::Loss(loss) => state.loss = loss,
+        Command::Loss(loss) => state.loss_per_mille = loss,
         _ => return "the fabric doesn't support this command".to_owned(),
     }
     DONE.to_owned()
