--- a/crates/ctl/tests/it/command.rs
+++ b/crates/ctl/tests/it/command.rs
@@ -54,7 +54,7 @@
 #[tokio::test]
 async fn a_write_with_a_lost_answer_is_reported_as_accepted() {
     let env = Environment::new(0).await;
-    env.stand.steer(|faults| faults.lose_writes = 1);
+    env.stand.change_faults(|faults| faults.lose_writes = 1);
     let report = env
         .ctl(&format!("apply {}", env.file("one", &config(70)).display()))
         .await;
@@ -149,7 +149,7 @@
     let file = env.file("one", &config(70)).display().to_string();
     env.ctl(&format!("apply {file}")).await;
     env.roll_out([1]).await;
-    env.stand.steer(|faults| faults.down = true);
+    env.stand.change_faults(|faults| faults.down = true);
     let printed = env.ctl("print").await;
     let plan = env.ctl(&format!("plan {file}")).await;
     let applied = env.ctl(&format!("apply {file}")).await;
@@ -185,7 +185,7 @@
 async fn without_balancers_the_answer_of_the_platform_is_reported() {
     let env = Environment::new(0).await;
     let empty = env.ctl("print").await;
-    env.stand.steer(|faults| faults.silent = true);
+    env.stand.change_faults(|faults| faults.silent = true);
     let silent = env.ctl("print").await;
     assert_eq!(empty.code, Code::NothingInForce);
     assert_eq!(silent.code, Code::PlatformTimeout);
