--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -19,7 +19,7 @@
 use crate::{
     fault::{self, Entry},
     fleet::{Fleet, Rotation},
-    watch::{Breach, Ran, SETTLE, Tally, judge},
+    watch::{Breach, SETTLE, ServerRecord, Tally, judge},
 };
 
 /// A deployment and how hard it is tried.
@@ -123,10 +123,10 @@
     let calm = begin_calls(&fleet, plan, "c").await?;
     time::sleep(CALM).await;
     let recovered = calm.end().await;
-    let ran: Vec<Ran> = fleet
+    let ran: Vec<ServerRecord> = fleet
         .servers
         .values()
-        .map(|server| Ran {
+        .map(|server| ServerRecord {
             service: server.service,
             server: server.id.clone(),
             requests: server.host.take_seen().ran,
--- a/crates/soak/src/watch.rs
+++ b/crates/soak/src/watch.rs
@@ -49,7 +49,7 @@
 
 /// What a server ran, and what reached it that was not meant for it.
 #[derive(Debug, Clone, Default)]
-pub struct Ran {
+pub struct ServerRecord {
     /// The server's service.
     pub service: usize,
     /// The server's name.
@@ -67,7 +67,7 @@
 ///
 /// A request's bytes begin with its service's number, so that a server of another one shows.
 #[must_use]
-pub fn judge(tally: &Tally, recovered: &Tally, ran: &[Ran]) -> Vec<Breach> {
+pub fn judge(tally: &Tally, recovered: &Tally, ran: &[ServerRecord]) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for request in &tally.mixed {
         breaches.push(Breach(format!(
--- a/crates/soak/tests/it/watch.rs
+++ b/crates/soak/tests/it/watch.rs
@@ -1,5 +1,5 @@
 use acacia_adapter_stand::caller::End;
-use acacia_soak::watch::{Ran, Tally, judge};
+use acacia_soak::watch::{ServerRecord, Tally, judge};
 use rstest::rstest;
 
 fn well() -> Tally {
@@ -10,8 +10,8 @@
     tally
 }
 
-fn ran(service: usize, requests: &[&str]) -> Ran {
-    Ran {
+fn ran(service: usize, requests: &[&str]) -> ServerRecord {
+    ServerRecord {
         service,
         server: "i-1".into(),
         requests: requests
@@ -30,7 +30,7 @@
 #[rstest]
 #[case::twice(ran(0, &["0-a", "0-a"]), "more than once")]
 #[case::another_service(ran(1, &["0-a"]), "another service")]
-fn what_servers_must_not_run_is_seen(#[case] ran: Ran, #[case] expected: &str) {
+fn what_servers_must_not_run_is_seen(#[case] ran: ServerRecord, #[case] expected: &str) {
     let breaches = judge(&well(), &well(), &[ran]);
 
     assert!(breaches[0].0.contains(expected), "{breaches:?}");
