--- a/crates/soak/src/mesh.rs
+++ b/crates/soak/src/mesh.rs
@@ -1,6 +1,6 @@
-//! The other balancers' way to a balancer: a relay on loopback that can fail in the ways of a
-//! network. What the balancer itself sends goes out by the relays of the others, so that trouble
-//! here is trouble in one direction.
+//! A loopback relay in front of a balancer's control port that injects network faults. It carries
+//! what the other balancers send to this one; traffic in the other direction passes through the
+//! relays of its receivers, so a fault set here affects one direction only.
 
 use std::{
     io,
@@ -16,28 +16,28 @@
 
 use crate::proxy::{self, Proxy};
 
-/// What happens to what passes.
+/// The fault that the relay injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Trouble {
-    /// Nothing.
+    /// Traffic passes unchanged.
     None,
-    /// Nothing comes through.
+    /// All traffic is dropped.
     Cut,
     /// Every third datagram is lost.
     Lossy,
-    /// Each comes twice, the second time 300 ms late.
+    /// Every datagram is delivered twice, the second time after 300 ms; stream data is delayed.
     Late,
 }
 
 const TROUBLES: [Trouble; 4] = [Trouble::None, Trouble::Cut, Trouble::Lossy, Trouble::Late];
 
-/// How late a late datagram is.
-const LATE: Duration = Duration::from_millis(300);
+/// Delay of the duplicate of a datagram.
+const DUPLICATE_DELAY: Duration = Duration::from_millis(300);
 /// Longest datagram, in bytes.
-const LARGEST: usize = 9_000;
+const MAX_DATAGRAM: usize = 9_000;
 
-/// A running relay, for datagrams and connections; it ends when dropped.
+/// A running relay for UDP and TCP; it stops when dropped.
 #[derive(Debug)]
 pub struct Relay {
     trouble: Arc<AtomicU8>,
@@ -46,16 +46,20 @@
 }
 
 impl Relay {
-    /// Starts one between `listen` and `target`.
+    /// Starts a relay from `listen` to `target`.
     ///
     /// # Errors
-    /// When the address is taken.
+    /// When `listen` is already in use.
     pub async fn start(listen: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let socket = UdpSocket::bind(listen).await?;
         let connections = Proxy::start(listen, target).await?;
         let trouble = Arc::new(AtomicU8::new(Trouble::None as u8));
         let mut tasks = JoinSet::new();
-        tasks.spawn(carry(Arc::new(socket), target, Arc::clone(&trouble)));
+        tasks.spawn(relay_datagrams(
+            Arc::new(socket),
+            target,
+            Arc::clone(&trouble),
+        ));
         Ok(Relay {
             trouble,
             connections,
@@ -63,12 +67,12 @@
         })
     }
 
-    /// Sets what happens to connections alone from now on.
+    /// Sets the fault of TCP connections only.
     pub fn set_connection_trouble(&self, trouble: proxy::Trouble) {
         self.connections.set_trouble(trouble);
     }
 
-    /// Sets what happens from now on.
+    /// Sets the fault of datagrams and the corresponding one of connections.
     pub fn set_trouble(&self, trouble: Trouble) {
         self.trouble.store(trouble as u8, Ordering::Relaxed);
         self.connections.set_trouble(match trouble {
@@ -79,14 +83,14 @@
     }
 }
 
-async fn carry(socket: Arc<UdpSocket>, target: SocketAddr, trouble: Arc<AtomicU8>) {
-    let mut buffer = vec![0; LARGEST];
+async fn relay_datagrams(socket: Arc<UdpSocket>, target: SocketAddr, trouble: Arc<AtomicU8>) {
+    let mut buffer = vec![0; MAX_DATAGRAM];
     let mut late = JoinSet::new();
     let mut count: u32 = 0;
     loop {
         while late.try_join_next().is_some() {}
-        // A balancer that does not run answers a datagram with an error on the socket, which says
-        // nothing of the next one.
+        // The socket may report an error for an earlier datagram, as when the balancer is not
+        // running. Later datagrams are not affected.
         let Ok(length) = socket.recv(&mut buffer).await else {
             continue;
         };
@@ -97,14 +101,14 @@
             Trouble::Late => {
                 let (socket, bytes) = (Arc::clone(&socket), buffer[..length].to_vec());
                 late.spawn(async move {
-                    time::sleep(LATE).await;
-                    // One that can't be sent is lost, as any datagram may be.
+                    time::sleep(DUPLICATE_DELAY).await;
+                    // A failed send counts as a lost datagram.
                     let _ = socket.send_to(&bytes, target).await;
                 });
             }
             Trouble::None | Trouble::Lossy => {}
         }
-        // Likewise.
+        // A failed send counts as a lost datagram.
         let _ = socket.send_to(&buffer[..length], target).await;
     }
 }
