--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A balancer's way to the store: a proxy on loopback that can fail in the ways of a network.
+//! A loopback TCP proxy between a balancer and the store that injects network faults.
 
 use std::{
     io,
@@ -20,21 +20,21 @@
     time,
 };
 
-/// What happens to what passes.
+/// The fault that the proxy injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Trouble {
-    /// Nothing.
+    /// Traffic passes unchanged.
     None,
-    /// New connections are accepted and closed.
+    /// New connections are accepted and closed at once.
     Refused,
-    /// Bytes vanish in both directions, on open connections and new ones.
+    /// Bytes are dropped in both directions, on open and new connections.
     Silent,
-    /// What the store answers vanishes; calls reach it.
+    /// Requests reach the store, but its responses are dropped.
     OneWay,
-    /// Open connections carry nothing any more, for good; new ones work.
+    /// Connections that are open now drop all bytes until they are closed; new ones work.
     Forgotten,
-    /// Bytes are held for 200 ms.
+    /// Each read is forwarded after a delay of 200 ms.
     Slow,
 }
 
@@ -47,18 +47,18 @@
     Trouble::Slow,
 ];
 
-/// How long a slow proxy holds bytes.
+/// Delay of each read under [`Trouble::Slow`].
 const DELAY: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Default)]
 struct Shared {
     trouble: AtomicU8,
-    /// Connections with a lower number carry nothing any more.
+    /// Connections with a lower number drop all bytes.
     forgotten: AtomicU64,
     next: AtomicU64,
 }
 
-/// A running proxy; it ends when dropped.
+/// A running proxy; it stops when dropped.
 #[derive(Debug)]
 pub struct Proxy {
     shared: Arc<Shared>,
@@ -66,10 +66,10 @@
 }
 
 impl Proxy {
-    /// Starts one between `listen` and `target`.
+    /// Starts a proxy from `listen` to `target`.
     ///
     /// # Errors
-    /// When the address is taken.
+    /// When `listen` is already in use.
     pub async fn start(listen: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let shared = Arc::new(Shared::default());
@@ -81,7 +81,8 @@
         })
     }
 
-    /// Sets what happens from now on.
+    /// Sets the fault. [`Trouble::Forgotten`] applies to the connections that are open now and
+    /// leaves the fault of the others as it is.
     pub fn set_trouble(&self, trouble: Trouble) {
         if trouble == Trouble::Forgotten {
             let next = self.shared.next.load(Ordering::Relaxed);
@@ -107,7 +108,7 @@
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    connections.spawn(carry(stream, target, Arc::clone(&shared)));
+                    connections.spawn(serve(stream, target, Arc::clone(&shared)));
                 }
             }
             Some(_) = connections.join_next() => {}
@@ -115,40 +116,40 @@
     }
 }
 
-async fn carry(stream: TcpStream, target: SocketAddr, shared: Arc<Shared>) {
+async fn serve(stream: TcpStream, target: SocketAddr, shared: Arc<Shared>) {
     let number = shared.next.fetch_add(1, Ordering::Relaxed);
     if shared.trouble(number) == Trouble::Refused {
         return;
     }
-    let Ok(onward) = TcpStream::connect(target).await else {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_in, near_out) = stream.into_split();
-    let (far_in, far_out) = onward.into_split();
+    let (client_read, client_write) = stream.into_split();
+    let (target_read, target_write) = upstream.into_split();
     tokio::join!(
-        pump(near_in, far_out, &shared, number, false),
-        pump(far_in, near_out, &shared, number, true),
+        copy(client_read, target_write, &shared, number, false),
+        copy(target_read, client_write, &shared, number, true),
     );
 }
 
-/// Carries one direction of a connection until it ends.
-async fn pump(
+/// Copies one direction of a connection until it ends.
+async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     shared: &Shared,
     number: u64,
-    answers: bool,
+    is_response: bool,
 ) {
     let mut buffer = vec![0; 16 * 1_024];
     while let Ok(length) = from.read(&mut buffer).await {
         let trouble = shared.trouble(number);
-        let vanishes = match trouble {
+        let is_dropped = match trouble {
             Trouble::Silent | Trouble::Forgotten => true,
-            Trouble::OneWay => answers,
+            Trouble::OneWay => is_response,
             Trouble::None | Trouble::Refused | Trouble::Slow => false,
         };
-        match (vanishes, length) {
-            // The end of a connection vanishes like its bytes.
+        match (is_dropped, length) {
+            // The end of the stream is dropped too, so the peer keeps the connection open.
             (true, 0) => return std::future::pending().await,
             (true, _) => continue,
             (false, 0) => break,
