--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong: drawn from a seed, in series and overlapping.
+//! Faults and planned operations, generated from a seed; they may overlap.
 
 use std::time::Duration;
 
@@ -13,50 +13,50 @@
     proxy::{self, Proxy},
 };
 
-/// Something that goes wrong, or planned work.
+/// A fault or a planned operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// A balancer is killed and started again.
+    /// A balancer is killed and restarted.
     Kill(u8),
-    /// A balancer is asked to end, and started again.
+    /// A balancer is shut down gracefully and restarted.
     Replace(u8),
-    /// A balancer stands still.
+    /// A balancer process is suspended.
     Pause(u8),
-    /// A balancer is asked to read its settings again.
+    /// A balancer is asked to reload its settings.
     Reload(u8),
-    /// All balancers are killed and started again.
+    /// All balancers are killed and restarted.
     KillAll,
-    /// A balancer's way to the store fails.
+    /// The connection of a balancer to the store is faulty.
     Path(u8, proxy::Trouble),
-    /// The other balancers' way to a balancer fails.
+    /// Traffic from the other balancers to a balancer is faulty.
     Mesh(u8, mesh::Trouble),
-    /// The other balancers' ways to every third balancer are cut, as of a data centre: these hear
-    /// nobody, and the others still hear them.
+    /// All traffic from other balancers to the balancers of one data centre is dropped. These
+    /// receive nothing, while the others still receive from them.
     Cut,
-    /// The store fails for everybody.
+    /// The store is faulty for all balancers.
     Store(store::Trouble),
-    /// The store drops its history.
+    /// The store compacts away its history.
     Compact,
-    /// A server drains and comes back.
+    /// A backend server drains and returns to service.
     Drain(u8),
-    /// A server stops answering, and its entry stands.
+    /// A backend server stops answering while its schedule stays in the store.
     Mute(u8),
-    /// A route is removed and added again.
+    /// A route is removed and restored.
     Route,
 }
 
-/// A fault, when it begins and how long it lasts.
+/// A scheduled fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// What.
+    /// The fault to inject.
     pub fault: Fault,
-    /// When it begins, from the start of the faults.
+    /// Start time, relative to the start of the fault phase.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration.
     pub lasts: Duration,
 }
 
-/// Draws `count` faults that begin within `span`, for so many balancers and servers.
+/// Generates `count` faults that begin within `span`, sorted by start time.
 #[must_use]
 pub fn draw(
     random: &mut Pcg64,
@@ -67,18 +67,18 @@
 ) -> Vec<Entry> {
     let mut entries: Vec<Entry> = (0..count)
         .map(|_| {
-            let fault = one(random, balancers, servers);
-            entry(random, fault, span)
+            let fault = draw_fault(random, balancers, servers);
+            schedule(random, fault, span)
         })
         .collect();
     entries.sort_by_key(|entry| entry.at);
     entries
 }
 
-/// Draws `count` faults between balancers, in addition to others.
+/// Generates `count` faults of the traffic between balancers, in no particular order.
 #[must_use]
 pub fn draw_mesh(random: &mut Pcg64, count: usize, span: Duration, balancers: u8) -> Vec<Entry> {
-    let one = |random: &mut Pcg64| {
+    let draw_one = |random: &mut Pcg64| {
         let balancer = random.random_range(0..balancers);
         match random.random_range(0..4) {
             0 => Fault::Mesh(balancer, mesh::Trouble::Cut),
@@ -89,13 +89,13 @@
     };
     (0..count)
         .map(|_| {
-            let fault = one(random);
-            entry(random, fault, span)
+            let fault = draw_one(random);
+            schedule(random, fault, span)
         })
         .collect()
 }
 
-fn entry(random: &mut Pcg64, fault: Fault, span: Duration) -> Entry {
+fn schedule(random: &mut Pcg64, fault: Fault, span: Duration) -> Entry {
     Entry {
         fault,
         at: span.mul_f64(random.random()),
@@ -103,7 +103,7 @@
     }
 }
 
-fn one(random: &mut Pcg64, balancers: u8, servers: u8) -> Fault {
+fn draw_fault(random: &mut Pcg64, balancers: u8, servers: u8) -> Fault {
     let balancer = random.random_range(0..balancers);
     let server = random.random_range(0..servers);
     match random.random_range(0..16) {
@@ -135,16 +135,16 @@
 }
 
 impl Fault {
-    /// Whether callers may lose flows by it: a server of theirs is disturbed, or a route goes.
+    /// Whether the fault may end flows, as it affects a backend server or removes a route.
     #[must_use]
     pub const fn ends_flows(&self) -> bool {
         matches!(self, Fault::Mute(_) | Fault::Route)
     }
 
-    /// Begins it.
+    /// Injects the fault.
     ///
     /// # Errors
-    /// When a process can't be signalled.
+    /// When a process cannot be signalled.
     pub fn begin(&self, fleet: &mut Fleet) -> anyhow::Result<()> {
         match self {
             Fault::Kill(balancer) => fleet.kill(*balancer),
@@ -155,9 +155,9 @@
                 .balancers()
                 .into_iter()
                 .for_each(|number| fleet.kill(number)),
-            Fault::Path(balancer, trouble) => set(fleet.proxy(*balancer), *trouble),
+            Fault::Path(balancer, trouble) => set_store_path(fleet.proxy(*balancer), *trouble),
             Fault::Mesh(balancer, trouble) => set_mesh(fleet, *balancer, *trouble),
-            Fault::Cut => cut(fleet, mesh::Trouble::Cut),
+            Fault::Cut => set_mesh_of_data_centre(fleet, mesh::Trouble::Cut),
             Fault::Store(trouble) => fleet.store.set_trouble(trouble.clone()),
             Fault::Compact => fleet.store.compact(),
             Fault::Drain(server) => fleet.drain(*server),
@@ -167,23 +167,25 @@
         Ok(())
     }
 
-    /// Ends it. Whatever runs no more is started again.
+    /// Reverts the fault and restarts the processes that it ended.
     ///
     /// # Errors
-    /// When a process can't be signalled or started.
+    /// When a process cannot be signalled or started.
     pub fn end(&self, fleet: &mut Fleet) -> anyhow::Result<()> {
         match self {
-            Fault::Kill(balancer) | Fault::Replace(balancer) => revive(fleet, *balancer)?,
+            Fault::Kill(balancer) | Fault::Replace(balancer) => restart(fleet, *balancer)?,
             Fault::Pause(balancer) => fleet.signal(*balancer, Signal::SIGCONT)?,
             Fault::Reload(_) | Fault::Compact => {}
             Fault::KillAll => {
                 for balancer in fleet.balancers() {
-                    revive(fleet, balancer)?;
+                    restart(fleet, balancer)?;
                 }
             }
-            Fault::Path(balancer, _) => set(fleet.proxy(*balancer), proxy::Trouble::None),
+            Fault::Path(balancer, _) => {
+                set_store_path(fleet.proxy(*balancer), proxy::Trouble::None)
+            }
             Fault::Mesh(balancer, _) => set_mesh(fleet, *balancer, mesh::Trouble::None),
-            Fault::Cut => cut(fleet, mesh::Trouble::None),
+            Fault::Cut => set_mesh_of_data_centre(fleet, mesh::Trouble::None),
             Fault::Store(_) => fleet.store.set_trouble(store::Trouble::None),
             Fault::Drain(server) => fleet.resume(*server),
             Fault::Mute(server) => mute(fleet, *server, false),
@@ -193,13 +195,13 @@
     }
 }
 
-/// Starts a balancer that has ended; one that is still leaving is killed first.
-fn revive(fleet: &mut Fleet, balancer: u8) -> anyhow::Result<()> {
+/// Restarts a balancer; one that is still shutting down is killed first.
+fn restart(fleet: &mut Fleet, balancer: u8) -> anyhow::Result<()> {
     fleet.kill(balancer);
     fleet.launch(balancer)
 }
 
-fn set(proxy: Option<&Proxy>, trouble: proxy::Trouble) {
+fn set_store_path(proxy: Option<&Proxy>, trouble: proxy::Trouble) {
     if let Some(proxy) = proxy {
         proxy.set_trouble(trouble);
     }
@@ -211,13 +213,14 @@
     }
 }
 
-/// Balancers are dealt out over three data centres in turn.
-fn cut(fleet: &Fleet, trouble: mesh::Trouble) {
-    let centre = fleet
+/// Sets the fault of all relays of one data centre. Balancers are assigned to the three data centres
+/// in turn, so one of them has every third balancer.
+fn set_mesh_of_data_centre(fleet: &Fleet, trouble: mesh::Trouble) {
+    let members = fleet
         .balancers()
         .into_iter()
         .filter(|number| number % 3 == 1);
-    centre.for_each(|number| set_mesh(fleet, number, trouble));
+    members.for_each(|number| set_mesh(fleet, number, trouble));
 }
 
 fn mute(fleet: &Fleet, server: u8, silent: bool) {
