--- a/crates/soak/src/watch.rs
+++ b/crates/soak/src/watch.rs
@@ -1,4 +1,4 @@
-//! The promises, judged from what callers and backend servers have seen.
+//! Checks the guarantees against what callers and backend servers observed.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -7,19 +7,19 @@
 
 use acacia_adapter_stand::caller::End;
 
-/// What callers have seen so far.
+/// What callers observed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub ends: BTreeMap<&'static str, u64>,
-    /// Flows that were reset though no server of theirs was disturbed, with their requests.
+    /// Requests whose flow was reset while no fault excused a reset.
     pub broken: Vec<String>,
-    /// Answers to something else.
+    /// Requests that received the answer to a different request.
     pub mixed: Vec<String>,
 }
 
 impl Tally {
-    /// Takes in how a request ended.
+    /// Counts the outcome of a request.
     pub fn note(&mut self, end: End) {
         let name = match end {
             End::Answered => "answered",
@@ -31,13 +31,13 @@
         *self.ends.entry(name).or_default() += 1;
     }
 
-    /// How many requests ended so.
+    /// Number of requests with the outcome `name`.
     #[must_use]
     pub fn count(&self, name: &str) -> u64 {
         self.ends.get(name).copied().unwrap_or(0)
     }
 
-    /// Adds what another caller has seen.
+    /// Adds the observations of another caller.
     pub fn add(&mut self, other: Tally) {
         for (name, count) in other.ends {
             *self.ends.entry(name).or_default() += count;
@@ -47,36 +47,37 @@
     }
 }
 
-/// What a server ran, and what reached it that was not meant for it.
+/// The requests that a backend server executed.
 #[derive(Debug, Clone, Default)]
 pub struct ServerRecord {
-    /// The server's service.
+    /// Index of the server's service.
     pub service: usize,
-    /// The server's name.
+    /// Identifier of the server.
     pub server: String,
-    /// Requests, each as often as it ran.
+    /// The executed requests, with one entry for each execution.
     pub requests: Vec<Vec<u8>>,
 }
 
-/// A promise that was broken.
+/// Description of a violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Breach(pub String);
 
-/// Judges what callers and servers have seen. `recovered` is what callers have seen once all was
-/// well again for a while.
+/// Lists the guarantees that were violated. `tally` covers the fault phase, `recovered` the phase
+/// that starts [`SETTLE`] after the last fault.
 ///
-/// A request's bytes begin with its service's number, so that a server of another one shows.
+/// A request starts with the number of its service, which reveals a request that was executed by a
+/// server of another service.
 #[must_use]
 pub fn judge(tally: &Tally, recovered: &Tally, ran: &[ServerRecord]) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for request in &tally.mixed {
         breaches.push(Breach(format!(
-            "a caller got an answer to something else: {request}"
+            "a caller received the answer to a different request: {request}"
         )));
     }
     for flow in &tally.broken {
         breaches.push(Breach(format!(
-            "a flow was reset though its server was well: {flow}"
+            "a flow was reset although its server was healthy: {flow}"
         )));
     }
     let mut times: HashMap<&[u8], u32> = HashMap::new();
@@ -86,12 +87,14 @@
             *times += 1;
             let text = String::from_utf8_lossy(request);
             if *times > 1 {
-                breaches.push(Breach(format!("a request ran more than once: {text}")));
+                breaches.push(Breach(format!(
+                    "a request was executed more than once: {text}"
+                )));
             }
             if !text.starts_with(&server.service.to_string()) {
                 let name = &server.server;
                 breaches.push(Breach(format!(
-                    "a request ran at another service's {name}: {text}"
+                    "a request was executed by server {name} of another service: {text}"
                 )));
             }
         }
@@ -100,12 +103,13 @@
     let answered = recovered.count("answered");
     if all == 0 || answered * 100 < all * 99 {
         breaches.push(Breach(format!(
-            "after all was well again, {answered} of {all} requests were answered"
+            "after recovery, {answered} of {all} requests were answered"
         )));
     }
     breaches
 }
 
-/// How long after the last fault all must be well: the bound on new knowledge, the time in which a
-/// server that is missing is given up, and the routers' notice.
+/// Time after the last fault by which the deployment must have recovered: the bound on propagating
+/// new state, plus the time after which a missing server is given up, plus the time in which the
+/// routers detect the readiness of a balancer.
 pub const SETTLE: Duration = Duration::from_secs(4);
