--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A deployment in small: a store, backend servers, and balancers as processes.
+//! A small deployment: a store and backend servers in this process, and balancers as processes of
+//! their own.
 
 use std::{
     collections::BTreeMap,
@@ -23,44 +24,47 @@
 
 use crate::{mesh::Relay, proxy::Proxy};
 
-/// Port of the routers' checks.
+/// Port of the routers' readiness checks.
 const READY: u16 = 6_084;
-/// Port at which other balancers reach a balancer's control port, by its relay.
+/// Port of the relay in front of a balancer's control port, which the other balancers connect to.
 const MESH: u16 = 6_086;
 /// Port of metrics.
 const METRICS: u16 = 6_085;
 /// Port of backend servers.
 const SERVER: u16 = 8_080;
-/// Host numbers: the store, the first balancer, server and caller.
+/// Host number of the store.
 const STORE_HOST: u8 = 2;
+/// Host number of the first balancer.
 const BALANCERS: u8 = 10;
+/// Host number of the first backend server.
 const SERVERS: u8 = 100;
+/// Host number of the first caller.
 const CALLERS: u8 = 200;
-/// How long an address that is taken is tried for.
-const BINDING: Duration = Duration::from_secs(2);
-/// Misses after which the routers send a balancer no more packets.
-const MISSES: u32 = 2;
-/// Each service's address and port, as callers use them.
+/// How long to retry binding an address that is in use.
+const BIND_RETRY: Duration = Duration::from_secs(2);
+/// Consecutive failed readiness checks after which the routers stop sending to a balancer.
+const MAX_FAILED_CHECKS: u32 = 2;
+/// Public address and port of each service.
 pub const FRONTS: [([u8; 4], u16); 2] = [([198, 18, 0, 1], 443), ([198, 18, 0, 2], 443)];
-/// The services.
+/// Names of the services.
 pub const SERVICES: [&str; 2] = ["live", "maps"];
-/// The data centres.
+/// Names of the data centres.
 pub const CENTRES: [&str; 3] = ["a", "b", "c"];
 
-/// A backend server and what its entry says.
+/// A running backend server and the values of its entry in the store.
 #[derive(Debug)]
 pub struct Server {
     /// The running host.
     pub host: Host,
-    /// Which of [`SERVICES`] it belongs to.
+    /// Index of its service in [`SERVICES`].
     pub service: usize,
-    /// Its name.
+    /// Its identifier.
     pub id: String,
     /// Its data centre.
     pub centre: &'static str,
 }
 
-/// A balancer: its process while it runs, and its way to the store.
+/// A balancer: its process while it runs, the proxy to the store and the relay for its control port.
 #[derive(Debug)]
 struct Balancer {
     process: Option<Process>,
@@ -71,7 +75,7 @@
 /// The balancers that the routers send packets to.
 pub type Rotation = Arc<Mutex<Vec<SocketAddrV4>>>;
 
-/// A running deployment. Everything that it started ends with it.
+/// A running deployment. Dropping it ends everything that it started.
 #[derive(Debug)]
 pub struct Fleet {
     network: Network,
@@ -87,11 +91,11 @@
 }
 
 impl Fleet {
-    /// Starts `balancers` balancers before `servers` servers of each service, and waits until all
-    /// are in rotation.
+    /// Starts `balancers` balancers in front of `servers` servers of each service, and waits until
+    /// all balancers are in rotation.
     ///
     /// # Errors
-    /// When something can't start within 30 s.
+    /// When a part cannot start, or the balancers are not in rotation within 30 s.
     pub async fn start(balancers: u8, servers: u8, work: Duration) -> anyhow::Result<Self> {
         let (network, claim) = Network::claim()?;
         let store = Store::start(SocketAddr::V4(network.port(STORE_HOST, PLATFORM))).await?;
@@ -116,7 +120,9 @@
             let address = network.port(BALANCERS + number, READY);
             let traffic = network.port(BALANCERS + number, TRAFFIC);
             let rotation = Arc::clone(&rotation);
-            fleet._routers.spawn(check(address, traffic, rotation));
+            fleet
+                ._routers
+                .spawn(check_readiness(address, traffic, rotation));
             let target = SocketAddr::V4(network.port(STORE_HOST, PLATFORM));
             let proxy = Proxy::start(
                 SocketAddr::V4(network.port(BALANCERS + number, PLATFORM)),
@@ -145,7 +151,7 @@
         };
         time::timeout(Duration::from_secs(30), ready)
             .await
-            .context("the balancers did not come into rotation")?;
+            .context("the balancers did not get into rotation")?;
         Ok(fleet)
     }
 
@@ -170,10 +176,10 @@
         self.balancers.keys().copied().collect()
     }
 
-    /// Starts balancer `number`, which does not run.
+    /// Starts the process of balancer `number`, which must not be running.
     ///
     /// # Errors
-    /// When its program is not built.
+    /// When the balancer does not exist, or its program is not built or cannot be started.
     pub fn launch(&mut self, number: u8) -> anyhow::Result<()> {
         let settings = self.settings(number);
         let arguments = ["--settings".to_owned(), "-".to_owned()];
@@ -211,10 +217,10 @@
         )
     }
 
-    /// Sends a signal to a balancer; one that does not run gets none.
+    /// Sends a signal to a balancer; does nothing if it is not running.
     ///
     /// # Errors
-    /// When the signal can't be sent.
+    /// When the signal cannot be sent.
     pub fn signal(&mut self, number: u8, signal: Signal) -> anyhow::Result<()> {
         let balancer = self
             .balancers
@@ -229,24 +235,24 @@
         }
     }
 
-    /// Kills a balancer and waits for its end.
+    /// Kills a balancer and waits for it to exit.
     pub fn kill(&mut self, number: u8) {
         if let Some(balancer) = self.balancers.get_mut(&number) {
             balancer.process = None;
         }
     }
 
-    /// The most memory that a balancer's process has had resident at a time, in bytes.
+    /// Peak resident memory of a balancer's process, in bytes.
     ///
     /// # Errors
-    /// When it does not run.
+    /// When it is not running.
     pub fn peak_memory(&self, number: u8) -> anyhow::Result<u64> {
         let balancer = self.balancers.get(&number);
         let process = balancer.and_then(|balancer| balancer.process.as_ref());
         process.context("no such process")?.peak_memory()
     }
 
-    /// Whether a balancer's process runs.
+    /// Whether the process of a balancer is running.
     pub fn is_running(&mut self, number: u8) -> bool {
         let process = self
             .balancers
@@ -255,7 +261,7 @@
         process.is_some_and(Process::is_running)
     }
 
-    /// What a balancer has logged in its present life.
+    /// The log of a balancer's current process.
     #[must_use]
     pub fn log(&self, number: u8) -> String {
         let balancer = self.balancers.get(&number);
@@ -263,7 +269,7 @@
         process.map(Process::log).unwrap_or_default()
     }
 
-    /// What all balancers have logged in their present lives.
+    /// The logs of the current processes of all balancers.
     #[must_use]
     pub fn logs(&self) -> String {
         self.balancers
@@ -272,52 +278,52 @@
             .collect()
     }
 
-    /// Where balancer `number` serves metrics.
+    /// Address of the metrics of balancer `number`.
     #[must_use]
     pub fn metrics(&self, number: u8) -> SocketAddrV4 {
         self.network.port(BALANCERS + number, METRICS)
     }
 
-    /// Where balancer `number` answers routers' checks.
+    /// Address of the readiness checks of balancer `number`.
     #[must_use]
     pub fn ready(&self, number: u8) -> SocketAddrV4 {
         self.network.port(BALANCERS + number, READY)
     }
 
-    /// Where balancer `number` takes messages and answers peers.
+    /// Control address of balancer `number`, without the relay.
     #[must_use]
     pub fn control(&self, number: u8) -> SocketAddrV4 {
         self.network.port(BALANCERS + number, CONTROL)
     }
 
-    /// Where balancer `number` answers operators.
+    /// Address of the operator interface of balancer `number`.
     #[must_use]
     pub fn admin(&self, number: u8) -> SocketAddrV4 {
         self.network.port(BALANCERS + number, ADMIN)
     }
 
-    /// Where balancer `number` takes callers' packets.
+    /// Address at which balancer `number` receives callers' packets.
     #[must_use]
     pub fn traffic(&self, number: u8) -> SocketAddrV4 {
         self.network.port(BALANCERS + number, TRAFFIC)
     }
 
-    /// A balancer's way to the store.
+    /// The proxy between a balancer and the store.
     #[must_use]
     pub fn proxy(&self, number: u8) -> Option<&Proxy> {
         self.balancers.get(&number).map(|balancer| &balancer.proxy)
     }
 
-    /// The other balancers' way to a balancer.
+    /// The relay through which the other balancers reach a balancer.
     #[must_use]
     pub fn relay(&self, number: u8) -> Option<&Relay> {
         self.balancers.get(&number).map(|balancer| &balancer.relay)
     }
 
-    /// Starts a server and announces it.
+    /// Starts a server and adds its entry to the store.
     ///
     /// # Errors
-    /// When its address is taken.
+    /// When its address is in use.
     pub async fn add_server(
         &mut self,
         number: u8,
@@ -344,22 +350,22 @@
         self.store.announce(&server.id, &entry);
     }
 
-    /// A server says that it leaves.
+    /// Sets the entry of a server to draining.
     pub fn drain(&self, number: u8) {
         if let Some(server) = self.servers.get(&number) {
             self.announce(server, "draining");
         }
     }
 
-    /// A server says that it takes flows again.
+    /// Sets the entry of a server back to ready.
     pub fn resume(&self, number: u8) {
         if let Some(server) = self.servers.get(&number) {
             self.announce(server, "ready");
         }
     }
 
-    /// Ends the server that has run a request since this was last asked, without a word: its entry
-    /// stands. Gives its name.
+    /// Ends one server that has executed a request since the last call and keeps its entry in the
+    /// store, as after a crash. Returns the server's identifier.
     pub fn lose_server_in_use(&mut self) -> Option<String> {
         let ran = |server: &Server| !server.host.take_seen().ran.is_empty();
         let number = self
@@ -369,14 +375,14 @@
         self.servers.remove(&number).map(|server| server.id)
     }
 
-    /// Ends a server, and its entry.
+    /// Ends a server and removes its entry from the store.
     pub fn remove_server(&mut self, number: u8) {
         if let Some(server) = self.servers.remove(&number) {
             self.store.withdraw(&server.id);
         }
     }
 
-    /// Puts a configuration in force with the routes to these of [`SERVICES`].
+    /// Writes a new configuration with routes to the given services, indexes into [`SERVICES`].
     pub fn configure(&mut self, services: &[usize]) {
         self.version += 2;
         let names = ["r-live", "r-maps"];
@@ -387,13 +393,14 @@
         self.store.configure(self.version, &routes);
     }
 
-    /// A caller of a service, at an address of its own.
+    /// Creates a caller of a service with an address of its own.
     ///
-    /// A process that is just being started holds copies of all sockets until its program runs, also
-    /// of one that was closed here meanwhile; so an address that is taken is tried again for a moment.
+    /// A child process that is being started holds copies of all sockets of this process until
+    /// `exec`, including sockets that are closed here meanwhile. Binding is therefore retried for a
+    /// short time if the address is in use.
     ///
     /// # Errors
-    /// When its address stays taken.
+    /// When the address stays in use.
     pub async fn caller(&self, number: u8, service: usize) -> anyhow::Result<Caller> {
         let address: Ipv4Addr = self.network.host(CALLERS + number);
         let rotation = self
@@ -401,7 +408,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        let deadline = time::Instant::now() + BINDING;
+        let deadline = time::Instant::now() + BIND_RETRY;
         loop {
             match Caller::new(address, TRAFFIC, FRONTS[service], rotation.clone()).await {
                 Ok(caller) => return Ok(caller),
@@ -412,19 +419,19 @@
     }
 }
 
-/// Keeps a balancer in rotation while it says that it is ready.
-async fn check(address: SocketAddrV4, traffic: SocketAddrV4, rotation: Rotation) {
-    let mut misses = MISSES;
+/// Checks the readiness of a balancer periodically and keeps the rotation up to date.
+async fn check_readiness(address: SocketAddrV4, traffic: SocketAddrV4, rotation: Rotation) {
+    let mut failed_checks = MAX_FAILED_CHECKS;
     loop {
-        misses = if routers::is_ready(address).await {
+        failed_checks = if routers::is_ready(address).await {
             0
         } else {
-            misses + 1
+            failed_checks + 1
         };
         {
             let mut rotation = rotation.lock().unwrap_or_else(PoisonError::into_inner);
-            rotation.retain(|known| *known != traffic || misses < MISSES);
-            if misses == 0 && !rotation.contains(&traffic) {
+            rotation.retain(|known| *known != traffic || failed_checks < MAX_FAILED_CHECKS);
+            if failed_checks == 0 && !rotation.contains(&traffic) {
                 rotation.push(traffic);
             }
         }
