--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! Plays a seed: callers keep calling while faults begin and end.
+//! Runs one seed with the cookie transport: callers send requests while faults are injected and
+//! reverted.
 
 use std::{
     sync::{
@@ -22,27 +23,28 @@
     watch::{Breach, SETTLE, ServerRecord, Tally, judge},
 };
 
-/// A deployment and how hard it is tried.
+/// Size of the deployment and number of faults of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Plan {
     /// Seed of the faults.
     pub seed: u64,
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: u8,
-    /// Backend servers of each of two services.
+    /// Number of backend servers of each of the two services.
     pub servers: u8,
-    /// Callers of each service.
+    /// Number of callers of each service.
     pub callers: u8,
-    /// Faults of balancers, of the store and the ways to it, and of servers.
+    /// Number of faults of balancers, the store, the connections to it, and backend servers.
     pub faults: usize,
-    /// Faults between balancers, drawn apart, so that a seed without them plays as it always has.
+    /// Number of faults of the traffic between balancers. They use a random generator of their own,
+    /// so the other faults of a seed do not depend on this number.
     pub mesh: usize,
-    /// How long faults begin.
+    /// Period in which faults begin.
     pub span: Duration,
 }
 
 impl Plan {
-    /// The usual size: a few dozen processes and tasks, ten faults in six seconds.
+    /// The default size: a few dozen processes and tasks, and ten faults within six seconds.
     #[must_use]
     pub const fn usual(seed: u64) -> Self {
         Plan {
@@ -57,47 +59,47 @@
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// The faults, in order.
+    /// The faults in order of their start.
     pub faults: Vec<Entry>,
-    /// What callers saw while they lasted.
+    /// What callers observed during the faults and until [`SETTLE`] after them.
     pub tally: Tally,
-    /// What callers saw after all was well again.
+    /// What callers observed after the recovery.
     pub recovered: Tally,
-    /// Promises that were broken.
+    /// Violated guarantees.
     pub breaches: Vec<Breach>,
-    /// Logs of the balancers' last lives, if a promise was broken.
+    /// Logs of the balancers' current processes, if a guarantee was violated.
     pub logs: Vec<String>,
 }
 
-/// Tells the draw of faults between balancers from that of the others.
-const MESH: u64 = 0x6d65_7368;
-/// How long a server works on a request.
+/// XORed into the seed of the generator of faults between balancers.
+const MESH_SEED: u64 = 0x6d65_7368;
+/// Processing time of a request at a backend server.
 const WORK: Duration = Duration::from_millis(5);
-/// How long a caller waits for an answer.
+/// Time limit for an answer.
 const DEADLINE: Duration = Duration::from_millis(1_500);
-/// Requests of a flow.
+/// Number of requests of a flow.
 const REQUESTS: u32 = 8;
-/// Between two requests of a flow.
+/// Delay between two requests of a flow, and after a failed attempt to open one.
 const PAUSE: Duration = Duration::from_millis(40);
-/// How long callers call once all is well again.
-const CALM: Duration = Duration::from_secs(2);
+/// Duration of the phase after the recovery.
+const RECOVERY_PHASE: Duration = Duration::from_secs(2);
 
-/// What all callers of a run share.
+/// State shared by all callers of a phase.
 #[derive(Debug)]
 struct Shared {
     rotation: Rotation,
     stop: AtomicBool,
-    /// Whether a server is disturbed or a route gone, or was a moment ago, so that flows may end.
+    /// Set from the first fault that may end flows; resets do not count as violations then.
     excused: AtomicBool,
 }
 
-/// Plays a plan.
+/// Runs a plan.
 ///
 /// # Errors
-/// When the deployment can't be started or steered.
+/// When the deployment cannot be started or a fault cannot be injected.
 pub async fn play(plan: Plan) -> anyhow::Result<Report> {
     let mut fleet = Fleet::start(plan.balancers, plan.servers, WORK).await?;
     let mut random = Pcg64::seed_from_u64(plan.seed);
@@ -108,21 +110,21 @@
         plan.balancers,
         2 * plan.servers,
     );
-    let mut apart = Pcg64::seed_from_u64(plan.seed ^ MESH);
+    let mut mesh_random = Pcg64::seed_from_u64(plan.seed ^ MESH_SEED);
     faults.extend(fault::draw_mesh(
-        &mut apart,
+        &mut mesh_random,
         plan.mesh,
         plan.span,
         plan.balancers,
     ));
     faults.sort_by_key(|entry| entry.at);
-    let disturbed = begin_calls(&fleet, plan, "d").await?;
-    carry_out(&mut fleet, &faults, &disturbed.shared).await?;
+    let fault_phase = start_callers(&fleet, plan, "d").await?;
+    run_faults(&mut fleet, &faults, &fault_phase.shared).await?;
     time::sleep(SETTLE).await;
-    let tally = disturbed.end().await;
-    let calm = begin_calls(&fleet, plan, "c").await?;
-    time::sleep(CALM).await;
-    let recovered = calm.end().await;
+    let tally = fault_phase.end().await;
+    let recovery_phase = start_callers(&fleet, plan, "c").await?;
+    time::sleep(RECOVERY_PHASE).await;
+    let recovered = recovery_phase.end().await;
     let ran: Vec<ServerRecord> = fleet
         .servers
         .values()
@@ -150,25 +152,25 @@
     })
 }
 
-/// Callers at work.
-struct Calls {
+/// The running callers of a phase.
+struct Callers {
     shared: Arc<Shared>,
     tasks: JoinSet<Tally>,
 }
 
-impl Calls {
+impl Callers {
     async fn end(mut self) -> Tally {
         self.shared.stop.store(true, Ordering::Relaxed);
         let mut tally = Tally::default();
         while let Some(joined) = self.tasks.join_next().await {
-            // A caller that panicked has found a fault of the soak itself.
-            tally.add(joined.expect("a caller that ends"));
+            // A panic of a caller is a bug in this crate.
+            tally.add(joined.expect("callers do not panic"));
         }
         tally
     }
 }
 
-async fn begin_calls(fleet: &Fleet, plan: Plan, phase: &'static str) -> anyhow::Result<Calls> {
+async fn start_callers(fleet: &Fleet, plan: Plan, phase: &'static str) -> anyhow::Result<Callers> {
     let shared = Arc::new(Shared {
         rotation: fleet.rotation(),
         stop: AtomicBool::new(false),
@@ -179,18 +181,18 @@
         let service = usize::from(number % 2);
         let caller = fleet.caller(number, service).await?;
         let name = format!("{service}-{phase}-{number}");
-        tasks.spawn(call(caller, name, Arc::clone(&shared)));
+        tasks.spawn(run_caller(caller, name, Arc::clone(&shared)));
     }
-    Ok(Calls { shared, tasks })
+    Ok(Callers { shared, tasks })
 }
 
-/// A caller: flows of several requests, one after the other, until told to stop.
-async fn call(mut caller: Caller, name: String, shared: Arc<Shared>) -> Tally {
+/// Opens flows with several requests each, one after the other, until the stop flag is set.
+async fn run_caller(mut caller: Caller, name: String, shared: Arc<Shared>) -> Tally {
     let mut tally = Tally::default();
     let mut flows = 0;
     while !shared.stop.load(Ordering::Relaxed) {
         flows += 1;
-        spread(&mut caller, &shared);
+        update_balancers(&mut caller, &shared);
         let mut flow = match caller.open().await {
             Ok(flow) => flow,
             Err(end) => {
@@ -201,7 +203,7 @@
         };
         for number in 0..REQUESTS {
             let request = format!("{name}-{flows}-{number}");
-            spread(&mut caller, &shared);
+            update_balancers(&mut caller, &shared);
             let excused = shared.excused.load(Ordering::Relaxed);
             let end = caller.ask(&mut flow, request.as_bytes(), DEADLINE).await;
             tally.note(end);
@@ -223,8 +225,9 @@
     tally
 }
 
-/// Takes the rotation as it is; with nobody in it, the balancers that were in it last.
-fn spread(caller: &mut Caller, shared: &Shared) {
+/// Updates the caller's balancers to the current rotation. While that is empty, the caller keeps
+/// the last one.
+fn update_balancers(caller: &mut Caller, shared: &Shared) {
     let rotation = shared
         .rotation
         .lock()
@@ -234,8 +237,8 @@
     }
 }
 
-/// Begins and ends faults at their times.
-async fn carry_out(fleet: &mut Fleet, faults: &[Entry], shared: &Shared) -> anyhow::Result<()> {
+/// Injects and reverts the faults at their scheduled times.
+async fn run_faults(fleet: &mut Fleet, faults: &[Entry], shared: &Shared) -> anyhow::Result<()> {
     let mut steps: Vec<(Duration, bool, &Entry)> = faults
         .iter()
         .flat_map(|entry| {
@@ -250,8 +253,8 @@
     for (at, begins, entry) in steps {
         time::sleep_until(start + at).await;
         if entry.fault.ends_flows() {
-            // Its effects outlast it, so from the first one on no reset of this phase is judged;
-            // seeds without such faults judge them all.
+            // The effects outlast the fault, so resets are ignored from here to the end of the
+            // phase. Seeds without such faults check all resets.
             shared.excused.store(true, Ordering::Relaxed);
         }
         match begins {
