--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! Real balancers as separate processes on loopback, under faults drawn from a seed, while the
-//! promises are checked from what callers and backend servers see.
+//! Randomized fault injection against real balancers, which run as separate processes on loopback.
+//! The guarantees are checked against what callers and backend servers observe.
 //!
-//! [`fleet::Fleet`] is the deployment, [`fault`] draws and carries out what goes wrong, [`watch`]
-//! judges what callers and servers have seen, and [`run`] plays a seed. [`ip`] plays one where packets
-//! are IP.
+//! [`fleet::Fleet`] is the deployment, [`fault`] generates faults from a seed and injects them,
+//! [`watch`] checks the observations, and [`run`] runs one seed with the cookie transport. [`ip`]
+//! runs one seed with the IP transport on a deployment of its own.
 
 pub mod fault;
 pub mod fleet;
