--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -155,7 +155,7 @@
                 .balancers()
                 .into_iter()
                 .for_each(|number| fleet.kill(number)),
-            Fault::Path(balancer, trouble) => set_store_path(fleet.proxy(*balancer), *trouble),
+            Fault::Path(balancer, trouble) => set_path(fleet.proxy(*balancer), *trouble),
             Fault::Mesh(balancer, trouble) => set_mesh(fleet, *balancer, *trouble),
             Fault::Cut => set_mesh_of_data_centre(fleet, mesh::Trouble::Cut),
             Fault::Store(trouble) => fleet.store.set_trouble(trouble.clone()),
@@ -181,9 +181,7 @@
                     restart(fleet, balancer)?;
                 }
             }
-            Fault::Path(balancer, _) => {
-                set_store_path(fleet.proxy(*balancer), proxy::Trouble::None)
-            }
+            Fault::Path(balancer, _) => set_path(fleet.proxy(*balancer), proxy::Trouble::None),
             Fault::Mesh(balancer, _) => set_mesh(fleet, *balancer, mesh::Trouble::None),
             Fault::Cut => set_mesh_of_data_centre(fleet, mesh::Trouble::None),
             Fault::Store(_) => fleet.store.set_trouble(store::Trouble::None),
@@ -201,7 +199,7 @@
     fleet.launch(balancer)
 }
 
-fn set_store_path(proxy: Option<&Proxy>, trouble: proxy::Trouble) {
+fn set_path(proxy: Option<&Proxy>, trouble: proxy::Trouble) {
     if let Some(proxy) = proxy {
         proxy.set_trouble(trouble);
     }
