--- a/crates/soak/src/ip.rs
+++ b/crates/soak/src/ip.rs
@@ -1,6 +1,6 @@
-//! The soak of the transport where packets are IP: balancers are paused, killed and replaced, lines
-//! between them are cut one way or go silent, and strangers hold connections, while callers keep
-//! feeds open and check in.
+//! Fault injection for the IP transport. Balancers are paused, or killed and restarted; traffic
+//! between them is cut in one direction or open connections go silent; unauthenticated clients hold
+//! control connections. Meanwhile callers keep feeds open and make check-ins.
 
 use std::{
     collections::BTreeMap,
@@ -19,65 +19,66 @@
 use rand::{RngExt as _, SeedableRng as _, seq::IndexedRandom as _};
 use rand_pcg::Pcg64;
 
-/// Balancers of a run.
+/// Number of balancers of a run.
 const BALANCERS: u16 = 5;
-/// Feeds that callers keep open from before the first fault until after the last.
+/// Number of feeds that callers keep open from before the first fault until after the last.
 const FEEDS: u64 = 32;
 /// The service that callers use.
 const SERVICE: &str = "talkoo-live";
-/// Faults begin within this time.
+/// Period in which faults begin.
 const SPAN: Duration = Duration::from_secs(14);
-/// Longest pause or cut.
-const LONGEST: Duration = Duration::from_secs(12);
-/// Connections that a stranger holds.
+/// Longest duration of a fault.
+const MAX_DURATION: Duration = Duration::from_secs(12);
+/// Number of connections held by an unauthenticated client.
 const STRANGERS: usize = 300;
-/// Between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(50);
-/// How long a balancer is away that was killed.
-const AWAY: Duration = Duration::from_secs(2);
-/// After the last fault, all must be well.
+/// Interval of polling for faults that are due.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after which a killed balancer is restarted.
+const RESTART_DELAY: Duration = Duration::from_secs(2);
+/// Time after the last fault by which the deployment must have recovered.
 const SETTLE: Duration = Duration::from_secs(8);
-/// How long ago a peer may have been heard when all is well: four heartbeats.
+/// Longest time since the last message of a peer after the recovery: four heartbeats.
 const HEARD: Duration = Duration::from_secs(2);
-/// How long check-ins go on once all is well.
-const CALM: u64 = 3;
-/// Longest time that a caller may take to end by itself.
-const CALLER: Duration = Duration::from_secs(90);
-/// What a caller logs of a flow that broke.
+/// Duration of the check-ins after the recovery, in seconds.
+const RECOVERY_SECONDS: u64 = 3;
+/// Time limit for a caller to finish by itself.
+const CALLER_LIMIT: Duration = Duration::from_secs(90);
+/// Marks the log lines of a caller about broken flows.
 const BROKEN: &str = "event=flow-broken";
-/// How long a balancer has to tell how it is.
+/// Time limit for a balancer's status and for opening a connection to its control port.
 const ANSWER: Duration = Duration::from_secs(2);
 
-/// What goes wrong.
+/// A fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A balancer is stopped and goes on later.
+    /// A balancer process is suspended and resumed later.
     Pause(u16),
-    /// A balancer is killed and started again.
+    /// A balancer is killed and restarted.
     Kill(u16),
-    /// Nothing passes from one balancer to another.
+    /// All traffic from the first balancer to the second is dropped.
     Cut(u16, u16),
-    /// The open control connections from one balancer to another carry nothing any more, for good.
+    /// The control connections that are open from the first balancer to the second drop all data
+    /// until they are closed.
     Silence(u16, u16),
-    /// The open connections to the platform go silent for good.
+    /// The connections that are open to the platform drop all data until they are closed.
     Platform,
-    /// A stranger holds connections to a balancer's control port.
+    /// An unauthenticated client holds connections to a balancer's control port.
     Strangers(u16),
 }
 
-/// A fault, when it begins and how long it lasts.
+/// A scheduled fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
-    /// After the start of the run.
+    /// Start time, relative to the start of the run.
     pub at: Duration,
-    /// What follows the begin: the end of a pause, a cut, of strangers.
+    /// Duration; only used by pauses, cuts and held connections.
     pub lasts: Duration,
-    /// What.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// Draws the faults of a seed, in order of their begin. One balancer at most is killed: flows of which
-/// both owners die at once are lost, which is no broken promise.
+/// Generates the faults of a seed, sorted by start time. At most one balancer is killed, as a flow
+/// whose two owners die at the same time is failures, which violates no guarantee.
 ///
 /// ```
 /// let faults = acacia_soak::ip::draw(7, 10);
@@ -90,12 +91,12 @@
     let mut may_kill = true;
     let mut entries: Vec<Entry> = (0..count)
         .map(|_| {
-            let fault = one(&mut random, may_kill);
+            let fault = draw_fault(&mut random, may_kill);
             may_kill &= !matches!(fault, Fault::Kill(_));
             Entry {
                 at: SPAN.mul_f64(random.random()),
                 lasts: Duration::from_secs(1)
-                    + (LONGEST - Duration::from_secs(1)).mul_f64(random.random()),
+                    + (MAX_DURATION - Duration::from_secs(1)).mul_f64(random.random()),
                 fault,
             }
         })
@@ -104,7 +105,7 @@
     entries
 }
 
-fn one(random: &mut Pcg64, may_kill: bool) -> Fault {
+fn draw_fault(random: &mut Pcg64, may_kill: bool) -> Fault {
     let ids: Vec<u16> = (1..=BALANCERS).collect();
     let two: Vec<u16> = ids.sample(random, 2).copied().collect();
     let (a, b) = (two[0], two[1]);
@@ -118,54 +119,68 @@
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// The faults.
+    /// The faults in order of their start.
     pub faults: Vec<Entry>,
-    /// What callers saw, as they tell it: counts and broken flows.
+    /// The callers' output: counts, and a log line for each broken flow.
     pub callers: Vec<String>,
-    /// Promises that were broken.
+    /// Violated guarantees.
     pub breaches: Vec<String>,
-    /// Logs of the balancers, if a promise was broken.
+    /// Logs of the balancers, if a guarantee was violated.
     pub logs: Vec<String>,
 }
 
-/// Plays a seed.
+/// Runs a seed.
 ///
 /// # Errors
-/// When the deployment can't start, or a process of it does not do as it is told.
+/// When the deployment cannot be started, or one of its processes cannot be controlled.
 pub fn play(seed: u64, faults: usize) -> anyhow::Result<Report> {
     let faults = draw(seed, faults);
     let mut deployment = start()?;
-    let over = faults.iter().map(|entry| entry.at + entry.lasts).max();
-    let over = over.unwrap_or_default() + SETTLE;
-    let seconds = over.as_secs() + CALM + 4;
+    let recovered_at = faults.iter().map(|entry| entry.at + entry.lasts).max();
+    let recovered_at = recovered_at.unwrap_or_default() + SETTLE;
+    let seconds = recovered_at.as_secs() + RECOVERY_SECONDS + 4;
     let feeds = caller(
         &deployment,
         1,
         &[("feeds", FEEDS), ("interval", 1_000), ("seconds", seconds)],
     )?;
-    let checkins = caller(&deployment, 2, &[("rate", 30), ("seconds", over.as_secs())])?;
+    let checkins = caller(
+        &deployment,
+        2,
+        &[("rate", 30), ("seconds", recovered_at.as_secs())],
+    )?;
     let begun = Instant::now();
-    Stage::new(&mut deployment).run(&faults)?;
-    sleep(over.saturating_sub(begun.elapsed()));
+    FaultInjector::new(&mut deployment).run(&faults)?;
+    sleep(recovered_at.saturating_sub(begun.elapsed()));
 
     let mut breaches = unheard(&deployment);
-    let calm = caller(&deployment, 3, &[("rate", 30), ("seconds", CALM)])?.wait(CALLER)?;
-    let (feeds, checkins) = (feeds.wait(CALLER)?, checkins.wait(CALLER)?);
-    let (kept, calmly) = (counts(&feeds.output), counts(&calm.output));
-    if kept.get("lasted") != Some(&FEEDS) {
+    let recovery = caller(
+        &deployment,
+        3,
+        &[("rate", 30), ("seconds", RECOVERY_SECONDS)],
+    )?
+    .wait(CALLER_LIMIT)?;
+    let (feeds, checkins) = (feeds.wait(CALLER_LIMIT)?, checkins.wait(CALLER_LIMIT)?);
+    let (feed_counts, recovery_counts) = (counts(&feeds.output), counts(&recovery.output));
+    if feed_counts.get("lasted") != Some(&FEEDS) {
         breaches.push(format!("feeds ended: {}", feeds.output.trim()));
     }
-    // Those on flows whose owners are paused or cut off wait.
-    let reset = told(&checkins)
+    // Late answers are expected, as check-ins wait while the owners of their flow are paused or cut
+    // off.
+    let reset = report_lines(&checkins)
         .into_iter()
         .filter(|line| line.contains(BROKEN) && !line.contains("reason=answer-late"));
-    breaches.extend(reset.map(|line| format!("a check-in broke off: {line}")));
-    let lost = ["broken", "unanswered", "refused"].map(|name| calmly.get(name).copied());
-    if lost != [Some(0); 3] {
-        breaches.push(format!("not well again: {}", calm.output.trim()));
+    breaches.extend(reset.map(|line| format!("a check-in failed: {line}")));
+    let failures =
+        ["broken", "unanswered", "refused"].map(|name| recovery_counts.get(name).copied());
+    if failures != [Some(0); 3] {
+        breaches.push(format!(
+            "failures after recovery: {}",
+            recovery.output.trim()
+        ));
     }
     let logs = if breaches.is_empty() {
         Vec::new()
@@ -175,21 +190,21 @@
     };
     Ok(Report {
         faults,
-        callers: [&feeds, &checkins, &calm].map(told).concat(),
+        callers: [&feeds, &checkins, &recovery].map(report_lines).concat(),
         breaches,
         logs,
     })
 }
 
-/// What a caller tells: its counts, and each flow that broke.
-fn told(caller: &Ended) -> Vec<String> {
+/// The output of a caller: its counts, and a log line for each broken flow.
+fn report_lines(caller: &Ended) -> Vec<String> {
     let broken = caller.log.lines();
     let broken = broken.filter(|line| line.contains(BROKEN));
     let lines = caller.output.lines().chain(broken);
     lines.map(str::to_owned).collect()
 }
 
-/// Balancers before four servers, one of which drains, so that some flows live by pins alone.
+/// Starts balancers in front of four servers, one of which drains, so that some flows depend on pins.
 fn start() -> anyhow::Result<Deployment> {
     let service = Service {
         name: SERVICE,
@@ -226,7 +241,7 @@
     deployment.caller(number, SERVICE, &arguments.collect::<Vec<_>>())
 }
 
-/// The counts of a line of key=value pairs.
+/// Parses the numeric values of a line of `key=value` pairs.
 fn counts(line: &str) -> BTreeMap<&str, u64> {
     let pairs = line
         .split_whitespace()
@@ -236,7 +251,7 @@
         .collect()
 }
 
-/// Balancers that have not heard a living peer lately.
+/// Lists the balancers that have not received a message from a live peer within [`HEARD`].
 fn unheard(deployment: &Deployment) -> Vec<String> {
     let ids = deployment.balancers();
     let mut unheard = Vec::new();
@@ -248,10 +263,13 @@
                     ids.contains(&peer.id) && age.is_none_or(|age| age > HEARD)
                 });
                 unheard.extend(late.map(|peer| {
-                    format!("balancer {id} heard {} {:?} ms ago", peer.id, peer.heard_ms)
+                    format!(
+                        "balancer {id} last heard from {} {:?} ms ago",
+                        peer.id, peer.heard_ms
+                    )
                 }));
             }
-            Err(error) => unheard.push(format!("balancer {id} does not tell how it is: {error}")),
+            Err(error) => unheard.push(format!("balancer {id} reports no status: {error}")),
         }
     }
     unheard
@@ -268,21 +286,21 @@
     }))
 }
 
-/// The faults that are in force, as several overlap.
-struct Stage<'a> {
+/// Injects faults and tracks the active ones, several of which may overlap.
+struct FaultInjector<'a> {
     deployment: &'a mut Deployment,
-    /// When each pause ends.
+    /// End of each pause, by balancer.
     paused: BTreeMap<u16, Duration>,
-    /// When each cut ends.
+    /// End of each cut, by sender and receiver.
     cut: BTreeMap<(u16, u16), Duration>,
-    /// When a balancer that was killed is started again, and goes back into rotation.
+    /// When each killed balancer is restarted.
     away: BTreeMap<u16, Duration>,
     strangers: Vec<(Duration, Vec<TcpStream>)>,
 }
 
-impl<'a> Stage<'a> {
+impl<'a> FaultInjector<'a> {
     fn new(deployment: &'a mut Deployment) -> Self {
-        Stage {
+        FaultInjector {
             deployment,
             paused: BTreeMap::new(),
             cut: BTreeMap::new(),
@@ -291,11 +309,11 @@
         }
     }
 
-    /// Begins and ends all faults at their times.
+    /// Injects and reverts the faults at their scheduled times.
     fn run(&mut self, faults: &[Entry]) -> anyhow::Result<()> {
         let start = Instant::now();
         let mut rest = faults;
-        while !rest.is_empty() || !self.is_calm() {
+        while !rest.is_empty() || !self.is_idle() {
             let now = start.elapsed();
             while let Some((entry, later)) = rest.split_first().filter(|(entry, _)| entry.at <= now)
             {
@@ -303,12 +321,12 @@
                 rest = later;
             }
             self.end(now)?;
-            sleep(LOOK);
+            sleep(POLL_INTERVAL);
         }
         self.deployment.spray_over_all()
     }
 
-    fn is_calm(&self) -> bool {
+    fn is_idle(&self) -> bool {
         let balancers = self.paused.is_empty() && self.away.is_empty();
         balancers && self.cut.is_empty() && self.strangers.is_empty()
     }
@@ -317,7 +335,7 @@
         let until = now + entry.lasts;
         match entry.fault {
             Fault::Pause(id) | Fault::Kill(id) if self.away.contains_key(&id) => {}
-            // Two that follow each other would be longer than any pause that a flow has to survive.
+            // A pause that extends another could be longer than a flow has to survive.
             Fault::Pause(id) if self.paused.contains_key(&id) => {}
             Fault::Pause(id) => {
                 self.deployment.signal_balancer(id, Signal::SIGSTOP)?;
@@ -327,7 +345,7 @@
             Fault::Kill(id) => {
                 self.deployment.kill_balancer(id)?;
                 self.paused.remove(&id);
-                self.away.insert(id, now + AWAY);
+                self.away.insert(id, now + RESTART_DELAY);
                 self.spray()?;
             }
             Fault::Cut(a, b) => {
@@ -339,7 +357,7 @@
             Fault::Strangers(id) => {
                 let address = self.deployment.control(id);
                 let connect = |_| TcpStream::connect_timeout(&address.into(), ANSWER).ok();
-                // A paused balancer takes as many as its backlog holds.
+                // A paused balancer accepts only as many connections as its backlog holds.
                 let held = (0..STRANGERS).map_while(connect).collect();
                 self.strangers.push((until, held));
             }
@@ -348,18 +366,18 @@
     }
 
     fn end(&mut self, now: Duration) -> anyhow::Result<()> {
-        let woken: Vec<u16> = over(&mut self.paused, now);
+        let woken: Vec<u16> = take_ended(&mut self.paused, now);
         for id in &woken {
             self.deployment.signal_balancer(*id, Signal::SIGCONT)?;
         }
-        let back: Vec<u16> = over(&mut self.away, now);
+        let back: Vec<u16> = take_ended(&mut self.away, now);
         for id in &back {
             self.deployment.start_balancer(*id)?;
         }
         if !woken.is_empty() || !back.is_empty() {
             self.spray()?;
         }
-        if !over(&mut self.cut, now).is_empty() {
+        if !take_ended(&mut self.cut, now).is_empty() {
             self.deployment.heal()?;
             let still: Vec<(u16, u16)> = self.cut.keys().copied().collect();
             self.deployment.cut_directions(&still)?;
@@ -368,7 +386,7 @@
         Ok(())
     }
 
-    /// The fabric sends to those that run.
+    /// Makes the fabric send to the balancers that are running and not paused.
     fn spray(&self) -> anyhow::Result<()> {
         let ids = self.deployment.balancers().into_iter();
         let running: Vec<u16> = ids.filter(|id| !self.paused.contains_key(id)).collect();
@@ -379,8 +397,8 @@
     }
 }
 
-/// Takes out what is over.
-fn over<K: Copy + Ord>(ends: &mut BTreeMap<K, Duration>, now: Duration) -> Vec<K> {
+/// Removes the entries that have ended and returns their keys.
+fn take_ended<K: Copy + Ord>(ends: &mut BTreeMap<K, Duration>, now: Duration) -> Vec<K> {
     ends.extract_if(.., |_, until| *until <= now)
         .map(|(key, _)| key)
         .collect()
