--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `acacia-soak`: plays seeds and tells which broke a promise.
+//! `acacia-soak`: runs seeds and reports those that violated a guarantee.
 
 use std::{
     fmt::Debug,
@@ -20,41 +20,41 @@
     about = "Plays random faults against real balancers"
 )]
 struct Arguments {
-    /// The first seed; a fresh one without it.
+    /// First seed; by default taken from the clock.
     #[arg(long)]
     seed: Option<u64>,
-    /// How many seeds to play.
+    /// Number of seeds to run.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Play on for so many minutes, whatever the number of seeds.
+    /// Start new seeds for this many minutes instead of running a fixed number.
     #[arg(long)]
     minutes: Option<u64>,
-    /// Balancers of each run.
+    /// Number of balancers of each run.
     #[arg(long, default_value_t = 6)]
     balancers: u8,
-    /// Faults of each run.
+    /// Number of faults of each run.
     #[arg(long, default_value_t = 10)]
     faults: usize,
-    /// Faults between balancers of each run, besides.
+    /// Number of additional faults of the traffic between balancers (cookie transport only).
     #[arg(long, default_value_t = 4)]
     mesh: usize,
-    /// How packets travel. Where they are IP, the number of balancers is fixed.
+    /// Transport of callers' packets. With IP, the number of balancers is fixed.
     #[arg(long, value_enum, default_value_t = Transport::Cookie)]
     transport: Transport,
 }
 
-/// How packets travel.
+/// Transport of callers' packets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Transport {
-    /// With a cookie.
+    /// Packets that name their server by a cookie.
     Cookie,
-    /// As IP.
+    /// IP packets.
     Ip,
 }
 
 fn main() -> anyhow::Result<ExitCode> {
     let arguments = Arguments::parse();
-    let first = arguments.seed.unwrap_or_else(fresh);
+    let first = arguments.seed.unwrap_or_else(seed_from_clock);
     let end = arguments
         .minutes
         .map(|minutes| Instant::now() + Duration::from_secs(60 * minutes));
@@ -82,11 +82,11 @@
             mesh: arguments.mesh,
             ..Plan::usual(seed)
         };
-        // Asked to end, the run is dropped, and with it every process that it started.
+        // On a signal the run is dropped, which ends every process that it started.
         let report = runtime.block_on(async {
             tokio::select! {
                 report = play(plan) => report,
-                ended = asked_to_end() => Err(ended.err().unwrap_or_else(|| anyhow::anyhow!("interrupted"))),
+                ended = wait_for_signal() => Err(ended.err().unwrap_or_else(|| anyhow::anyhow!("interrupted"))),
             }
         })?;
         print(seed, &report);
@@ -100,8 +100,8 @@
     })
 }
 
-/// Waits for an interrupt or a request to end.
-async fn asked_to_end() -> anyhow::Result<()> {
+/// Waits for SIGINT or SIGTERM.
+async fn wait_for_signal() -> anyhow::Result<()> {
     let mut terms = signal(SignalKind::terminate())?;
     tokio::select! {
         _ = terms.recv() => Ok(()),
@@ -109,7 +109,7 @@
     }
 }
 
-fn fresh() -> u64 {
+fn seed_from_clock() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -122,7 +122,7 @@
     println!("seed={seed} verdict={verdict} during={during:?} after={after:?}");
     let breaches = report.breaches.iter().map(|breach| &*breach.0);
     let faults = report.faults.iter();
-    let faults = faults.map(|entry| told(entry.at, entry.lasts, &entry.fault));
+    let faults = faults.map(|entry| format_fault(entry.at, entry.lasts, &entry.fault));
     explain(breaches, faults, &report.logs);
 }
 
@@ -134,19 +134,19 @@
     }
     let breaches = report.breaches.iter().map(String::as_str);
     let faults = report.faults.iter();
-    let faults = faults.map(|entry| told(entry.at, entry.lasts, &entry.fault));
+    let faults = faults.map(|entry| format_fault(entry.at, entry.lasts, &entry.fault));
     explain(breaches, faults, &report.logs);
 }
 
-const fn verdict(is_kept: bool) -> &'static str {
-    if is_kept { "kept" } else { "broken" }
+const fn verdict(is_ok: bool) -> &'static str {
+    if is_ok { "kept" } else { "broken" }
 }
 
-fn told(at: Duration, lasts: Duration, fault: &impl Debug) -> String {
+fn format_fault(at: Duration, lasts: Duration, fault: &impl Debug) -> String {
     format!("at={at:?} lasts={lasts:?} {fault:?}")
 }
 
-/// Shows what led to broken promises, if any were.
+/// Prints the violations with the faults and logs of the run; nothing if there are none.
 fn explain<'a>(
     breaches: impl Iterator<Item = &'a str>,
     faults: impl Iterator<Item = String>,
