--- a/crates/e2e/src/net.rs
+++ b/crates/e2e/src/net.rs
@@ -1,24 +1,23 @@
-//! Addresses on loopback: a network of its own for each deployment, so that tests run beside each
-//! other.
+//! Loopback addresses. Each deployment gets a network of its own, so that tests can run in parallel.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4, TcpListener},
     sync::atomic::{AtomicU8, Ordering},
 };
 
-/// Port of the encapsulation.
+/// Port of encapsulated packets.
 pub const TRAFFIC: u16 = 6080;
 /// Port of control traffic between balancers.
 pub const CONTROL: u16 = 6081;
-/// Port of operators' requests and of commands to stand-ins.
+/// Port of operators' requests and of commands to simulated components.
 pub const ADMIN: u16 = 6082;
 /// Port of the platform.
 pub const PLATFORM: u16 = 6083;
-/// Port at which the fabric takes what is for callers.
+/// Port at which the fabric receives packets for callers.
 pub const ANSWERS: u16 = 6084;
 
-/// Networks handed out in this process.
-static USED: AtomicU8 = AtomicU8::new(0);
+/// Number of networks allocated by this process, modulo 256.
+static NEXT_NETWORK: AtomicU8 = AtomicU8::new(0);
 
 /// A loopback network of 254 hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,25 +26,25 @@
     second: u8,
 }
 
-/// Host number whose control port is bound for as long as a network is in use.
+/// Host number whose control port is bound while a network is in use.
 const CLAIM_HOST: u8 = 1;
-/// Networks tried before giving up.
-const TRIES: usize = 256;
+/// Maximum number of networks to try.
+const MAX_ATTEMPTS: usize = 256;
 
 impl Network {
-    /// A network that no other deployment on this machine uses for as long as the listener lives.
+    /// Reserves a network that no other deployment on this machine uses while the listener is open.
     ///
-    /// Without the claim, tests of two processes whose numbers agree in their lower bits would
-    /// send each other's packets, as traffic sockets may share an address; one would see flows
-    /// broken that no balancer broke.
+    /// Traffic sockets may share an address. Without the reservation, two test processes whose
+    /// process ids are equal modulo 200 could use the same network and receive each other's packets,
+    /// and flows would break without a fault of a balancer.
     pub fn claim() -> std::io::Result<(Self, TcpListener)> {
         const FIRST: u8 = 16;
         let process = std::process::id();
         let mut last = std::io::Error::from(std::io::ErrorKind::AddrInUse);
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let network = Network {
                 first: FIRST + (process % 200) as u8,
-                second: USED.fetch_add(1, Ordering::Relaxed),
+                second: NEXT_NETWORK.fetch_add(1, Ordering::Relaxed),
             };
             match TcpListener::bind(network.port(CLAIM_HOST, CONTROL)) {
                 Ok(claim) => return Ok((network, claim)),
