--- a/crates/e2e/src/layout.rs
+++ b/crates/e2e/src/layout.rs
@@ -1,4 +1,4 @@
-//! Where each process of a deployment lives, and what it is started with.
+//! Addresses and arguments of the processes of a deployment.
 
 use std::net::SocketAddrV4;
 
@@ -13,41 +13,41 @@
 pub(crate) const PLATFORM_HOST: u8 = 2;
 /// Host number of the fabric.
 pub(crate) const FABRIC_HOST: u8 = 3;
-/// Host number of the first balancer, which is number 1.
+/// Host number of a balancer with id 0; ids start at 1.
 pub(crate) const BALANCERS: u8 = 10;
-/// Host number of the first address that balancers advertise; the relay stands there.
+/// Advertised host number of a balancer with id 0; the relay listens at the advertised addresses.
 pub(crate) const ADVERTISED: u8 = 40;
-/// Host number of the relay's administration.
+/// Host number of the relay's administrative interface.
 pub(crate) const RELAY_HOST: u8 = 4;
 /// Host number of the first backend server.
 pub(crate) const SERVERS: u8 = 100;
-/// Every byte of the key of the traffic between balancers.
-const KEY: u8 = 0x4d;
+/// Value of each byte of the key for control traffic.
+const KEY_BYTE: u8 = 0x4d;
 /// Length of the key, in bytes.
 const KEY_LENGTH: usize = 32;
-/// Balancers that may be started beyond those of the plan.
+/// Number of balancers that may be started in addition to those of the plan.
 pub(crate) const SPARE: u16 = 3;
 
 impl Deployment {
-    /// The keys of the traffic between balancers.
+    /// The keys for traffic between balancers.
     #[must_use]
     pub fn secret(&self) -> Secret {
-        Secret::new(&[KEY; KEY_LENGTH], None)
+        Secret::new(&[KEY_BYTE; KEY_LENGTH], None)
     }
 
-    /// Where balancer `id` takes encapsulated packets.
+    /// Address at which balancer `id` receives encapsulated packets.
     #[must_use]
     pub fn traffic(&self, id: u16) -> SocketAddrV4 {
         self.network.port(host(id), TRAFFIC)
     }
 
-    /// Where balancer `id` takes control messages.
+    /// Control address of balancer `id`, without the relay.
     #[must_use]
     pub fn control(&self, id: u16) -> SocketAddrV4 {
         self.network.port(host(id), CONTROL)
     }
 
-    /// Where balancer `id` answers operators.
+    /// Address of the operator interface of balancer `id`.
     #[must_use]
     pub fn admin(&self, id: u16) -> SocketAddrV4 {
         self.network.port(host(id), ADMIN)
@@ -66,7 +66,7 @@
             at(TRAFFIC),
             self.network.port(FABRIC_HOST, ANSWERS),
             at(CONTROL),
-            format!("{KEY:02x}").repeat(KEY_LENGTH),
+            format!("{KEY_BYTE:02x}").repeat(KEY_LENGTH),
             at(ADMIN),
             self.network.port(advertised(id), PLATFORM),
         );
@@ -86,7 +86,7 @@
     BALANCERS + id as u8
 }
 
-/// Host number at which others reach balancer `id`.
+/// Host number that balancer `id` advertises, and at which the relay listens for it.
 pub(crate) fn advertised(id: u16) -> u8 {
     ADVERTISED + id as u8
 }
