--- a/crates/e2e/src/process.rs
+++ b/crates/e2e/src/process.rs
@@ -1,4 +1,4 @@
-//! One child process: started, signalled, and ended with its parent.
+//! Child processes that are killed when their handle is dropped.
 
 use std::{
     io::{BufRead as _, BufReader, Read, Write as _},
@@ -15,10 +15,10 @@
     unistd::Pid,
 };
 
-/// Between two looks at whether a process has ended.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval of polling for the exit of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running program. Dropping it kills the process and waits for it.
+/// A running child process. Dropping it kills the process and waits for it.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -27,18 +27,18 @@
     errors: Log,
 }
 
-/// How a process ended.
+/// Exit status and output of a process that has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ended {
-    /// Its exit status; -1 after a signal.
+    /// Exit status; -1 if a signal ended the process.
     pub status: i32,
-    /// Its standard output.
+    /// Standard output.
     pub output: String,
-    /// Its log: standard output and standard error.
+    /// Standard output followed by standard error.
     pub log: String,
 }
 
-/// What a process has written so far to one of its outputs, and the thread that reads it.
+/// The text that a process has written to one of its outputs, and the thread that reads it.
 #[derive(Debug)]
 struct Log {
     text: Arc<Mutex<String>>,
@@ -48,10 +48,10 @@
 impl Log {
     fn follow(from: impl Read + Send + 'static) -> Self {
         let text = Arc::new(Mutex::new(String::new()));
-        let (shown, sink) = (std::env::var_os("E2E_LOG").is_some(), Arc::clone(&text));
+        let (is_echoed, sink) = (std::env::var_os("E2E_LOG").is_some(), Arc::clone(&text));
         let reader = std::thread::spawn(move || {
             for line in BufReader::new(from).lines().map_while(Result::ok) {
-                if shown {
+                if is_echoed {
                     eprintln!("{line}");
                 }
                 let mut text = sink.lock().unwrap_or_else(PoisonError::into_inner);
@@ -70,25 +70,25 @@
         text.clone()
     }
 
-    /// Waits for the end of the log, which comes with the end of the process.
+    /// Waits for the end of the output, which the process closes when it exits.
     fn join(&mut self) {
         if let Some(reader) = self.reader.take() {
-            // It can't panic but for a closed standard error of ours; the text stays valid.
+            // The reader can only panic if our standard error is closed; the text is still valid.
             let _ = reader.join();
         }
     }
 }
 
 impl Process {
-    /// Starts `program`, one of this workspace's, with `arguments`, and gives it `input`.
+    /// Starts `program`, a binary of this workspace, and writes `input` to its standard input.
     ///
-    /// Its outputs also go to this process's standard error if the environment variable `E2E_LOG` is
-    /// set.
+    /// If the environment variable `E2E_LOG` is set, its output is copied to the standard error of
+    /// this process.
     pub fn start(program: &str, arguments: &[String], input: &str) -> anyhow::Result<Self> {
         Self::start_in(program, arguments, input, &[])
     }
 
-    /// The same with variables added to its environment.
+    /// Like [`Process::start`], with additional environment variables.
     pub fn start_in(
         program: &str,
         arguments: &[String],
@@ -117,51 +117,64 @@
         })
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> anyhow::Result<()> {
-        let child = self.child.as_ref().context("the process was waited for")?;
+        let child = self
+            .child
+            .as_ref()
+            .context("the process has already been waited for")?;
         kill(Pid::from_raw(child.id() as i32), signal)?;
         Ok(())
     }
 
-    /// The most memory that the process has had resident at a time, in bytes.
+    /// Peak resident memory of the process, in bytes.
     ///
     /// # Errors
     /// When the process has ended.
     pub fn peak_memory(&self) -> anyhow::Result<u64> {
-        let child = self.child.as_ref().context("the process was waited for")?;
+        let child = self
+            .child
+            .as_ref()
+            .context("the process has already been waited for")?;
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id()))?;
         let line = status.lines().find(|line| line.starts_with("VmHWM:"));
         let kilobytes = line.and_then(|line| line.split_whitespace().nth(1));
-        let kilobytes: u64 = kilobytes.context("no VmHWM")?.parse()?;
+        let kilobytes: u64 = kilobytes
+            .context("no VmHWM in the status of the process")?
+            .parse()?;
         Ok(kilobytes << 10)
     }
 
-    /// Whether the process still runs.
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// What the process has logged so far.
+    /// Standard output so far, followed by standard error so far.
     #[must_use]
     pub fn log(&self) -> String {
         self.output.text() + &self.errors.text()
     }
 
-    /// Waits for the process to end by itself. Fails if it takes longer than `limit`.
+    /// Waits for the process to exit by itself. Fails if that takes longer than `limit`, in which
+    /// case the process is killed.
     pub fn wait(mut self, limit: Duration) -> anyhow::Result<Ended> {
         let deadline = Instant::now() + limit;
         while self.is_running() {
             anyhow::ensure!(
                 Instant::now() < deadline,
-                "{} did not end in time",
+                "{} did not exit in time",
                 self.name
             );
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        let status = self.child.take().context("waited for once")?.wait()?;
+        let status = self
+            .child
+            .take()
+            .context("the process has already been waited for")?
+            .wait()?;
         self.output.join();
         self.errors.join();
         Ok(Ended {
@@ -171,7 +184,7 @@
         })
     }
 
-    /// Asks the process to end and waits for it.
+    /// Sends SIGTERM to the process and waits for it to exit.
     pub fn end(self, limit: Duration) -> anyhow::Result<Ended> {
         self.signal(Signal::SIGTERM)?;
         self.wait(limit)
@@ -181,7 +194,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended already; then there is nothing to kill.
+            // This fails if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -190,11 +203,11 @@
     }
 }
 
-/// The path of one of this workspace's programs: beside the running one, or a folder above it for
-/// tests, which cargo puts in `deps`.
+/// Finds a binary of this workspace in the directory of the running executable or its parent. The
+/// parent is for tests, which cargo puts into `deps`.
 ///
 /// # Errors
-/// When it is not built.
+/// When the binary is not built.
 pub fn locate(program: &str) -> anyhow::Result<PathBuf> {
     let own = std::env::current_exe()?;
     own.ancestors()
