--- a/crates/e2e/src/operator.rs
+++ b/crates/e2e/src/operator.rs
@@ -1,5 +1,5 @@
-//! What operators do with a deployment: its configuration, changes of it, and whether they are in
-//! force.
+//! Operator tasks on a deployment: reading and changing its configuration, and checking whether a
+//! change is in force.
 
 use std::{
     net::SocketAddr,
@@ -20,19 +20,20 @@
     process::Process,
 };
 
-/// How long a change may take to be in force everywhere: several times what is promised, for
-/// machines that are busy with other tests.
+/// Time limit for a change to be in force on all balancers: several times the guaranteed limit, to
+/// allow for machines that run other tests.
 const IN_FORCE: Duration = Duration::from_secs(20);
-/// Connections that each backend server takes.
+/// Connection limit of each backend server.
 const CONNECTIONS: u32 = 2_000;
 
 impl Deployment {
-    /// The configuration that the plan describes for the start, every backend server active.
+    /// The plan's initial configuration, with every backend server active.
     pub fn config(&self) -> anyhow::Result<Config> {
         self.config_of(|service| service.at_start)
     }
 
-    /// The configuration of those services of the plan that `choose` picks.
+    /// A configuration with the services of the plan for which `choose` returns true, and every
+    /// backend server active.
     pub fn config_of(&self, choose: impl Fn(&Service) -> bool) -> anyhow::Result<Config> {
         let mut config = Config::default();
         let count = self.plan.services.iter().filter(|s| choose(s)).count();
@@ -63,7 +64,7 @@
         Ok(config)
     }
 
-    /// The configuration that was applied last.
+    /// The configuration that was last passed to [`Deployment::apply`], initially that of the plan.
     pub fn current(&self) -> anyhow::Result<Config> {
         match &self.applied {
             Some(config) => Ok(config.clone()),
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Swaps `config` into the platform's store, as an operator's `apply` does.
+    /// Writes `config` to the platform's store with a compare-and-swap, as the operators' tool does,
+    /// and returns its revision.
     pub fn apply(&mut self, config: &Config) -> anyhow::Result<u64> {
         self.changes += 1;
         let draft = Draft {
@@ -97,13 +99,13 @@
             };
             match client.swap(swap).await? {
                 store::Outcome::Written { .. } => Ok(after.revision),
-                store::Outcome::Conflict { .. } => anyhow::bail!("another write came between"),
+                store::Outcome::Conflict { .. } => anyhow::bail!("concurrent config change"),
             }
         })
     }
 
-    /// The highest revision of the configuration that balancer `id` has had in force, 0 if none,
-    /// and whether none of them was lower than the one before.
+    /// The last revision of the configuration that balancer `id` logged as in force, or 0, and
+    /// whether the logged revisions never decreased.
     #[must_use]
     pub fn in_force(&self, id: u16) -> (u64, bool) {
         let log = self
@@ -120,12 +122,13 @@
         (last, revisions.is_sorted())
     }
 
-    /// Waits until each of `ids` has `revision` of the configuration in force, or a later one.
+    /// Waits until all balancers in `ids` have `revision` of the configuration, or a later one, in
+    /// force.
     pub fn wait_in_force(&self, ids: &[u16], revision: u64) -> anyhow::Result<()> {
         wait_until(IN_FORCE, || {
             let late = ids.iter().find(|id| self.in_force(**id).0 < revision);
             match late {
-                Some(id) => anyhow::bail!("balancer {id} does not have revision {revision}"),
+                Some(id) => anyhow::bail!("revision {revision} is not in force on balancer {id}"),
                 None => Ok(()),
             }
         })
