--- a/crates/e2e/src/fault.rs
+++ b/crates/e2e/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a deployment: cuts, silence, and what its platform does wrong.
+//! Fault injection into a deployment: network cuts, silent connections and platform faults.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -28,23 +28,23 @@
     net::ADMIN,
 };
 
-/// Stands for the platform in a [`Direction`].
+/// Identifies the platform in a [`Direction`].
 pub const PLATFORM_ID: u16 = relay::PLATFORM;
 
 impl Deployment {
-    /// Nothing passes between `a` and `b` any more.
+    /// Drops all traffic between `a` and `b`, in addition to earlier cuts.
     pub fn cut(&mut self, a: u16, b: u16) -> anyhow::Result<()> {
         self.cut_directions(&[(a, b), (b, a)])
     }
 
-    /// Nothing passes in these directions any more.
+    /// Drops all traffic in the given directions, in addition to earlier cuts.
     pub fn cut_directions(&mut self, directions: &[Direction]) -> anyhow::Result<()> {
         self.cut.extend(directions);
-        self.tell_cut()
+        self.send_cuts()
     }
 
-    /// The data centre `name` is cut from all others; its own balancers reach each other, and
-    /// everybody the platform.
+    /// Cuts the data centre `name` from all others. Its balancers still reach each other, and all
+    /// balancers still reach the platform.
     pub fn cut_data_centre(&mut self, name: &str) -> anyhow::Result<()> {
         let (inside, outside) = self.sides(name);
         let pairs = inside.iter().flat_map(|a| outside.iter().map(|b| (*a, *b)));
@@ -52,7 +52,7 @@
         self.cut_directions(&directions)
     }
 
-    /// The data centre `name` no longer reaches the platform.
+    /// Cuts the data centre `name` from the platform.
     pub fn cut_platform_from(&mut self, name: &str) -> anyhow::Result<()> {
         let (inside, _) = self.sides(name);
         inside
@@ -60,28 +60,29 @@
             .try_for_each(|id| self.cut(id, PLATFORM_ID))
     }
 
-    /// Everything passes again.
+    /// Ends all cuts.
     pub fn heal(&mut self) -> anyhow::Result<()> {
         self.cut.clear();
-        self.tell_cut()
+        self.send_cuts()
     }
 
-    /// Connections that are open now go silent for good in these directions; new ones work.
+    /// Makes open connections drop all data in the given directions until they are closed; new
+    /// connections work.
     pub fn silence(&self, directions: &[Direction]) -> anyhow::Result<()> {
         self.command(RELAY_HOST, &Command::Silence(directions.to_vec()))
     }
 
-    /// The platform does this wrong from now on, and nothing else.
+    /// Replaces the faults of the simulated platform.
     pub fn set_faults(&self, faults: Faults) -> anyhow::Result<()> {
-        self.steer(async |control| control.faults(context::current(), faults).await)
+        self.call_platform(async |control| control.faults(context::current(), faults).await)
     }
 
-    /// The platform's open connections go silent for good; new ones work.
+    /// Makes the platform's open connections silent until they are closed; new ones work.
     pub fn silence_platform(&self) -> anyhow::Result<()> {
-        self.steer(async |control| control.silence_open(context::current()).await)
+        self.call_platform(async |control| control.silence_open(context::current()).await)
     }
 
-    /// The platform lists these balancers as live, and no others.
+    /// Makes the platform list exactly these balancers as live.
     pub fn list(&self, ids: &[u16]) -> anyhow::Result<()> {
         let machines = ids.iter().map(|id| Machine {
             name: format!("balancer-{id}").into(),
@@ -90,34 +91,34 @@
             state: State::Live,
         });
         let machines: Vec<Machine> = machines.collect();
-        self.steer(async |control| control.machines(context::current(), machines).await)
+        self.call_platform(async |control| control.machines(context::current(), machines).await)
     }
 
-    /// Calls that the platform has taken.
+    /// Counts of the calls that the platform has received.
     pub fn platform_calls(&self) -> anyhow::Result<Counts> {
-        self.steer(async |control| control.counts(context::current()).await)
+        self.call_platform(async |control| control.counts(context::current()).await)
     }
 
-    /// Bytes of control traffic that each balancer has sent to others.
+    /// Bytes of control traffic that each balancer has sent to other balancers.
     pub fn control_bytes(&self) -> anyhow::Result<BTreeMap<u16, u64>> {
         let relay = SocketAddr::V4(self.network().port(RELAY_HOST, ADMIN));
         Ok(serde_json::from_str(&admin::ask(relay, &Command::Sent)?)?)
     }
 
-    /// Balancers in the data centre `name`, and those elsewhere.
+    /// Splits the balancers into those in the data centre `name` and those outside of it.
     #[must_use]
     pub fn sides(&self, name: &str) -> (Vec<u16>, Vec<u16>) {
         let all = self.balancers().into_iter();
         all.partition(|id| self.data_centre(*id) == name)
     }
 
-    fn tell_cut(&self) -> anyhow::Result<()> {
+    fn send_cuts(&self) -> anyhow::Result<()> {
         let cut = self.cut.iter().copied().collect();
         self.command(RELAY_HOST, &Command::Cut(cut))
     }
 
-    /// Asks the platform's stand-in over a connection of its own.
-    fn steer<T>(
+    /// Calls the control interface of the simulated platform over a new connection.
+    fn call_platform<T>(
         &self,
         ask: impl AsyncFnOnce(&ControlClient) -> Result<T, RpcError>,
     ) -> anyhow::Result<T> {
