--- a/crates/e2e/src/deployment.rs
+++ b/crates/e2e/src/deployment.rs
@@ -1,4 +1,5 @@
-//! A whole deployment: platform, fabric, backend servers and balancers, each a process.
+//! A complete deployment: platform, fabric, backend servers and balancers, each in a process of its
+//! own.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,57 +18,58 @@
     process::{Ended, Process},
 };
 
-/// How long a process may take to end when asked to.
-const ENDING: Duration = Duration::from_secs(20);
+/// Time limit for a process to exit after it was asked to.
+const EXIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval of polling a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Balancers that start together own flows after this long, several times over.
-const SETTLED: Duration = Duration::from_secs(8);
+/// Time to wait for balancers to own flows: several times what they need when started together.
+const SETTLE_TIME: Duration = Duration::from_secs(8);
 
-/// A service of the deployment, and how its backend servers behave.
+/// A service of the deployment and the behaviour of its backend servers.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: &'static str,
-    /// Address and port that callers use.
+    /// Public address and port.
     pub address: SocketAddrV4,
     /// The mark of its callers.
     pub mark: Mark,
     /// Number of backend servers.
     pub servers: u8,
-    /// Pieces of work that each runs at once.
+    /// Number of requests that each backend server processes concurrently.
     pub slots: usize,
-    /// How long a piece of work takes, in milliseconds, by server: the list is repeated.
+    /// Processing time of a request in milliseconds, by backend server; repeated if the list is
+    /// shorter than the number of servers.
     pub work: Vec<u64>,
-    /// Whether it is in the configuration from the start; its backend servers run anyway.
+    /// Whether the initial configuration contains the service. Its backend servers run either way.
     pub at_start: bool,
 }
 
 impl Service {
-    /// How long a piece of work takes at backend server `number`, counted from 1, in milliseconds.
+    /// Processing time of a request at backend server `number`, counted from 1, in milliseconds.
     #[must_use]
     pub fn work_of(&self, number: u8) -> u64 {
         self.work[usize::from(number - 1) % self.work.len()]
     }
 }
 
-/// What to start.
+/// The services, balancers and data centres of a deployment.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// The services.
     pub services: Vec<Service>,
     /// Number of balancers.
     pub balancers: u16,
-    /// Data centres, over which balancers and backend servers are dealt out in turn.
+    /// Data centres, to which balancers and backend servers are assigned in turn.
     pub data_centres: Vec<&'static str>,
 }
 
-/// A sender and a receiver: balancers' numbers, or [`PLATFORM_ID`](crate::fault::PLATFORM_ID).
+/// Sender and receiver: balancer ids, or [`PLATFORM_ID`](crate::fault::PLATFORM_ID).
 pub type Direction = (u16, u16);
 
-/// A backend server that runs.
+/// A running backend server.
 #[derive(Debug)]
 struct Server {
     name: String,
@@ -75,7 +77,7 @@
     process: Process,
 }
 
-/// The running processes. Dropping it ends them all.
+/// A running deployment. Dropping it kills all of its processes.
 #[derive(Debug)]
 pub struct Deployment {
     pub(crate) network: Network,
@@ -93,7 +95,7 @@
 }
 
 impl Deployment {
-    /// Starts everything and puts `config` in the platform's store.
+    /// Starts all processes and writes the plan's initial configuration to the platform's store.
     pub fn start(plan: Plan) -> anyhow::Result<Self> {
         let (network, claim) = Network::claim()?;
         let platform = Process::start("acacia-stand", &platform_arguments(network), "")?;
@@ -124,13 +126,14 @@
         Ok(deployment)
     }
 
-    /// The network that the deployment lives in.
+    /// The loopback network of the deployment.
     #[must_use]
     pub fn network(&self) -> Network {
         self.network
     }
 
-    /// Starts balancer `id`; the platform lists it, the fabric doesn't know it yet.
+    /// Starts balancer `id` and adds it to the platform's list of VMs. The fabric does not send to it
+    /// yet.
     pub fn start_balancer(&mut self, id: u16) -> anyhow::Result<()> {
         let arguments = ["--settings".to_owned(), "-".to_owned()];
         let process = Process::start("acaciad", &arguments, &self.settings(id))?;
@@ -138,27 +141,28 @@
         self.list(&self.balancers())
     }
 
-    /// Asks balancer `id` to end and waits for it; gives its exit status.
+    /// Sends SIGTERM to balancer `id` and waits for it to exit. Returns its exit status.
     pub fn end_balancer(&mut self, id: u16) -> anyhow::Result<i32> {
         self.signal_balancer(id, Signal::SIGTERM)?;
         Ok(self.wait_balancer(id)?.status)
     }
 
-    /// Kills balancer `id`; the platform's list of VMs no longer has it.
+    /// Kills balancer `id` and removes it from the platform's list of VMs.
     pub fn kill_balancer(&mut self, id: u16) -> anyhow::Result<()> {
         self.signal_balancer(id, Signal::SIGKILL)?;
         self.wait_balancer(id).map(|_| ())
     }
 
-    /// Waits until balancer `id`, which was told to end, has ended.
+    /// Waits for balancer `id`, which was signalled before, to exit, and removes it from the
+    /// platform's list of VMs.
     pub fn wait_balancer(&mut self, id: u16) -> anyhow::Result<Ended> {
         let process = self.balancers.remove(&id).context("no such balancer")?;
-        let ended = process.wait(ENDING)?;
+        let ended = process.wait(EXIT_LIMIT)?;
         self.list(&self.balancers())?;
         Ok(ended)
     }
 
-    /// Whether balancer `id` runs.
+    /// Whether balancer `id` is running.
     pub fn is_running(&mut self, id: u16) -> bool {
         self.balancers.get_mut(&id).is_some_and(Process::is_running)
     }
@@ -171,7 +175,7 @@
             .signal(signal)
     }
 
-    /// What balancer `id` has logged since it was started.
+    /// The log of balancer `id` since its last start.
     #[must_use]
     pub fn log(&self, id: u16) -> String {
         self.balancers
@@ -180,29 +184,29 @@
             .unwrap_or_default()
     }
 
-    /// The most memory that balancer `id` has had resident at a time, in bytes.
+    /// Peak resident memory of balancer `id`, in bytes.
     ///
     /// # Errors
-    /// When it does not run.
+    /// When it is not running.
     pub fn peak_memory(&self, id: u16) -> anyhow::Result<u64> {
         let process = self.balancers.get(&id);
         process.context("no such balancer")?.peak_memory()
     }
 
-    /// The balancers that were started and not ended.
+    /// Ids of the balancers that were started and not ended.
     #[must_use]
     pub fn balancers(&self) -> Vec<u16> {
         self.balancers.keys().copied().collect()
     }
 
-    /// Waits until the balancers know each other and own flows: they start joining, and are ready
-    /// after some heartbeats.
+    /// Waits until the balancers know each other and own flows, which takes several heartbeats after
+    /// their start.
     pub fn settle(&self) {
-        std::thread::sleep(SETTLED);
+        std::thread::sleep(SETTLE_TIME);
     }
 
-    /// Replaces balancer `id` as a planned change: the fabric stops sending to it, it hands over
-    /// and ends, a new one starts under the same number and joins.
+    /// Replaces balancer `id` as in a planned upgrade: the fabric stops sending to it, it hands over
+    /// its flows and exits, and a new process with the same id starts and joins.
     pub fn replace_balancer(&mut self, id: u16) -> anyhow::Result<()> {
         let others: Vec<u16> = self
             .balancers()
@@ -217,7 +221,7 @@
         self.spray_over_all()
     }
 
-    /// Connections that the backend server `name` has taken since its start.
+    /// Number of connections that the backend server `name` has accepted since its start.
     pub fn opened(&self, name: &str) -> anyhow::Result<u64> {
         let server = self
             .servers
@@ -227,10 +231,10 @@
         let address = SocketAddr::V4(self.network.port(server.host, ADMIN));
         admin::ask(address, &Command::Opened)?
             .parse()
-            .context("a count was expected")
+            .context("expected a number")
     }
 
-    /// The fabric sprays over `ids` from now on.
+    /// Makes the fabric spray packets over the balancers `ids`.
     pub fn spray_over(&self, ids: &[u16]) -> anyhow::Result<()> {
         let addresses = ids
             .iter()
@@ -239,17 +243,17 @@
         self.command(FABRIC_HOST, &Command::Balancers(addresses))
     }
 
-    /// The fabric sprays over all balancers that were started and not ended.
+    /// Makes the fabric spray packets over all balancers that were started and not ended.
     pub fn spray_over_all(&self) -> anyhow::Result<()> {
         self.spray_over(&self.balancers())
     }
 
-    /// Tells the fabric or a backend server something.
+    /// Sends a command to the fabric, the relay or a backend server.
     pub fn command(&self, host: u8, command: &Command) -> anyhow::Result<()> {
         admin::send(SocketAddr::V4(self.network.port(host, ADMIN)), command)
     }
 
-    /// Tells the backend server `name` how long a piece of work takes from now on.
+    /// Sets the processing time of a request at the backend server `name`, in milliseconds.
     pub fn set_work(&self, name: &str, millis: u64) -> anyhow::Result<()> {
         let server = self
             .servers
@@ -259,7 +263,7 @@
         self.command(server.host, &Command::Work(millis))
     }
 
-    /// Starts a caller with the address 192.0.2.`number`, asking `service`.
+    /// Starts a caller of `service` with the address 192.0.2.`number`.
     pub fn caller(
         &self,
         number: u8,
@@ -287,25 +291,25 @@
         Process::start("acacia-stand", &all, "")
     }
 
-    /// Ends the backend servers and gives the line of results of each.
+    /// Ends the backend servers and returns their results, one line for each.
     pub fn end_servers(&mut self) -> anyhow::Result<Vec<String>> {
         let servers = std::mem::take(&mut self.servers);
         servers
             .into_iter()
-            .map(|server| Ok(server.process.end(ENDING)?.output))
+            .map(|server| Ok(server.process.end(EXIT_LIMIT)?.output))
             .collect()
     }
 
     /// Ends all balancers and backend servers gracefully.
     pub fn end_all(&mut self) -> anyhow::Result<()> {
         let balancers = std::mem::take(&mut self.balancers);
-        // All are asked before the first is waited for.
+        // Signal all balancers before waiting for the first, so that they shut down concurrently.
         let asked = balancers
             .values()
             .try_for_each(|b| b.signal(Signal::SIGTERM));
         asked?;
         for (id, process) in balancers {
-            let status = process.wait(ENDING)?.status;
+            let status = process.wait(EXIT_LIMIT)?.status;
             anyhow::ensure!(status == 0, "balancer {id} ended with status {status}");
         }
         self.end_servers().map(|_| ())
@@ -346,16 +350,16 @@
     }
 }
 
-/// Looks until `look` finds nothing amiss; after `limit` fails with what it finds then.
+/// Polls `check` until it succeeds. After `limit`, fails with the last error.
 pub fn wait_until(
     limit: Duration,
-    mut look: impl FnMut() -> anyhow::Result<()>,
+    mut check: impl FnMut() -> anyhow::Result<()>,
 ) -> anyhow::Result<()> {
     let deadline = Instant::now() + limit;
     loop {
-        match look() {
+        match check() {
             Err(error) if Instant::now() >= deadline => return Err(error),
-            Err(_) => std::thread::sleep(LOOK),
+            Err(_) => std::thread::sleep(POLL_INTERVAL),
             Ok(()) => return Ok(()),
         }
     }
