--- a/crates/e2e/src/demo.rs
+++ b/crates/e2e/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: today's Tampere in small, which serves while it changes.
+//! The demo: a scaled-down model of today's Tampere deployment that changes under traffic.
 
 mod outcome;
 mod step;
@@ -20,20 +20,21 @@
 
 use crate::deployment::{Deployment, Plan, Service};
 
-/// Live feeds that are open all the time.
+/// Number of live feeds that stay open through the steps.
 const FEEDS: usize = 60;
-/// The longest pause before the demo looks whether it was asked to end.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval of checking for a request to stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// The backend server that is drained.
 const DRAINED: &str = "talkoo-live-1";
 /// The balancer that is replaced.
 const REPLACED: u16 = 2;
 /// The data centre that is cut off.
 const CUT: &str = "hervanta";
-/// Longer than balancers wait for silent ones before they take them for dead, in seconds.
-const APART: u64 = 7;
+/// Minimum duration of the cut in seconds: longer than the timeout after which balancers declare a
+/// silent peer dead.
+const MIN_CUT_SECONDS: u64 = 7;
 
-/// What the demo shows.
+/// Options of the demo.
 #[derive(Debug, clap::Parser)]
 #[command(
     name = "acacia-demo",
@@ -44,18 +45,18 @@
     /// Number of balancers.
     #[arg(long, default_value_t = 7)]
     pub balancers: u16,
-    /// How long each step lasts at least, in seconds.
+    /// Duration of a step, in seconds.
     #[arg(long, default_value_t = 8)]
     pub seconds: u64,
 }
 
-/// Runs the demo. Its exit status is 1 if a planned change broke a flow. Fails when it is asked to end before, after ending all that it has started.
+/// Runs the demo. Fails if a signal interrupts it; all processes that it started are ended then.
 pub fn run(options: &Options) -> anyhow::Result<Outcome> {
     let asked = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
         signal_hook::flag::register(signal, Arc::clone(&asked))?;
     }
-    say("starting the platform, the fabric, 19 backend servers and the balancers");
+    announce("starting the platform, the fabric, 19 backend servers and the balancers");
     let mut demo = Demo {
         deployment: Deployment::start(plan(options.balancers)?)?,
         asked,
@@ -66,7 +67,7 @@
     demo.all()
 }
 
-/// A demo that runs.
+/// A running demo.
 struct Demo {
     deployment: Deployment,
     asked: Arc<AtomicBool>,
@@ -99,7 +100,7 @@
         };
         let control = after.keys().map(|id| (*id, rate(id))).collect();
         let imbalance = self.imbalance()?;
-        say("ending everything");
+        announce("ending everything");
         self.deployment.end_all()?;
         Ok(Outcome {
             steps: std::mem::take(&mut self.steps),
@@ -109,14 +110,14 @@
     }
 
     fn steady(&mut self) -> anyhow::Result<()> {
-        say("check-ins and map downloads, nothing changes");
+        announce("check-ins and map downloads, nothing changes");
         let step = self.begin("nothing changes", true)?;
         self.pause(self.seconds)?;
         self.end(step)
     }
 
     fn drain(&mut self) -> anyhow::Result<()> {
-        say(&format!("draining the backend server {DRAINED}"));
+        announce(&format!("draining the backend server {DRAINED}"));
         let step = self.begin("a backend server drains", true)?;
         let mut config = self.deployment.current()?;
         config.update_server(DRAINED, |server| {
@@ -127,7 +128,7 @@
         let all = self.deployment.balancers();
         self.deployment.wait_in_force(&all, revision)?;
         let took = since.elapsed().as_millis();
-        say(&format!(
+        announce(&format!(
             "the drain is in force on every balancer after {took} ms"
         ));
         self.pause(self.seconds)?;
@@ -135,26 +136,26 @@
     }
 
     fn replace(&mut self) -> anyhow::Result<()> {
-        say(&format!(
+        announce(&format!(
             "replacing balancer {REPLACED}: it hands over and ends, a new one joins"
         ));
         let step = self.begin("a balancer is replaced", true)?;
         self.deployment.replace_balancer(REPLACED)?;
-        say("the new balancer serves");
+        announce("the new balancer serves");
         self.pause(self.seconds / 3)?;
         self.end(step)
     }
 
     fn cut(&mut self) -> anyhow::Result<()> {
-        say(&format!(
+        announce(&format!(
             "cutting {CUT} off from the other data centres and the platform"
         ));
         let step = self.begin("a data centre is cut off", false)?;
         self.deployment.cut_data_centre(CUT)?;
         self.deployment.cut_platform_from(CUT)?;
-        self.pause(self.seconds.max(APART))?;
+        self.pause(self.seconds.max(MIN_CUT_SECONDS))?;
         step.stop()?;
-        say("the line is back");
+        announce("the line is back");
         self.deployment.heal()?;
         self.end(step)
     }
@@ -165,17 +166,17 @@
         self.end(step)
     }
 
-    /// Starts check-ins and downloads that go on until the step ends.
+    /// Starts check-ins and downloads that run until the step ends.
     fn begin(&mut self, name: &'static str, planned: bool) -> anyhow::Result<Step> {
         let numbers = (self.callers + 1, self.callers + 2);
         self.callers += 2;
         Step::requests(&self.deployment, name, planned, numbers)
     }
 
-    /// Opens feeds that go on until the step ends.
+    /// Opens feeds that stay open until the step ends.
     fn feeds(&mut self, name: &'static str, planned: bool) -> anyhow::Result<Step> {
         self.callers += 1;
-        say(&format!("{FEEDS} crew leaders open live feeds"));
+        announce(&format!("{FEEDS} crew leaders open live feeds"));
         Step::feeds(&self.deployment, name, planned, (self.callers, FEEDS))
     }
 
@@ -184,8 +185,8 @@
         Ok(())
     }
 
-    /// Busiest backend server's work over the mean, by the time that each truly needs, over the
-    /// servers of talkoo-live that take new work all along.
+    /// Work of the busiest backend server divided by the mean, among the servers of talkoo-live that
+    /// are never drained. Work is the number of connections times the server's processing time.
     fn imbalance(&self) -> anyhow::Result<f64> {
         let service = &self.deployment.plan.services[0];
         let mut busy = Vec::new();
@@ -200,23 +201,24 @@
         Ok(busy.iter().copied().fold(0.0, f64::max) / mean)
     }
 
-    /// Waits, unless the demo is asked to end.
+    /// Waits, and fails early if the demo is asked to stop.
     fn pause(&self, seconds: u64) -> anyhow::Result<()> {
         let until = Instant::now() + Duration::from_secs(seconds);
         while Instant::now() < until {
             let asked = self.asked.load(Ordering::Relaxed);
-            anyhow::ensure!(!asked, "asked to end; everything is ended");
-            sleep(LOOK);
+            anyhow::ensure!(!asked, "interrupted; all processes are ended");
+            sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 }
 
-fn say(what: &str) {
+fn announce(what: &str) {
     println!("==> {what}");
 }
 
-/// Today's Tampere in small: three data centres, 15 and 4 backend servers of unequal speed.
+/// A scaled-down model of today's Tampere deployment: three data centres, and two services with 15
+/// and 4 backend servers of unequal speed.
 fn plan(balancers: u16) -> anyhow::Result<Plan> {
     Ok(Plan {
         services: vec![
--- a/crates/e2e/src/demo/outcome.rs
+++ b/crates/e2e/src/demo/outcome.rs
@@ -4,19 +4,19 @@
 
 use super::step::{Group, Step};
 
-/// What the demo has shown.
+/// Results of the demo.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Each step with its flows.
+    /// The steps with the counts of their flows.
     pub(super) steps: Vec<Step>,
-    /// Busiest server's work over the mean.
+    /// Work of the busiest server divided by the mean.
     pub(super) imbalance: f64,
-    /// Bytes of control traffic a second, by balancer.
+    /// Control traffic of each balancer, in bytes per second.
     pub(super) control: Vec<(u16, f64)>,
 }
 
 impl Outcome {
-    /// Everything as a table, with a line on what the figures mean.
+    /// Formats the results as a table with a summary below.
     #[must_use]
     pub fn table(&self) -> String {
         let mut table = Table::new();
@@ -52,7 +52,7 @@
         )
     }
 
-    /// Failure if a planned change broke a flow.
+    /// Exit status 1 if a planned change broke a flow, otherwise 0.
     #[must_use]
     pub fn exit(&self) -> ExitCode {
         ExitCode::from(u8::from(self.broken() > 0))
--- a/crates/e2e/src/demo/step.rs
+++ b/crates/e2e/src/demo/step.rs
@@ -5,38 +5,39 @@
 
 use crate::{deployment::Deployment, process::Process};
 
-/// Longer than a step lasts: callers go on until they are told to end.
-const LONG: u64 = 600;
-/// How long a caller may take to end: its last answers must come in.
-const ENDING: Duration = Duration::from_secs(20);
-/// Check-ins and downloads a second.
+/// Maximum run time of callers, in seconds: longer than any step, as callers run until they are
+/// signalled.
+const MAX_SECONDS: u64 = 600;
+/// Time limit for a caller to exit, which includes waiting for its last answers.
+const EXIT_LIMIT: Duration = Duration::from_secs(20);
+/// Check-ins and map downloads per second.
 const RATES: (u32, u32) = (120, 30);
 
-/// What became of the flows of one kind.
+/// Counts of the flows of one kind by outcome.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Flows {
-    /// Opened.
+    /// Opened flows.
     pub opened: u64,
-    /// Ended or lasted as their callers wished.
+    /// Flows that were completed, or stayed open as long as their caller wanted.
     pub whole: u64,
-    /// Cut off, or answered wrongly.
+    /// Flows that were reset, went silent, or received a wrong or late answer.
     pub broken: u64,
-    /// Refused: not run.
+    /// Flows that were refused without executing a request.
     pub refused: u64,
-    /// Never answered.
+    /// Flows that received no answer.
     pub unanswered: u64,
-    /// The time within which 99 of 100 were answered, in microseconds.
+    /// 99th percentile of the response time, in microseconds.
     pub p99: u64,
 }
 
-/// Callers of one kind, and what became of them.
+/// Callers of one kind and the counts of their flows.
 #[derive(Debug)]
 pub struct Group {
-    /// What they ask for.
+    /// Kind of their requests.
     pub what: &'static str,
-    /// Their mark.
+    /// Mark of the callers.
     pub mark: Mark,
-    /// What became of their flows, once they have ended.
+    /// Counts of their flows; zero until the callers have ended.
     pub flows: Flows,
     process: Option<Process>,
 }
@@ -44,23 +45,23 @@
 /// One step of the demo.
 #[derive(Debug)]
 pub struct Step {
-    /// What changes.
+    /// Description of the change.
     pub name: &'static str,
     /// Whether it is a planned change, which must not break a flow.
     pub planned: bool,
-    /// Its callers.
+    /// Callers of the step.
     pub groups: Vec<Group>,
 }
 
 impl Step {
-    /// Check-ins and map downloads by callers with these two numbers.
+    /// Starts a step with check-ins by the caller `first` and map downloads by the caller `second`.
     pub fn requests(
         deployment: &Deployment,
         name: &'static str,
         planned: bool,
         (first, second): (u8, u8),
     ) -> anyhow::Result<Self> {
-        let seconds = ("seconds", LONG.to_string());
+        let seconds = ("seconds", MAX_SECONDS.to_string());
         let checkins = [("rate", RATES.0.to_string()), seconds.clone()];
         let maps = [
             ("rate", RATES.1.to_string()),
@@ -79,7 +80,7 @@
         })
     }
 
-    /// So many feeds by the caller with this number.
+    /// Starts a step with `count` feeds held by the caller `number`.
     pub fn feeds(
         deployment: &Deployment,
         name: &'static str,
@@ -89,7 +90,7 @@
         let arguments = [
             ("feeds", count.to_string()),
             ("interval", "1000".to_owned()),
-            ("seconds", LONG.to_string()),
+            ("seconds", MAX_SECONDS.to_string()),
         ];
         let feeds = deployment.caller(number, "talkoo-live", &arguments)?;
         Ok(Step {
@@ -99,25 +100,25 @@
         })
     }
 
-    /// Tells the callers to open nothing more.
+    /// Signals the callers to open no new flows.
     pub fn stop(&self) -> anyhow::Result<()> {
         let mut processes = self.groups.iter().filter_map(|g| g.process.as_ref());
         processes.try_for_each(|process| process.signal(Signal::SIGTERM))
     }
 
-    /// Stops the callers, waits for their answers and counts.
+    /// Stops the callers, waits for their last answers and reads their counts.
     pub fn end(mut self) -> anyhow::Result<Self> {
-        // All are told before the first is waited for: one may wait long for a last answer.
+        // Signal all callers before waiting for the first, as one may wait long for its last answer.
         self.stop()?;
         for group in &mut self.groups {
             if let Some(process) = group.process.take() {
-                group.flows = Flows::parse(&process.wait(ENDING)?.output);
+                group.flows = Flows::parse(&process.wait(EXIT_LIMIT)?.output);
             }
         }
         Ok(self)
     }
 
-    /// Flows that it broke.
+    /// Number of flows that broke during the step.
     #[must_use]
     pub fn broken(&self) -> u64 {
         self.groups.iter().map(|group| group.flows.broken).sum()
