--- a/crates/e2e/src/lib.rs
+++ b/crates/e2e/src/lib.rs
@@ -1,6 +1,6 @@
-//! Deployments in small, of separate processes on loopback, for the demo and the tests.
+//! Small deployments of separate processes on loopback, for the demo and the tests.
 //!
-//! Only this crate starts processes; none of the product's programs does.
+//! Processes are started by this crate only, never by the programs of the product.
 
 pub mod demo;
 pub mod deployment;
--- a/crates/e2e/src/main.rs
+++ b/crates/e2e/src/main.rs
@@ -1,11 +1,11 @@
-//! `acacia-demo`: a small deployment that serves while it changes.
+//! `acacia-demo`: runs a small deployment and changes it under traffic.
 
 use std::process::ExitCode;
 
 use acacia_e2e::demo::{self, Options};
 use clap::Parser as _;
 
-/// Exit status of a demo that did not come to its end, as it was asked to end or couldn't start.
+/// Exit status when the demo failed to start or was interrupted.
 const UNFINISHED: u8 = 2;
 
 fn main() -> ExitCode {
