--- a/crates/soak/tests/it/main.rs
+++ b/crates/soak/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Real balancers before stand-ins of the users' platform.
+//! Tests of real balancers against a simulated platform.
 
 mod explain;
 mod gone;
