--- a/crates/soak/tests/it/explain.rs
+++ b/crates/soak/tests/it/explain.rs
@@ -1,6 +1,7 @@
-//! From a failed request to its cause by the balancers' logs alone, as docs/OPERATIONS.md tells.
+//! Finding the cause of a failed request from the balancers' logs alone, as described in
+//! docs/OPERATIONS.md.
 //!
-//! A caller's own log leads from a request's id to the address and port that it was sent from.
+//! The caller's own log maps a request id to the address and port that the request was sent from.
 
 use std::{
     net::Ipv4Addr,
@@ -19,14 +20,14 @@
         .expect("a deployment that starts")
 }
 
-/// The lines of an event that hold all of `parts`.
+/// Log lines of `event` that contain all of `parts`.
 fn lines<'a>(logs: &'a str, event: &str, parts: &[&str]) -> Vec<&'a str> {
     let event = format!("event={event} ");
     let holds = |line: &&str| line.contains(&event) && parts.iter().all(|part| line.contains(part));
     logs.lines().filter(holds).collect()
 }
 
-/// The value of a key in a line.
+/// The value of `key` in a log line.
 fn value<'a>(line: &'a str, key: &str) -> &'a str {
     let start = format!(" {key}=");
     let (_, rest) = line
@@ -39,7 +40,8 @@
     format!("caller={address}:{port} ")
 }
 
-/// Waits until the logs hold what `found` looks for; a line is written a moment after its event.
+/// Waits until `found` accepts the logs, as lines are written shortly after their event. Returns the
+/// logs after 5 s in any case.
 async fn logs(fleet: &Fleet, found: impl Fn(&str) -> bool) -> String {
     let start = Instant::now();
     loop {
@@ -51,8 +53,8 @@
     }
 }
 
-/// A caller complains that its feed broke off. Its server had died: the flow's opening names the
-/// server, and the server's lines tell when it was found silent and by what.
+/// A feed breaks because its server died. The log of the flow's opening must name the server, and the
+/// server's log lines must show when and how it was found silent.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_flow_that_ended_with_its_server_is_explained() {
     let mut fleet = fleet(2).await;
@@ -101,10 +103,10 @@
     assert!(ended[0].contains("code=flow-server-gone(241)"), "{ended:?}");
 }
 
-/// A caller complains that it was turned away. The configuration had dropped its route: the reset
-/// names the version in force, and the configuration's line tells what that version removed.
+/// A caller is refused because a configuration removed its route. The log line of the reset must name
+/// the version in force, and the line of that configuration must show what it removed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_turned_away_by_the_configuration_is_explained() {
+async fn a_caller_refused_by_the_configuration_is_explained() {
     let mut fleet = fleet(2).await;
     let mut client = fleet.caller(0, 1).await.expect("a free address");
     fleet.configure(&[0]);
@@ -130,10 +132,10 @@
     assert_eq!(value(config[0], "removed"), "1", "{config:?}");
 }
 
-/// A caller complains that its request waited out its deadline. All balancers were down: no line
-/// tells of the request, and their lives' first lines show the gap that it fell into.
+/// A request times out because all balancers were down. No log line mentions the request, but the
+/// first lines of the restarted balancers must show the gap.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_fell_into_a_restart_is_explained() {
+async fn a_request_lost_during_a_restart_is_explained() {
     let mut fleet = fleet(2).await;
     let mut client = fleet.caller(0, 0).await.expect("a free address");
     let before = logs(&fleet, |logs| lines(logs, "ready", &[]).len() == 2).await;
@@ -156,9 +158,9 @@
     assert_eq!(lines(&logs, "started", &[]).len(), 2);
 }
 
-/// A planned replacement leaves its own lines, so that nobody takes it for a crash.
+/// A planned shutdown must log lines of its own, so that it is not mistaken for a crash.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_end_is_told_from_a_crash() {
+async fn a_planned_shutdown_is_distinguishable_from_a_crash() {
     let mut fleet = fleet(2).await;
     fleet.signal(1, Signal::SIGTERM).expect("a signal");
 
