--- a/crates/soak/tests/it/gone.rs
+++ b/crates/soak/tests/it/gone.rs
@@ -1,4 +1,5 @@
-//! Peers that are gone without a word, and strangers that hold connections.
+//! Peers that disappear without closing connections, and unauthenticated clients that hold
+//! connections.
 
 use std::{
     io::Write as _,
@@ -15,18 +16,18 @@
 
 use crate::metrics::scrape;
 
-/// How long the next fetch from a balancer may take, whatever became of those before.
-const NEXT: Duration = Duration::from_secs(2);
-/// Bytes of a question that a stranger announces.
-const LONG: usize = 2 << 20;
-/// Memory of a balancer for control, in bytes.
-const MEMORY: u64 = 128 << 20;
-/// Balancers that fetch and are gone in the middle of it.
-const GONE: u8 = 16;
-/// From the start of a process to its first fetch, on a busy machine.
-const START: Duration = Duration::from_secs(2);
-/// How long they fetch before: several fetches each.
-const FETCHING: Duration = Duration::from_secs(6);
+/// Time limit for a request to a balancer while earlier connections are stuck.
+const RESPONSE_LIMIT: Duration = Duration::from_secs(2);
+/// Announced length of a request by an unauthenticated client, in bytes.
+const REQUEST_LENGTH: usize = 2 << 20;
+/// Memory budget of a balancer's control plane, in bytes.
+const MEMORY_LIMIT: u64 = 128 << 20;
+/// Number of balancers that are paused during a fetch.
+const PAUSED: u8 = 16;
+/// Time from the start of a process to its first fetch on a busy machine.
+const START_TIME: Duration = Duration::from_secs(2);
+/// Time for which they fetch before the pause: several fetches each.
+const FETCH_TIME: Duration = Duration::from_secs(6);
 
 async fn fleet(balancers: u8) -> Fleet {
     Fleet::start(balancers, 1, Duration::from_millis(1))
@@ -34,46 +35,46 @@
         .expect("a deployment that starts")
 }
 
-fn silent(address: SocketAddrV4, count: usize) -> Vec<TcpStream> {
+fn idle_connections(address: SocketAddrV4, count: usize) -> Vec<TcpStream> {
     let connect = |_| TcpStream::connect(address).expect("a connection");
     (0..count).map(connect).collect()
 }
 
-/// Connections that ask nothing take all places, and no peer is answered any more.
+/// Idle connections must not use up all connection slots and keep peers from being answered.
 #[rstest]
 #[case(8)]
 #[case(400)]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_peer_is_answered_beside_connections_that_ask_nothing(#[case] count: usize) {
+async fn a_peer_is_answered_despite_idle_connections(#[case] count: usize) {
     let fleet = fleet(1).await;
-    let held = silent(fleet.control(0), count);
+    let held = idle_connections(fleet.control(0), count);
     sleep(Duration::from_millis(100)).await;
 
     let start = Instant::now();
     let fetched = exchange::fetch(fleet.control(0), 0).await;
 
     assert!(fetched.is_ok(), "{fetched:?}");
-    assert!(start.elapsed() <= NEXT, "{:?}", start.elapsed());
+    assert!(start.elapsed() <= RESPONSE_LIMIT, "{:?}", start.elapsed());
     drop(held);
 }
 
-/// Peers are paused in the middle of a fetch, over a line on which their questions, or the answers,
-/// vanish. Then no other peer is answered.
+/// Peers are paused during a fetch while their requests, or the responses, are dropped by the
+/// network. The stuck connections must not keep other peers from being answered.
 #[rstest]
-#[case::questions_vanish(proxy::Trouble::Silent)]
-#[case::answers_vanish(proxy::Trouble::OneWay)]
+#[case::requests_are_dropped(proxy::Trouble::Silent)]
+#[case::responses_are_dropped(proxy::Trouble::OneWay)]
 #[tokio::test(flavor = "multi_thread")]
-async fn peers_that_are_paused_in_a_fetch_keep_no_other_from_it(#[case] line: proxy::Trouble) {
-    let mut fleet = fleet(GONE + 1).await;
-    (1..=GONE).for_each(|number| fleet.kill(number));
+async fn peers_paused_during_a_fetch_do_not_block_others(#[case] line: proxy::Trouble) {
+    let mut fleet = fleet(PAUSED + 1).await;
+    (1..=PAUSED).for_each(|number| fleet.kill(number));
     fleet.store.set_trouble(Trouble::Silent);
     let relay = fleet.relay(0).expect("a relay");
     relay.set_connection_trouble(line);
-    for number in 1..=GONE {
+    for number in 1..=PAUSED {
         fleet.launch(number).expect("a balancer that starts");
     }
-    sleep(FETCHING).await;
-    for number in 1..=GONE {
+    sleep(FETCH_TIME).await;
+    for number in 1..=PAUSED {
         fleet.signal(number, Signal::SIGSTOP).expect("a signal");
     }
 
@@ -81,18 +82,18 @@
     let fetched = exchange::fetch(fleet.control(0), 0).await;
 
     assert!(fetched.is_ok(), "{fetched:?}");
-    assert!(start.elapsed() <= NEXT, "{:?}", start.elapsed());
+    assert!(start.elapsed() <= RESPONSE_LIMIT, "{:?}", start.elapsed());
 }
 
-/// Connections that ask nothing take all places, the routers' checks fail, and a balancer that is well
+/// If idle connections use up all connection slots, the routers' checks fail and a healthy balancer
 /// gets no packets any more.
 #[rstest]
 #[case(16)]
 #[case(400)]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_balancer_stays_in_rotation_beside_silent_connections(#[case] count: usize) {
+async fn a_balancer_stays_in_rotation_despite_idle_connections(#[case] count: usize) {
     let fleet = fleet(1).await;
-    let held = silent(fleet.ready(0), count);
+    let held = idle_connections(fleet.ready(0), count);
     sleep(Duration::from_secs(3)).await;
 
     assert!(routers::is_ready(fleet.ready(0)).await);
@@ -100,18 +101,18 @@
     drop(held);
 }
 
-/// The same where the connections are of routers that have asked before and were then paused.
+/// As above, with connections of routers that have sent a check and were then paused.
 #[rstest]
 #[case(16)]
 #[case(100)]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_balancer_stays_in_rotation_beside_paused_routers(#[case] count: usize) {
+async fn a_balancer_stays_in_rotation_despite_paused_routers(#[case] count: usize) {
     let fleet = fleet(1).await;
-    let mut held = silent(fleet.ready(0), count);
+    let mut held = idle_connections(fleet.ready(0), count);
     for router in &mut held {
         router
             .write_all(b"GET /v1/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-            .expect("a question");
+            .expect("a request");
     }
     sleep(Duration::from_secs(3)).await;
 
@@ -120,63 +121,63 @@
     drop(held);
 }
 
-/// Strangers announce long questions and send all but the last byte, on hundreds of connections. Buffered
-/// whole, the questions take the VM's memory, and the balancer is ended for it.
+/// Unauthenticated clients announce long requests on hundreds of connections and send all but the last
+/// byte. If the balancer buffered them whole, it would exhaust the VM's memory and be killed.
 #[tokio::test(flavor = "multi_thread")]
-async fn strangers_that_announce_long_questions_take_little_memory() {
+async fn unauthenticated_clients_that_announce_long_requests_use_little_memory() {
     let fleet = fleet(1).await;
-    let question = vec![0; LONG - 1];
-    let mut held = silent(fleet.control(0), 256);
-    for stranger in &mut held {
+    let request = vec![0; REQUEST_LENGTH - 1];
+    let mut held = idle_connections(fleet.control(0), 256);
+    for client in &mut held {
         let timeout = Some(Duration::from_millis(500));
-        stranger.set_write_timeout(timeout).expect("a socket");
-        // The balancer may close at any moment, which is what it should do.
-        let _ = stranger.write_all(&(LONG as u32).to_be_bytes());
-        let _ = stranger.write_all(&question);
+        client.set_write_timeout(timeout).expect("a socket");
+        // The write fails if the balancer closes the connection, which is correct.
+        let _ = client.write_all(&(REQUEST_LENGTH as u32).to_be_bytes());
+        let _ = client.write_all(&request);
     }
 
     let peak = fleet.peak_memory(0).expect("a process");
 
-    assert!(peak < MEMORY, "{} MiB", peak >> 20);
+    assert!(peak < MEMORY_LIMIT, "{} MiB", peak >> 20);
     drop(held);
 }
 
-/// Most balancers are paused in the middle of a fetch and the store is away. One that starts then must
-/// learn all from one that lives, or its callers are served by nobody.
+/// Most balancers are paused during a fetch and the store is idle_connections. A balancer that starts then must
+/// get its state from one that is running, or it cannot serve its callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_balancer_that_starts_among_paused_ones_serves() {
-    const LATER: u8 = GONE + 1;
-    let mut fleet = fleet(LATER + 1).await;
-    (1..=LATER).for_each(|number| fleet.kill(number));
+    const LATE_STARTER: u8 = PAUSED + 1;
+    let mut fleet = fleet(LATE_STARTER + 1).await;
+    (1..=LATE_STARTER).for_each(|number| fleet.kill(number));
     fleet.store.set_trouble(Trouble::Silent);
-    for number in 1..=GONE {
+    for number in 1..=PAUSED {
         fleet.launch(number).expect("a balancer that starts");
     }
-    sleep(FETCHING).await;
-    for number in 1..=GONE {
+    sleep(FETCH_TIME).await;
+    for number in 1..=PAUSED {
         fleet.signal(number, Signal::SIGSTOP).expect("a signal");
     }
 
-    fleet.launch(LATER).expect("a balancer that starts");
+    fleet.launch(LATE_STARTER).expect("a balancer that starts");
 
     let ready = async {
-        while !fleet.log(LATER).contains("event=ready") {
+        while !fleet.log(LATE_STARTER).contains("event=ready") {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    let ready = timeout(START + NEXT, ready).await;
-    assert!(ready.is_ok(), "{}", fleet.log(LATER));
+    let ready = timeout(START_TIME + RESPONSE_LIMIT, ready).await;
+    assert!(ready.is_ok(), "{}", fleet.log(LATE_STARTER));
 }
 
-/// Connections that ask nothing keep operators and scrapers out, who then take the balancer for dead.
+/// If idle connections lock out operators and scrapers, these consider the balancer dead.
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_and_scrapers_are_answered_beside_silent_connections() {
+async fn operators_and_scrapers_are_answered_despite_idle_connections() {
     const COUNT: usize = 400;
     let fleet = fleet(1).await;
-    let held = [fleet.admin(0), fleet.metrics(0)].map(|address| silent(address, COUNT));
+    let held = [fleet.admin(0), fleet.metrics(0)].map(|address| idle_connections(address, COUNT));
     sleep(Duration::from_millis(100)).await;
 
-    let status = acacia_api::ask(fleet.admin(0).into(), NEXT, async |admin, ctx| {
+    let status = acacia_api::ask(fleet.admin(0).into(), RESPONSE_LIMIT, async |admin, ctx| {
         admin.status(ctx).await
     })
     .await;
@@ -184,7 +185,7 @@
         let address = fleet.metrics(0);
         move || scrape(address)
     });
-    let text = timeout(NEXT, text)
+    let text = timeout(RESPONSE_LIMIT, text)
         .await
         .expect("in time")
         .expect("no panic");
