--- a/crates/soak/tests/it/metrics.rs
+++ b/crates/soak/tests/it/metrics.rs
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn metrics_tell_of_packets_times_and_knowledge() {
+async fn metrics_cover_packets_latencies_and_configuration() {
     let fleet = Fleet::start(1, 2, Duration::from_millis(5))
         .await
         .expect("a deployment");
@@ -55,9 +55,9 @@
     assert!(number(&text, "acaciatrack_ready_milliseconds ") > 0.0);
 }
 
-/// The page is what on-call engineers look names up in.
+/// On-call engineers look up metrics by name on this page, so it must list every metric.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_page_on_metrics_names_each() {
+async fn the_metrics_page_lists_every_metric() {
     let page = include_str!("../../../../docs/METRICS.md");
     let mut fleet = Fleet::start(1, 1, Duration::from_millis(5))
         .await
