--- a/crates/soak/tests/it/operators.rs
+++ b/crates/soak/tests/it/operators.rs
@@ -4,19 +4,21 @@
 use acacia_e2e::process::Process;
 use acacia_soak::fleet::Fleet;
 
-/// Longest time that a command may take.
-const COMMAND: Duration = Duration::from_secs(10);
+/// Time limit for a command.
+const COMMAND_LIMIT: Duration = Duration::from_secs(10);
 
-/// Runs `acaciactl` against balancer 0 and gives its status and what it wrote.
+/// Runs `acaciactl` against balancer 0 and returns its exit status and output.
 fn ctl(fleet: &Fleet, arguments: &[&str]) -> (i32, String) {
     let mut all = vec!["--balancer".to_owned(), fleet.admin(0).to_string()];
     all.extend(arguments.iter().map(|argument| (*argument).to_owned()));
     let process = Process::start("acaciactl", &all, "").expect("acaciactl is built");
-    let ended = process.wait(COMMAND).expect("an end");
+    let ended = process
+        .wait(COMMAND_LIMIT)
+        .expect("acaciactl exits in time");
     (ended.status, ended.log)
 }
 
-/// An operator asks one balancer how all are.
+/// The status from one balancer must include all balancers.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_sees_all_balancers_through_one() {
     let fleet = Fleet::start(3, 2, Duration::from_millis(5))
@@ -31,8 +33,8 @@
     assert_eq!(serving.count(), 3, "{text}");
 }
 
-/// A server falls silent and its flows are ended. The report on service-level burn must count them,
-/// beside those that opened well.
+/// A server goes silent and its flows are ended. The error budget report must count them as broken in
+/// addition to the openings that succeeded.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_burn_report_counts_flows_that_were_ended() {
     let mut fleet = Fleet::start(1, 2, Duration::from_millis(5))
