--- a/crates/soak/tests/it/output.rs
+++ b/crates/soak/tests/it/output.rs
@@ -9,21 +9,21 @@
 use acacia_e2e::process::locate;
 use acacia_soak::fleet::Fleet;
 
-/// A process that is killed with the test.
+/// A process whose output is not read; killed when dropped.
 struct Unread(Child);
 
 impl Drop for Unread {
     fn drop(&mut self) {
-        // It may have ended already.
+        // This fails if the process has already exited.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Whoever reads the log has stopped reading, and a flood of unknown packets brings a line each. The
-/// pipe is full within a second. A balancer that waits for it would forward nothing any more.
+/// Nobody reads the log pipe while a flood of packets of unknown flows logs a line each, which fills
+/// the pipe within a second. A balancer that blocks on writing the log would stop forwarding.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_flood_and_a_reader_that_never_reads_cost_no_packet() {
+async fn a_full_log_pipe_does_not_stop_forwarding() {
     let mut fleet = Fleet::start(1, 2, Duration::from_millis(1))
         .await
         .expect("a deployment");
@@ -43,7 +43,7 @@
     let _unread = Unread(child);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let flood = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    // A packet in mid-flow of nobody's: well formed, and without a cookie.
+    // A valid packet in the middle of an unknown flow, without a cookie.
     let mut packet = [0u8; 31];
     packet[0] = 32;
     for round in 0..200u32 {
