--- a/crates/soak/tests/it/path.rs
+++ b/crates/soak/tests/it/path.rs
@@ -12,7 +12,7 @@
         .expect("a deployment that starts")
 }
 
-/// Opens a flow and asks once.
+/// Opens a flow and sends one request.
 async fn ask(fleet: &Fleet, number: u8, service: usize) -> End {
     let mut caller = fleet.caller(number, service).await.expect("a free address");
     match caller.open().await {
@@ -21,8 +21,8 @@
     }
 }
 
-/// Asks until the answer is `expected`, for a few seconds.
-async fn comes_to(fleet: &Fleet, service: usize, expected: End) -> bool {
+/// Sends up to 50 requests until one ends as `expected`.
+async fn ends_as(fleet: &Fleet, service: usize, expected: End) -> bool {
     for _ in 0..50 {
         if ask(fleet, 9, service).await == expected {
             return true;
@@ -54,10 +54,10 @@
     assert_eq!(strange, 0);
 }
 
-/// A balancer is told to end while flows are open. It leaves the rotation and forwards what still
-/// comes, so that no caller notices.
+/// A balancer is shut down while flows are open. It must leave the rotation and forward packets that
+/// still arrive, so that no flow breaks.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_balancer_that_is_told_to_end_costs_no_flow() {
+async fn a_balancer_that_shuts_down_breaks_no_flow() {
     let mut fleet = fleet(3).await;
     let mut caller = fleet.caller(0, 0).await.expect("a free address");
     let mut flow = caller.open().await.expect("an open flow");
@@ -78,8 +78,8 @@
     assert!(fleet.log(1).contains("event=leaving"), "{}", fleet.log(1));
 }
 
-/// The operator removes a route: new callers are told at once that nobody serves it, on every
-/// balancer, though only one of them asks the store.
+/// After a route is removed, every balancer must refuse new callers of it at once, although only one
+/// balancer reads the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_of_routes_is_in_force_within_the_bound() {
     let mut fleet = fleet(3).await;
@@ -87,17 +87,17 @@
 
     fleet.configure(&[0]);
 
-    assert!(comes_to(&fleet, 1, End::Refused).await);
+    assert!(ends_as(&fleet, 1, End::Refused).await);
     for number in 0..6 {
         assert_eq!(ask(&fleet, number, 1).await, End::Refused);
         assert_eq!(ask(&fleet, number, 0).await, End::Answered);
     }
 }
 
-/// A server's machine dies: it answers nothing, and its entry still stands. Callers must be served by
-/// the others, and the open flow be ended at once and not when the caller's time is over.
+/// A server's VM dies: it does not answer, but its entry stays in the store. New callers must be
+/// served by other servers, and the open flow must be reset before the caller's own time limit.
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_of_a_server_that_dies_are_told_and_served_by_others() {
+async fn callers_of_a_dead_server_are_reset_and_served_by_others() {
     let mut fleet = fleet(2).await;
     let mut caller = fleet.caller(0, 0).await.expect("a free address");
     let mut flow = caller.open().await.expect("an open flow");
@@ -106,7 +106,7 @@
         End::Answered
     );
 
-    // Its process is gone: nothing answers at its address any more.
+    // Nothing answers at the server's address from here on.
     let lost = fleet.lose_server_in_use();
     assert!(lost.is_some(), "a server that ran the request");
     let start = std::time::Instant::now();
@@ -123,12 +123,12 @@
     }
 }
 
-/// The store is away, and a balancer is killed and started again. It learns all from its peers and
-/// serves within a moment; were it to wait for the store, its callers would get nothing.
+/// A balancer restarts while the store is silent. It must get its state from its peers and serve
+/// within seconds; if it waited for the store, its callers would get no answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_balancer_that_starts_while_the_store_is_silent_serves() {
     let mut fleet = fleet(3).await;
-    // The other balancers have met.
+    // Wait until the balancers have found each other.
     tokio::time::sleep(Duration::from_secs(1)).await;
     fleet.store.set_trouble(Trouble::Silent);
     fleet.kill(2);
@@ -146,8 +146,7 @@
     assert_eq!(ask(&fleet, 0, 0).await, End::Answered);
 }
 
-/// Bytes that are no packets, no messages and no requests reach every port. Nothing may end by them,
-/// and callers must be served as before.
+/// Malformed input on the ports of a balancer must not end the process or affect callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_input_on_every_port_disturbs_nobody() {
     use std::io::Write as _;
