--- a/crates/soak/tests/it/seeds.rs
+++ b/crates/soak/tests/it/seeds.rs
@@ -1,18 +1,18 @@
 use acacia_soak::run::{Plan, play};
 use rstest::rstest;
 
-/// A short run of the soak: processes are killed, paused and replaced, the store and the ways to it
-/// fail, servers drain and fall silent, routes go and come. Callers must get whole answers of their
-/// own, no request may run twice or at another service, and all must be well again at the end.
+/// A short soak run with faults of balancers, the store, the connections to it, backend servers and
+/// routes. Callers must get the answers to their own requests, no request may be executed twice or by
+/// another service, and the deployment must recover at the end.
 #[rstest]
 #[case::first(1, 0)]
 #[case::second(2, 0)]
 #[case::with_faults_between_balancers(3, 6)]
-// Two requests ran twice: a balancer that was paused sent an old opening and its data on, and the
-// stand-in of the server took them for a new flow (adapter: `host`).
+// Two requests were executed twice: a balancer that had been paused forwarded an old opening and its
+// data, and the simulated server (`host` in the adapter) accepted them as a new flow.
 #[case::paused_with_an_opening_in_its_queue(323, 0)]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_seed_keeps_all_promises(#[case] seed: u64, #[case] mesh: usize) {
+async fn a_seed_violates_no_guarantee(#[case] seed: u64, #[case] mesh: usize) {
     let plan = Plan {
         mesh,
         ..Plan::usual(seed)
