--- a/crates/e2e/tests/it/main.rs
+++ b/crates/e2e/tests/it/main.rs
@@ -1,4 +1,5 @@
-//! Tests with real processes: each opens with what goes wrong and what a user notices.
+//! End-to-end tests with real processes. The comment of each test names the failure that it guards
+//! against and its effect on users.
 
 mod bad_input;
 mod change;
