--- a/crates/e2e/tests/it/fixture.rs
+++ b/crates/e2e/tests/it/fixture.rs
@@ -6,10 +6,10 @@
     process::Process,
 };
 
-/// Longest time that a caller may take to end by itself.
+/// Time limit for a caller to exit by itself.
 pub const CALLER: Duration = Duration::from_secs(60);
 
-/// Two services in three data centres, a few servers each.
+/// A plan with two services, with four and two servers, in three data centres.
 pub fn small(balancers: u16) -> Plan {
     Plan {
         services: vec![
@@ -37,10 +37,11 @@
     }
 }
 
-/// Counts by name.
+/// Numeric values of an output line by name.
 pub type Counts = BTreeMap<String, u64>;
 
-/// Feeds of talkoo-live, held open for `seconds`, with a line a second.
+/// Starts a caller that holds `count` feeds of talkoo-live open for `seconds`, with one line per
+/// second on each.
 pub fn feeds(deployment: &Deployment, number: u8, count: usize, seconds: u64) -> Process {
     let arguments = [
         ("feeds", count.to_string()),
@@ -52,12 +53,12 @@
         .unwrap()
 }
 
-/// One count, summed over several lines.
+/// Sum of the value `name` over all lines.
 pub fn sum(lines: &[String], name: &str) -> u64 {
     lines.iter().map(|line| counts(line)[name]).sum()
 }
 
-/// The counts of a line of key=value pairs; values that are no numbers are left out.
+/// Parses a line of `key=value` pairs, without values that are not numbers.
 pub fn counts(line: &str) -> Counts {
     line.split_whitespace()
         .filter_map(|pair| pair.split_once('='))
@@ -65,12 +66,12 @@
         .collect()
 }
 
-/// Long enough for a drain to be known to every balancer and for new flows to move, several times
-/// over.
+/// Several times as long as it takes until a drain is known to every balancer and new flows go to
+/// other servers.
 pub const DRAINED: Duration = Duration::from_secs(6);
 
-/// Puts the server `name` into a drain without a deadline, beside those that drain already; gives
-/// the revision.
+/// Drains the server `name` without a deadline, in addition to those that are draining already.
+/// Returns the revision of the configuration.
 pub fn drain(deployment: &mut Deployment, name: &str) -> u64 {
     let mut config = deployment.current().unwrap();
     let found = config.update_server(name, |server| {
@@ -80,7 +81,8 @@
     deployment.apply(&config).unwrap()
 }
 
-/// Balancers that have settled, with the first server of talkoo-live draining.
+/// Starts a deployment, waits until its balancers own flows, and drains the first server of
+/// talkoo-live.
 pub fn drained(balancers: u16) -> Deployment {
     let mut deployment = Deployment::start(small(balancers)).unwrap();
     deployment.settle();
@@ -89,7 +91,7 @@
     deployment
 }
 
-/// Check-ins for `seconds`, 30 a second.
+/// Starts a caller that makes 30 check-ins per second for `seconds`.
 pub fn checkins(deployment: &Deployment, number: u8, seconds: u64) -> Process {
     let arguments = [("rate", "30".to_owned()), ("seconds", seconds.to_string())];
     deployment
@@ -97,12 +99,13 @@
         .unwrap()
 }
 
-/// Makes check-ins for `seconds` and requires that all are answered whole.
+/// Makes check-ins with talkoo-live for `seconds` and requires that all are answered completely.
 pub fn served(deployment: &Deployment, number: u8, seconds: u64) {
     served_by(deployment, number, "talkoo-live", seconds);
 }
 
-/// The same of any service; gives how many there were.
+/// Makes check-ins with `service` for `seconds` and requires that all are answered completely. Returns
+/// their number.
 pub fn served_by(deployment: &Deployment, number: u8, service: &str, seconds: u64) -> u64 {
     let arguments = [("rate", "30".to_owned()), ("seconds", seconds.to_string())];
     let caller = deployment.caller(number, service, &arguments).unwrap();
@@ -112,7 +115,7 @@
     counts["done"]
 }
 
-/// Requires that nothing broke, went unanswered or was refused.
+/// Requires that no flow broke, went unanswered or was refused. Returns the counts of `line`.
 pub fn assert_whole(what: &str, line: &str) -> Counts {
     let counts = counts(line);
     assert_eq!(
@@ -123,7 +126,7 @@
     counts
 }
 
-/// Does `work` and requires that none of `servers` gets a new connection meanwhile.
+/// Runs `work` and requires that none of `servers` accepts a new connection meanwhile.
 pub fn idle(deployment: &Deployment, servers: &[&str], work: impl FnOnce()) {
     let opened = || -> Vec<u64> {
         let counts = servers.iter().map(|name| deployment.opened(name).unwrap());
