--- a/crates/e2e/tests/it/whole_path.rs
+++ b/crates/e2e/tests/it/whole_path.rs
@@ -2,9 +2,8 @@
 
 use crate::fixture::{CALLER, counts, small};
 
-/// Every packet of a flow may reach any balancer. Callers check in and download while the fabric
-/// sprays at random; each must receive the whole answer to its own request, and no check-in may run
-/// twice.
+/// The fabric sprays the packets of a flow over all balancers at random. Each caller must receive the
+/// complete answer to its own request, and no check-in may be executed twice.
 #[test]
 fn requests_are_served_whole_over_a_spraying_fabric() {
     let mut deployment = Deployment::start(small(2)).unwrap();
