--- a/crates/e2e/tests/it/takeover.rs
+++ b/crates/e2e/tests/it/takeover.rs
@@ -5,7 +5,7 @@
 
 use crate::fixture::{CALLER, Counts, DRAINED, counts, feeds, served_by, small};
 
-/// Two services that take turns at one address, and another one.
+/// Two services that use the same address one after the other, and a third service.
 fn plan() -> Plan {
     let mut plan = small(3);
     let old = plan.services[0].clone();
@@ -23,10 +23,10 @@
     deployment.config_of(choose).unwrap()
 }
 
-/// A service is removed, and some time later another one is created at its address, with backend
-/// servers of its own. Phones of the old service's callers still hold feeds open and go on sending.
-/// A packet of theirs that reached the new service would mix two customers' traffic; the new
-/// service's server would answer it with a reset. The old feeds end, and nothing else happens.
+/// A service is removed, and later another one is created at the same address with its own backend
+/// servers, while callers of the old service still send on open feeds. Forwarding such a packet to the
+/// new service would mix the traffic of two customers, and the server would answer with a reset. No
+/// packet of an old feed may reach the new service.
 #[test]
 fn an_address_taken_over_by_another_service_gets_no_packet_of_old_feeds() {
     let mut deployment = Deployment::start(plan()).unwrap();
