--- a/crates/e2e/tests/it/shutdown.rs
+++ b/crates/e2e/tests/it/shutdown.rs
@@ -5,11 +5,11 @@
 
 use crate::fixture::{CALLER, assert_whole, checkins, drained, feeds};
 
-/// Longest time that a program may take to end after a signal.
-const ENDING: Duration = Duration::from_secs(20);
+/// Time limit for a program to exit.
+const EXIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// A balancer is told to end while the fabric, which learns of it late, goes on sending to it for
-/// a second. It serves until nothing comes any more, hands over, and ends; callers notice nothing.
+/// A balancer is shut down while the fabric keeps sending to it for another second. It must serve
+/// until no more packets arrive, hand over its flows and exit, without breaking a flow.
 #[test]
 fn a_balancer_told_to_end_serves_until_the_fabric_has_learnt_of_it() {
     let mut deployment = drained(3);
@@ -19,7 +19,10 @@
 
     deployment.signal_balancer(2, Signal::SIGTERM).unwrap();
     sleep(Duration::from_secs(1));
-    assert!(deployment.is_running(2), "it ended while packets came");
+    assert!(
+        deployment.is_running(2),
+        "exited while packets were arriving"
+    );
     deployment.spray_over(&[1, 3]).unwrap();
     let ended = deployment.wait_balancer(2).unwrap();
 
@@ -29,8 +32,8 @@
     assert_eq!(assert_whole("feeds", &line)["lasted"], 24);
 }
 
-/// An operator can't wait for a graceful shutdown and asks a second time. The balancer ends at once
-/// and says by its exit status that the shutdown was not complete.
+/// An operator sends a second signal during a graceful shutdown. The balancer must exit at once, with
+/// an exit status that tells that the shutdown was incomplete.
 #[test]
 fn a_second_signal_ends_a_balancer_at_once() {
     let mut deployment = drained(3);
@@ -39,7 +42,7 @@
 
     deployment.signal_balancer(2, Signal::SIGTERM).unwrap();
     sleep(Duration::from_millis(300));
-    assert!(deployment.is_running(2), "the first signal ended it");
+    assert!(deployment.is_running(2), "exited at the first signal");
     deployment.signal_balancer(2, Signal::SIGTERM).unwrap();
     let ended = deployment.wait_balancer(2).unwrap();
     deployment.spray_over(&[1, 3]).unwrap();
@@ -53,8 +56,8 @@
     assert_whole("check-ins", &requests.wait(CALLER).unwrap().output);
 }
 
-/// Somebody misspells and forgets keys in a balancer's settings. Checked before the roll-out, all
-/// of it is listed at once, and the exit status stops the script.
+/// A balancer's settings have misspelt and missing keys. A check before the roll-out must list all
+/// problems at once and fail, so that the roll-out script stops.
 #[test]
 fn a_check_of_broken_settings_lists_every_problem() {
     let broken = "[balancer]\nid = seven\ndata_centre = hervanta\nadvertise = here\n\
@@ -63,7 +66,7 @@
     let arguments = ["--settings", "-", "--check"].map(str::to_owned);
 
     let process = Process::start("acaciad", &arguments, broken).unwrap();
-    let ended = process.wait(ENDING).unwrap();
+    let ended = process.wait(EXIT_LIMIT).unwrap();
 
     assert_eq!(ended.status, 11, "{}", ended.log);
     let expected = [
