--- a/crates/e2e/tests/it/cut.rs
+++ b/crates/e2e/tests/it/cut.rs
@@ -5,14 +5,14 @@
 
 use crate::fixture::{CALLER, assert_whole, drain, drained, feeds, served, small};
 
-/// Longer than balancers wait for a silent one before they take it for dead.
-const APART: Duration = Duration::from_secs(6);
+/// Longer than the timeout after which balancers declare a silent peer dead.
+const CUT_TIME: Duration = Duration::from_secs(6);
 
-/// Every data centre is cut from the others, and callers reach one of them at a time.
-fn apart(deployment: &mut Deployment) {
+/// Cuts all data centres from each other, then sends callers' packets to one data centre at a time.
+fn cut_all_data_centres(deployment: &mut Deployment) {
     deployment.cut_data_centre("hervanta").unwrap();
     deployment.cut_data_centre("lielahti").unwrap();
-    sleep(APART);
+    sleep(CUT_TIME);
     for (number, centre) in [(3, "hervanta"), (4, "lielahti"), (5, "kangasala")] {
         let (side, _) = deployment.sides(centre);
         deployment.spray_over(&side).unwrap();
@@ -20,21 +20,20 @@
     }
 }
 
-/// The second balancer hears nothing of the first, which hears it.
-fn one_direction(deployment: &mut Deployment) {
+/// Drops the traffic from balancer 1 to balancer 2, but not in the other direction.
+fn cut_one_direction(deployment: &mut Deployment) {
     deployment.cut_directions(&[(1, 2)]).unwrap();
-    sleep(APART);
+    sleep(CUT_TIME);
     served(deployment, 3, 4);
 }
 
-/// The line between the data centres is cut while a backend server drains and feeds are open on it,
-/// and comes back later: each side takes the others for dead. Or a switch drops what goes from one
-/// balancer to another, and the two disagree about who is alive. A crew leader must notice nothing:
-/// feeds last, also those pinned at balancers out of reach, and new check-ins are served whole by
-/// whoever they reach.
+/// The network between the data centres is cut for a while, during a drain with open feeds, and each
+/// side declares the others dead. Or a switch drops the packets from one balancer to another, and the
+/// two disagree about which balancers are alive. All feeds must last, including those pinned at
+/// unreachable balancers, and any reachable balancer must serve new check-ins completely.
 #[rstest]
-#[case::between_three_data_centres(6, apart)]
-#[case::in_one_direction_between_two_balancers(4, one_direction)]
+#[case::between_three_data_centres(6, cut_all_data_centres)]
+#[case::in_one_direction_between_two_balancers(4, cut_one_direction)]
 fn a_cut_breaks_no_feed_and_leaves_no_new_work_unserved(
     #[case] balancers: u16,
     #[case] cut: fn(&mut Deployment),
@@ -53,8 +52,8 @@
 }
 
 /// One data centre is cut from the others and from the platform, and an operator starts a drain
-/// meanwhile. Balancers there go on with the configuration that they have. Once the line is back
-/// they follow within seconds, and no feed has ended.
+/// meanwhile. Its balancers must keep serving with their configuration and get the new one within
+/// seconds after the cut, and no feed may end.
 #[test]
 fn a_data_centre_cut_from_everything_catches_up_when_it_is_back() {
     let mut deployment = Deployment::start(small(6)).unwrap();
@@ -64,7 +63,7 @@
 
     deployment.cut_data_centre("hervanta").unwrap();
     deployment.cut_platform_from("hervanta").unwrap();
-    sleep(APART);
+    sleep(CUT_TIME);
     let revision = drain(&mut deployment, "talkoo-live-1");
     let (inside, outside) = deployment.sides("hervanta");
     deployment.wait_in_force(&outside, revision).unwrap();
@@ -81,9 +80,9 @@
     assert_eq!(assert_whole("feeds", &line)["lasted"], 24);
 }
 
-/// Something between two balancers has lost track of their connections: what is sent on them
-/// vanishes, while new connections work. All open control connections go silent at once. The
-/// balancers must notice and connect anew, and a change made afterwards must still get to all.
+/// A middlebox loses its connection state: data on open control connections is dropped, while new
+/// connections work. All open control connections go silent at once. The balancers must detect this
+/// and reconnect, and a later change must reach all of them.
 #[test]
 fn silent_control_connections_are_replaced_and_break_no_feed() {
     let mut deployment = drained(4);
