--- a/crates/e2e/tests/it/change.rs
+++ b/crates/e2e/tests/it/change.rs
@@ -8,9 +8,9 @@
     CALLER, DRAINED, assert_whole, checkins, drain, drained, feeds, idle, served, small, sum,
 };
 
-/// An operator drains a backend server while crew leaders hold live feeds open on it. The feeds
-/// must last, also those whose packets meet a balancer that has not seen them before, and the
-/// server gets no new work once the drain is known.
+/// An operator drains a backend server with open feeds. The feeds must last, including those whose
+/// packets arrive at a balancer that has not seen them before, and the server must get no new work
+/// once the drain is known.
 #[test]
 fn a_drain_breaks_no_feed_and_sends_no_new_work() {
     let mut deployment = Deployment::start(small(3)).unwrap();
@@ -36,9 +36,9 @@
     assert_eq!(sum(&deployment.end_servers().unwrap(), "duplicates"), 0);
 }
 
-/// Every balancer is replaced in turn, as in an upgrade, while a backend server drains and feeds
-/// stay open, most of them silent for longer than a replacement takes. Afterwards no balancer is
-/// left that has seen the feeds open; all of them must last.
+/// Every balancer is replaced in turn, as in an upgrade, while a backend server drains and feeds stay
+/// open, most of them silent for longer than a replacement takes. No balancer that saw a feed being
+/// opened is left at the end, and all feeds must last.
 #[test]
 fn replacing_every_balancer_in_turn_breaks_no_feed() {
     let mut deployment = Deployment::start(small(3)).unwrap();
@@ -58,8 +58,8 @@
     assert_eq!(feeds["lasted"], 24);
 }
 
-/// A balancer is killed while a backend server drains. Pins it held are also at their second
-/// owner; packets on their way through it are lost and sent again.
+/// A balancer is killed while a backend server drains. Its pins are also held by their second owner,
+/// and packets lost on the way are retransmitted, so no feed may break.
 #[test]
 fn a_balancer_killed_during_a_drain_breaks_no_feed() {
     let mut deployment = Deployment::start(small(4)).unwrap();
@@ -77,10 +77,10 @@
     assert_eq!(feeds["lasted"], 32);
 }
 
-/// A VM is paused for longer than its peers wait for it, and goes on with an old view while the
-/// fabric still sends to it. It must not answer for flows that others own by now.
+/// A VM is paused until its peers declare it dead, and resumes with an outdated view while the fabric
+/// sends to it. It must not resolve flows that other balancers own by then.
 #[test]
-fn a_balancer_that_wakes_from_a_freeze_breaks_no_feed() {
+fn a_balancer_that_resumes_after_a_long_pause_breaks_no_feed() {
     let mut deployment = Deployment::start(small(4)).unwrap();
     deployment.settle();
     drain(&mut deployment, "talkoo-live-1");
@@ -99,9 +99,9 @@
     assert_eq!(feeds["lasted"], 32);
 }
 
-/// A balancer joins while a backend server drains, and the fabric sends to it sooner or later. The
-/// drained server, which operators wait for to become empty, must get no new work through it, nor
-/// through the others while they take it in.
+/// A balancer joins while a backend server drains, and the fabric sends to it either at once or after
+/// it has settled. Neither the new balancer nor the others may send new work to the drained server,
+/// which operators expect to become empty.
 #[rstest]
 #[case::once_it_has_settled(false)]
 #[case::at_once(true)]
@@ -124,9 +124,9 @@
     });
 }
 
-/// Two changes come one right after the other while a balancer is frozen. It wakes with neither.
-/// Every balancer must end up with the second, which holds the first too, and never go back:
-/// otherwise a server that its operators take for empty gets new work.
+/// Two changes are applied in quick succession while a balancer is paused, and it resumes with neither.
+/// Every balancer must get the second, which includes the first, and never revert: otherwise a drained
+/// server that operators consider empty gets new work.
 #[test]
 fn a_balancer_frozen_during_two_changes_wakes_to_the_latest() {
     let mut deployment = Deployment::start(small(4)).unwrap();
@@ -148,20 +148,23 @@
     let both = ["talkoo-live-1", "talkoo-live-2"];
     idle(&deployment, &both, || served(&deployment, 3, 4));
     for id in deployment.balancers() {
-        assert!(deployment.in_force(id).1, "balancer {id} went back");
+        assert!(
+            deployment.in_force(id).1,
+            "balancer {id} reverted to an older revision"
+        );
     }
     let line = open.wait(CALLER).unwrap().output;
     assert_eq!(assert_whole("feeds", &line)["lasted"], 24);
 }
 
-/// One balancer dies and another is paused at the same moment, while a backend server drains. A
-/// feed whose two owners are these has nobody to ask until the paused one wakes; its packets are
-/// lost and sent again, and it lasts. New work is served by those that are left.
+/// One balancer is killed and another paused at the same time, while a backend server drains. A feed
+/// owned by these two cannot be resolved until the paused one resumes; its packets are lost and
+/// retransmitted, and it must last. The other balancers must serve new work.
 ///
-/// A pause of 3 s used to reset one feed of 64, always on the same port. The paused balancer logged
-/// `Rejoined ... Frozen(3.04s)` and forgot its pins, its peers logged `Restarted`, and two seconds
-/// later, when the platform's list no longer named the dead one, they took both owners for gone and
-/// sent the feed to its base. A balancer that was paused keeps its pins now and stays their owner.
+/// A paused balancer must keep its pins and stay their owner. When it did not, a pause of 3 s reset
+/// one feed of 64, always on the same port: the paused balancer logged `Rejoined ... Frozen(3.04s)`
+/// and dropped its pins, its peers logged `Restarted`, and two seconds later, when the platform no
+/// longer listed the dead balancer, they considered both owners gone and sent the feed to its base.
 #[rstest]
 #[case::for_a_second(1_000)]
 #[case::until_it_must_join_anew(3_000)]
@@ -183,9 +186,9 @@
     assert_eq!(assert_whole("feeds", &line)["lasted"], 64);
 }
 
-/// Both owners of some feeds are out of reach at once: one is dead and the other paused until its
-/// peers take it for dead too, or both are paused. Nobody else may answer for these feeds, or they
-/// meet a server that resets them; once a paused owner wakes, it must still know them.
+/// Both owners of some feeds are unreachable: one is dead and the other paused until its peers declare
+/// it dead too, or both are paused. No other balancer may resolve these feeds, as it could choose a
+/// server that resets them, and a paused owner must still have their pins when it resumes.
 #[rstest]
 #[case::one_is_dead(&[2], &[3], 8_000)]
 #[case::both_are_paused_for_seconds(&[], &[2, 3], 3_000)]
@@ -218,12 +221,12 @@
     assert_eq!(assert_whole("feeds", &line)["lasted"], 64);
 }
 
-/// A VM is paused for about as long as its peers wait for it, while the fabric goes on sending to
-/// it. On waking it has a backlog of packets of feeds, and it must join anew, for others may own
-/// these feeds by now. A packet that it resolved meanwhile without the pins that it has just
-/// forgotten would go to the wrong server, which would reset the feed.
+/// A VM is paused for about the timeout after which its peers declare it dead, while the fabric keeps
+/// sending to it. When it resumes, it has a backlog of packets of feeds and must rejoin, as others may
+/// own these feeds by then. Resolving a packet of the backlog without the pins that it has just
+/// dropped would send it to the wrong server, which would reset the feed.
 #[test]
-fn a_balancer_paused_for_seconds_resolves_nothing_by_what_it_has_forgotten() {
+fn a_balancer_paused_for_seconds_resolves_nothing_without_its_pins() {
     let mut deployment = drained(4);
     let open = feeds(&deployment, 1, 96, 14);
     sleep(Duration::from_secs(1));
@@ -236,9 +239,8 @@
     assert_eq!(assert_whole("feeds", &line)["lasted"], 96);
 }
 
-/// A balancer is asked to leave, as in every upgrade. Callers that open a flow in the seconds
-/// after it has ended must get their answers: a request that was taken and is not answered leaves
-/// a volunteer without knowing whether it counts.
+/// A balancer leaves gracefully, as in every upgrade. Flows that are opened in the seconds after its
+/// exit must be answered: without an answer, a volunteer does not know whether the check-in counts.
 #[test]
 fn requests_right_after_a_balancer_has_left_are_answered() {
     let mut deployment = drained(4);
