--- a/crates/e2e/tests/it/platform.rs
+++ b/crates/e2e/tests/it/platform.rs
@@ -7,8 +7,8 @@
 
 use crate::fixture::{CALLER, DRAINED, assert_whole, drain, drained, feeds, idle, served};
 
-/// The number of a balancer beyond those that the deployment starts with.
-const NEWBORN: u16 = 4;
+/// Id of the first balancer that is started in addition to the initial ones.
+const FIRST_ADDED: u16 = 4;
 
 fn down() -> Faults {
     Faults {
@@ -17,7 +17,7 @@
     }
 }
 
-/// The faults that come one after the other in one deployment.
+/// Faults under which the platform does not answer, injected one after the other.
 fn unanswering() -> Vec<Faults> {
     let silent = Faults {
         silent: true,
@@ -30,6 +30,7 @@
     vec![down(), silent, too_slow]
 }
 
+/// Faults under which the platform answers late or with old data, injected one after the other.
 fn misleading() -> Vec<Faults> {
     let slow = Faults {
         slow_ms: 800,
@@ -46,24 +47,23 @@
     vec![slow, stale, list_late]
 }
 
-/// The platform fails in one way or another after a backend server was drained; meanwhile a
-/// balancer starts that has never seen the configuration, or sees an old one. A balancer that went
-/// back to an older configuration would send new work to the drained server, which its operators
-/// believe empty and switch off. Once the platform is well again, the next change is in force
-/// everywhere within seconds.
+/// The platform is faulty after a backend server was drained, and a balancer starts that has no
+/// configuration or receives an old one. A balancer that reverted to an older configuration would send
+/// new work to the drained server, which operators consider empty and switch off. After the fault, the
+/// next change must be in force on all balancers within seconds.
 #[rstest]
 #[case::that_does_not_answer(unanswering())]
 #[case::that_answers_late_or_old(misleading())]
-fn a_platform_at_fault_reverts_nothing(#[case] faults: Vec<Faults>) {
+fn a_faulty_platform_reverts_no_configuration(#[case] faults: Vec<Faults>) {
     let mut deployment = drained(3);
     let mut revision = deployment.in_force(1).0;
     let open = feeds(&deployment, 1, 24, 34);
 
     for (round, fault) in (0..).zip(faults) {
-        let newborn = NEWBORN + u16::from(round);
+        let added = FIRST_ADDED + u16::from(round);
         deployment.set_faults(fault).unwrap();
-        deployment.start_balancer(newborn).unwrap();
-        deployment.wait_in_force(&[newborn], revision).unwrap();
+        deployment.start_balancer(added).unwrap();
+        deployment.wait_in_force(&[added], revision).unwrap();
         deployment.settle();
         deployment.spray_over_all().unwrap();
         idle(&deployment, &["talkoo-live-1"], || {
@@ -84,7 +84,7 @@
     assert_eq!(assert_whole("feeds", &line)["lasted"], 24);
 }
 
-/// Drains an active server and takes a draining one back; gives the revision.
+/// Drains an active server, or returns a draining one to service. Returns the revision.
 fn toggle(deployment: &mut Deployment, name: &str) -> u64 {
     let mut config = deployment.current().unwrap();
     config.update_server(name, |server| {
@@ -96,9 +96,9 @@
     deployment.apply(&config).unwrap()
 }
 
-/// The platform is down for long while a backend server drains. Balancers are replaced and a new
-/// one is born; the configuration and the tables can come only from those that are there. Feeds
-/// must last and the drained server stays without new work, also once the platform is back.
+/// The platform is down for a long time while a backend server drains. A balancer is replaced and
+/// another one added, which can get the configuration and the tables only from their peers. Feeds must
+/// last, and the drained server must get no new work, also after the platform is back.
 #[test]
 fn balancers_replaced_while_the_platform_is_down_learn_from_their_peers() {
     let mut deployment = drained(3);
@@ -108,8 +108,10 @@
 
     deployment.set_faults(down()).unwrap();
     deployment.replace_balancer(2).unwrap();
-    deployment.start_balancer(NEWBORN).unwrap();
-    deployment.wait_in_force(&[2, NEWBORN], revision).unwrap();
+    deployment.start_balancer(FIRST_ADDED).unwrap();
+    deployment
+        .wait_in_force(&[2, FIRST_ADDED], revision)
+        .unwrap();
     deployment.settle();
     deployment.spray_over_all().unwrap();
     idle(&deployment, &["talkoo-live-1"], || {
@@ -125,9 +127,9 @@
     assert_eq!(assert_whole("feeds", &line)["lasted"], 24);
 }
 
-/// An operator's change takes effect but the platform's answer is lost, and those to the balancers'
-/// own writes too. The operator is told that the outcome is unknown; the change is in force all
-/// the same, and the next one builds on it and doesn't undo it.
+/// An operator's change is stored but the platform's answer is lost, like those to the balancers' own
+/// writes. The operator must be told that the outcome is unknown, the change must be in force anyway,
+/// and the next change must build on it and not undo it.
 #[test]
 fn a_change_whose_answer_was_lost_is_in_force_and_stays() {
     let mut deployment = drained(3);
@@ -160,6 +162,9 @@
 
 fn assert_never_reverted(deployment: &Deployment) {
     for id in deployment.balancers() {
-        assert!(deployment.in_force(id).1, "balancer {id} went back");
+        assert!(
+            deployment.in_force(id).1,
+            "balancer {id} reverted to an older revision"
+        );
     }
 }
