--- a/crates/e2e/tests/it/bad_input.rs
+++ b/crates/e2e/tests/it/bad_input.rs
@@ -17,13 +17,13 @@
 
 use crate::fixture::{CALLER, assert_whole, drained, feeds, served};
 
-/// Memory of a balancer for control, in bytes.
-const MEMORY: u64 = 128 << 20;
-/// Datagrams of each kind.
+/// Memory budget of a balancer's control plane, in bytes.
+const MEMORY_LIMIT: u64 = 128 << 20;
+/// Number of datagrams of each kind.
 const EACH: usize = 400;
-/// Service that the packets claim to be for, as in the fixture's plan.
+/// Destination address of the packets: a service of the fixture's plan.
 const SERVICE: [u8; 4] = [198, 51, 100, 1];
-/// A caller that no test uses.
+/// Source address of the packets; no caller in these tests uses it.
 const CLIENT: [u8; 4] = [192, 0, 2, 99];
 
 fn random(random: &mut Pcg64Mcg, longest: usize) -> Vec<u8> {
@@ -41,7 +41,7 @@
     bytes
 }
 
-/// A redirect that pins a flow to a server, by somebody who doesn't know the key.
+/// A redirect that pins a flow to a server, authenticated with a wrong key.
 fn forged() -> Vec<u8> {
     let redirect = Redirect {
         purpose: Purpose::Replicate,
@@ -61,8 +61,8 @@
     bytes
 }
 
-/// A redirect by somebody who knows the key, that has passed more balancers than there may be.
-fn worn(deployment: &Deployment) -> Vec<u8> {
+/// A redirect with a valid key whose hop count exceeds the maximum.
+fn too_many_hops(deployment: &Deployment) -> Vec<u8> {
     let redirect = Redirect {
         purpose: Purpose::Resolve,
         hops: MAX_HOPS + 1,
@@ -76,7 +76,8 @@
     bytes
 }
 
-/// The encapsulation in itself: sent on, it would come back for ever.
+/// An encapsulated packet that is itself addressed to the encapsulation port. Forwarding it would
+/// create a loop.
 fn looping() -> Vec<u8> {
     let mut bytes = Vec::new();
     PacketBuilder::ipv4(CLIENT, SERVICE, 64)
@@ -86,8 +87,8 @@
     bytes
 }
 
-/// What a stranger may send to the control port, each on a connection of its own.
-fn strange_frames(source: &mut Pcg64Mcg) -> Vec<Vec<u8>> {
+/// Invalid frames for the control port, each of which is sent on a connection of its own.
+fn invalid_frames(source: &mut Pcg64Mcg) -> Vec<Vec<u8>> {
     let with_length = |length: u64, body: &[u8]| {
         let mut bytes = length.to_be_bytes().to_vec();
         bytes.extend(body);
@@ -103,12 +104,12 @@
     frames
 }
 
-/// Somebody who reaches a balancer's ports sends it noise: random bytes, packets cut short, forged
-/// redirects that would pin a flow to a server of his choice, packets that would go in circles,
-/// and nonsense on control connections that he then leaves open. Each is counted and dropped; feeds
-/// and new check-ins don't notice, and the balancer goes on.
+/// An attacker sends invalid input to a balancer's ports: random bytes, truncated packets, forged
+/// redirects that would pin a flow to a server of the attacker's choice, packets that would loop, and
+/// invalid frames on control connections that stay open. The balancer must count and drop the input
+/// and keep running, without an effect on feeds and new check-ins.
 #[test]
-fn noise_on_a_balancers_ports_is_counted_and_breaks_nothing() {
+fn invalid_input_is_counted_and_breaks_nothing() {
     let mut deployment = drained(3);
     let open = feeds(&deployment, 1, 24, 14);
     served(&deployment, 2, 1);
@@ -119,7 +120,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let kinds = [
         forged(),
-        worn(&deployment),
+        too_many_hops(&deployment),
         looping(),
         opening()[..30].to_vec(),
     ];
@@ -131,11 +132,11 @@
             socket.send_to(bytes, traffic).unwrap();
         }
     }
-    let connections: Vec<TcpStream> = strange_frames(&mut source)
+    let connections: Vec<TcpStream> = invalid_frames(&mut source)
         .iter()
         .map(|frame| {
             let mut stream = TcpStream::connect(control).unwrap();
-            // The other end may close as soon as it has seen enough.
+            // The write fails if the balancer closes the connection first, which is correct.
             let _ = stream.write_all(frame);
             stream
         })
@@ -162,22 +163,23 @@
     assert!(counts["encap-unknown"] > 0, "{counts:?}");
 }
 
-/// Strangers announce long frames and send all but the last byte, on hundreds of connections. Buffered
-/// before they are authenticated, the frames take the VM's memory, and the balancer is ended for it.
+/// Unauthenticated clients announce long frames on hundreds of connections and send all but the last
+/// byte. If the balancer buffered frames before authentication, it would exhaust the VM's memory and be
+/// killed.
 #[test]
-fn strangers_that_announce_long_frames_take_little_memory() {
-    const STRANGERS: usize = 512;
+fn unauthenticated_clients_that_announce_long_frames_use_little_memory() {
+    const CLIENTS: usize = 512;
     let deployment = drained(1);
     let control = deployment.control(1);
     let frame = vec![0; MAX_FRAME - 1];
 
-    let strangers: Vec<TcpStream> = (0..STRANGERS)
+    let clients: Vec<TcpStream> = (0..CLIENTS)
         .map(|_| {
             let mut stream = TcpStream::connect(control).unwrap();
             stream
                 .set_write_timeout(Some(Duration::from_millis(500)))
                 .unwrap();
-            // The balancer may close at any moment, which is what it should do.
+            // The write fails if the balancer closes the connection, which is correct.
             let _ = stream.write_all(&(MAX_FRAME as u64).to_be_bytes());
             let _ = stream.write_all(&frame);
             stream
@@ -185,21 +187,21 @@
         .collect();
 
     let peak = deployment.peak_memory(1).unwrap();
-    assert!(peak < MEMORY, "{} MiB", peak >> 20);
-    drop(strangers);
+    assert!(peak < MEMORY_LIMIT, "{} MiB", peak >> 20);
+    drop(clients);
 }
 
-/// Strangers hold connections to a balancer while its peers have to dial it anew. Were they to hold all
-/// places, it would take all peers for dead and resolve flows by old tables.
+/// Unauthenticated clients hold connections to a balancer while its peers have to reconnect. If they
+/// used up all connection slots, it would declare all peers dead and resolve flows by outdated tables.
 #[test]
-fn strangers_keep_no_balancer_from_hearing_its_peers() {
-    const STRANGERS: usize = 600;
+fn unauthenticated_clients_do_not_block_peers() {
+    const CLIENTS: usize = 600;
     let longer_than_until_dead = Duration::from_secs(10);
     let deployment = drained(3);
     let open = feeds(&deployment, 1, 24, 16);
     let connect = || TcpStream::connect(deployment.control(1)).unwrap();
 
-    let mut held: Vec<TcpStream> = (0..STRANGERS).map(|_| connect()).collect();
+    let mut held: Vec<TcpStream> = (0..CLIENTS).map(|_| connect()).collect();
     deployment.silence(&[(2, 1), (3, 1)]).unwrap();
     let end = Instant::now() + longer_than_until_dead;
     while Instant::now() < end {
