--- a/crates/e2e/tests/it/stand_in.rs
+++ b/crates/e2e/tests/it/stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-ins themselves: what they do wrong would be blamed on balancers.
+//! Tests of the simulated components, whose faults would be attributed to balancers.
 
 use std::{
     net::{SocketAddr, TcpListener, UdpSocket},
@@ -14,28 +14,31 @@
 use nix::sys::signal::Signal;
 use smoltcp::iface::SocketHandle;
 
-/// Hosts of the network: the caller and the backend server.
+/// Host number of the caller.
 const CALLER_HOST: u8 = 2;
+/// Host number of the backend server.
 const SERVER_HOST: u8 = 100;
-/// Flows opened in one moment: more than a server has sockets that listen.
+/// Number of flows opened at once: more than a server has listening sockets.
 const FLOWS: u16 = 96;
-/// Longest wait for anything here.
+/// Time limit of each wait.
 const LIMIT: Duration = Duration::from_secs(10);
-/// Enough for some exchanges with the server.
+/// Enough time for several round trips to the server.
 const SHORT: Duration = Duration::from_millis(300);
-/// Where the TCP flags stand in a packet without IP options, and those of an opening and its answer.
+/// Offset of the TCP flags in a packet without IP options.
 const FLAGS: usize = 33;
+/// Bits of the flags SYN and ACK.
 const SYN_ACK: u8 = 18;
+/// Bit of the flag SYN.
 const SYN: u8 = 2;
 
-/// A backend server, and a caller whose packets this test hands to it.
+/// A backend server process, and a caller whose packets the test forwards to it.
 struct Pair {
     server: Process,
     stack: Stack,
-    /// Takes the caller's packets.
-    way: UdpSocket,
+    /// Receives the caller's packets and forwards them.
+    forwarder: UdpSocket,
     listen: SocketAddr,
-    /// The openings that passed.
+    /// Forwarded SYN packets.
     openings: Vec<Vec<u8>>,
     _claim: TcpListener,
 }
@@ -52,8 +55,8 @@
         let (network, claim) = Network::claim().unwrap();
         let listen = SocketAddr::V4(network.port(SERVER_HOST, TRAFFIC));
         let link = UdpSocket::bind(network.port(CALLER_HOST, TRAFFIC)).unwrap();
-        let way = UdpSocket::bind(network.port(CALLER_HOST, ADMIN)).unwrap();
-        way.set_nonblocking(true).unwrap();
+        let forwarder = UdpSocket::bind(network.port(CALLER_HOST, ADMIN)).unwrap();
+        forwarder.set_nonblocking(true).unwrap();
         let arguments = [
             "backend".to_owned(),
             "--name=held-up".to_owned(),
@@ -72,8 +75,8 @@
         let caller = "192.0.2.1".parse().unwrap();
         Pair {
             server,
-            stack: Stack::new(caller, link, way.local_addr().unwrap(), 1).unwrap(),
-            way,
+            stack: Stack::new(caller, link, forwarder.local_addr().unwrap(), 1).unwrap(),
+            forwarder,
             listen,
             openings: Vec::new(),
             _claim: claim,
@@ -92,35 +95,35 @@
             }
         };
         let flows = (first_port..first_port + count).map(&mut open).collect();
-        self.turn();
+        self.poll();
         flows
     }
 
-    /// Runs the caller for a moment and hands on what it sends.
-    fn turn(&mut self) {
+    /// Polls the caller's network stack once and forwards the packets that it sent.
+    fn poll(&mut self) {
         self.stack.turn(Duration::from_millis(5)).unwrap();
         let mut bytes = [0; 2_048];
-        while let Ok(len) = self.way.recv(&mut bytes) {
+        while let Ok(len) = self.forwarder.recv(&mut bytes) {
             let packet = &bytes[..len];
             if packet[FLAGS] & SYN_ACK == SYN {
                 self.openings.push(packet.to_vec());
             }
-            self.way.send_to(packet, self.listen).unwrap();
+            self.forwarder.send_to(packet, self.listen).unwrap();
         }
     }
 
-    fn turns(&mut self, time: Duration) {
+    fn poll_for(&mut self, time: Duration) {
         let until = Instant::now() + time;
         while Instant::now() < until {
-            self.turn();
+            self.poll();
         }
     }
 
-    /// Asks on each flow as it opens; gives how many are answered within the limit.
+    /// Sends a request on each flow once it is open. Returns how many are answered within [`LIMIT`].
     fn ask(&mut self, flows: &mut [Flow]) -> u16 {
         let deadline = Instant::now() + LIMIT;
         while flows.iter().any(|flow| !flow.answered) && Instant::now() < deadline {
-            self.turn();
+            self.poll();
             for flow in &mut *flows {
                 let socket = self.stack.socket(flow.handle);
                 if !flow.asked && socket.can_send() {
@@ -134,12 +137,12 @@
     }
 }
 
-/// A backend server gets no processor for a moment while a hundred callers open their feeds. It must
-/// take them one after another as it wakes; a real one would. It used to answer all but 32 of those
-/// that it found in its socket with a reset (here 64 of 96), and tests counted these as refused: 2 of
-/// 96 feeds within 30 ms of their start, while no balancer had refused any.
+/// A backend server gets no CPU time for a moment while about a hundred feeds are opened. Like a real
+/// server, it must accept all of them when it resumes. If it answers all openings in its socket buffer
+/// but 32 with a reset (64 of 96 here), tests count these as refused although no balancer refused them:
+/// this was seen for 2 of 96 feeds, within 30 ms of their start.
 #[test]
-fn a_backend_server_that_was_held_up_refuses_no_opening() {
+fn a_backend_server_that_was_paused_refuses_no_opening() {
     let mut pair = Pair::start();
     pair.server.signal(Signal::SIGSTOP).unwrap();
     let mut flows = pair.open(10_000, FLOWS);
@@ -149,31 +152,31 @@
     assert_eq!(pair.ask(&mut flows), FLOWS);
 }
 
-/// A caller sends its opening again, as the answer took more than a second, and meanwhile older flows
-/// have ended at the server and younger ones begun. The flow must stay one. A server that opened it a second time, with
-/// another sequence number, answered the flow's own packets by resets, and tests counted requests as
-/// broken that all balancers had sent to the right server.
+/// A caller retransmits its SYN because the answer took more than a second; meanwhile older flows have
+/// ended at the server and newer ones been opened. The server must not open the flow a second time. With
+/// a second sequence number it would answer the flow's packets with resets, and tests would count
+/// requests as broken although all balancers sent them to the right server.
 #[test]
-fn an_opening_that_comes_again_opens_no_second_flow() {
+fn a_retransmitted_opening_opens_no_second_flow() {
     let mut pair = Pair::start();
     let mut older = pair.open(10_000, FLOWS);
     assert_eq!(pair.ask(&mut older), FLOWS);
     pair.openings.clear();
     let mut flows = pair.open(20_000, 10);
-    pair.turns(SHORT);
+    pair.poll_for(SHORT);
     let openings = std::mem::take(&mut pair.openings);
     for flow in &older {
         pair.stack.socket(flow.handle).close();
     }
-    pair.turns(SHORT);
-    // The sockets that listen from now on have the places of those that have ended.
+    pair.poll_for(SHORT);
+    // The new listening sockets reuse the slots of those that have ended.
     let mut younger = pair.open(30_000, FLOWS);
     assert_eq!(pair.ask(&mut younger), FLOWS);
 
     for opening in &openings {
-        pair.way.send_to(opening, pair.listen).unwrap();
+        pair.forwarder.send_to(opening, pair.listen).unwrap();
     }
-    pair.turns(SHORT);
+    pair.poll_for(SHORT);
 
     assert_eq!(pair.ask(&mut flows), 10);
 }
