--- a/crates/e2e/src/demo.rs
+++ b/crates/e2e/src/demo.rs
@@ -45,12 +45,13 @@
     /// Number of balancers.
     #[arg(long, default_value_t = 7)]
     pub balancers: u16,
-    /// Duration of a step, in seconds.
+    /// Minimum duration of each step, in seconds.
     #[arg(long, default_value_t = 8)]
     pub seconds: u64,
 }
 
-/// Runs the demo. Fails if a signal interrupts it; all processes that it started are ended then.
+/// Runs the demo. The exit status of its outcome is 1 if a planned change broke a flow. Fails if a
+/// signal interrupts it, after ending all processes that it started.
 pub fn run(options: &Options) -> anyhow::Result<Outcome> {
     let asked = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
--- a/crates/e2e/src/net.rs
+++ b/crates/e2e/src/net.rs
@@ -16,7 +16,7 @@
 /// Port at which the fabric receives packets for callers.
 pub const ANSWERS: u16 = 6084;
 
-/// Number of networks allocated by this process, modulo 256.
+/// Value of [`Network::second`] for the next attempt to reserve a network; wraps around.
 static NEXT_NETWORK: AtomicU8 = AtomicU8::new(0);
 
 /// A loopback network of 254 hosts.
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -39,7 +39,7 @@
     Compact,
     /// A backend server drains and returns to service.
     Drain(u8),
-    /// A backend server stops answering while its schedule stays in the store.
+    /// A backend server stops answering while its entry stays in the store.
     Mute(u8),
     /// A route is removed and restored.
     Route,
--- a/crates/soak/src/ip.rs
+++ b/crates/soak/src/ip.rs
@@ -71,14 +71,14 @@
 pub struct Entry {
     /// Start time, relative to the start of the run.
     pub at: Duration,
-    /// Duration; only used by pauses, cuts and held connections.
+    /// Duration of a pause, a cut or held connections. For other faults it only extends the run.
     pub lasts: Duration,
     /// The fault to inject.
     pub fault: Fault,
 }
 
 /// Generates the faults of a seed, sorted by start time. At most one balancer is killed, as a flow
-/// whose two owners die at the same time is failures, which violates no guarantee.
+/// whose two owners die at the same time is lost, which violates no guarantee.
 ///
 /// ```
 /// let faults = acacia_soak::ip::draw(7, 10);
--- a/crates/soak/tests/it/gone.rs
+++ b/crates/soak/tests/it/gone.rs
@@ -142,7 +142,7 @@
     drop(held);
 }
 
-/// Most balancers are paused during a fetch and the store is idle_connections. A balancer that starts then must
+/// Most balancers are paused during a fetch and the store is silent. A balancer that starts then must
 /// get its state from one that is running, or it cannot serve its callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_balancer_that_starts_among_paused_ones_serves() {
