--- a/crates/kernel/src/context.rs
+++ b/crates/kernel/src/context.rs
@@ -6,7 +6,7 @@
 
 use acacia_wire::collections::Map;
 
-use crate::run::{Event, UnexpectedExit};
+use crate::run::{Event, Exit};
 use crate::{BoxError, Error};
 
 /// The value that a service provides to the services that depend on it.
@@ -41,7 +41,7 @@
     /// }));
     /// let kernel = registry.start().unwrap();
     /// kernel.stopper().stop();
-    /// assert!(kernel.wait().unexpected_exit.is_none());
+    /// assert!(kernel.wait().exit.is_none());
     /// ```
     pub fn find<T: Any + Send + Sync>(&self, name: &str) -> Result<Arc<T>, Error> {
         let handle = self
@@ -77,7 +77,7 @@
                 Err(panic) => panic_message(panic.as_ref()),
             };
             // Sending can fail only after the kernel has stopped, when the exit is expected.
-            let _ = events.send(Event::ServiceExited(UnexpectedExit { service, reason }));
+            let _ = events.send(Event::ServiceExited(Exit { service, reason }));
         })?;
         self.threads.push(thread);
         Ok(())
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -18,4 +18,4 @@
 pub use context::Context;
 pub use error::{BoxError, Error};
 pub use registry::{Registry, Service};
-pub use run::{Kernel, Outcome, Stopper, UnexpectedExit};
+pub use run::{Exit, Kernel, Outcome, Stopper};
--- a/crates/kernel/src/run.rs
+++ b/crates/kernel/src/run.rs
@@ -9,7 +9,7 @@
 /// An event that ends [`Kernel::wait`].
 pub(crate) enum Event {
     /// A thread of a service has exited.
-    ServiceExited(UnexpectedExit),
+    ServiceExited(Exit),
     /// A stop was requested.
     StopRequested,
 }
@@ -23,7 +23,7 @@
 
 /// The exit of a service that was not stopped.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct UnexpectedExit {
+pub struct Exit {
     /// The name of the service.
     pub service: Arc<str>,
     /// Why its thread exited: the error, the panic message, or `returned`.
@@ -34,19 +34,19 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
     /// The first unexpected exit of a service, or `None` after a requested stop.
-    pub unexpected_exit: Option<UnexpectedExit>,
+    pub exit: Option<Exit>,
 }
 
 impl Outcome {
     /// Returns the result code, from which the exit status follows.
     ///
     /// ```
-    /// let outcome = acacia_kernel::Outcome { unexpected_exit: None };
+    /// let outcome = acacia_kernel::Outcome { exit: None };
     /// assert_eq!(outcome.code().exit_status(), 0);
     /// ```
     #[must_use]
     pub fn code(&self) -> Code {
-        match self.unexpected_exit {
+        match self.exit {
             Some(_) => Code::ServiceDied,
             None => Code::Success,
         }
@@ -104,20 +104,20 @@
     /// }));
     /// let outcome = registry.start().unwrap().wait();
     /// assert_eq!(outcome.code(), acacia_code::Code::ServiceDied);
-    /// assert_eq!(outcome.unexpected_exit.unwrap().reason, "socket closed");
+    /// assert_eq!(outcome.exit.unwrap().reason, "socket closed");
     /// ```
     #[must_use]
     pub fn wait(mut self) -> Outcome {
-        let unexpected_exit = match self.received.recv() {
+        let exit = match self.received.recv() {
             Ok(Event::ServiceExited(exit)) => Some(exit),
             Ok(Event::StopRequested) | Err(_) => None,
         };
-        if let Some(UnexpectedExit { service, reason }) = &unexpected_exit {
+        if let Some(Exit { service, reason }) = &exit {
             let code = Code::ServiceDied;
             log::error!("event=service_died code={code} service={service} reason={reason:?}");
         }
         self.stop_all();
-        Outcome { unexpected_exit }
+        Outcome { exit }
     }
 
     /// Stops all services in reverse start order, because a service may use its dependencies until
--- a/crates/kernel/tests/it/run.rs
+++ b/crates/kernel/tests/it/run.rs
@@ -43,7 +43,7 @@
     let outcome = registry.start().expect("starts").wait();
 
     assert_eq!(outcome.code(), Code::ServiceDied);
-    let exit = outcome.unexpected_exit.expect("the exit is reported");
+    let exit = outcome.exit.expect("the exit is reported");
     assert_eq!((&*exit.service, &*exit.reason), ("exiting", reason));
     assert!(ended.load(Ordering::SeqCst), "the other service was joined");
 }
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -131,11 +131,11 @@
         .join()
         .map_err(|_| anyhow::anyhow!("the signal thread panicked"))?;
     log::info!("event=ended id={} {}", settings.id, shared.counter.line());
-    if let Some(death) = &outcome.unexpected_exit {
+    if let Some(exit) = &outcome.exit {
         log::error!(
             "event=service-died service={} reason=\"{}\"",
-            death.service,
-            death.reason
+            exit.service,
+            exit.reason
         );
     }
     Ok(outcome.code())
