--- a/crates/burn/src/ledger.rs
+++ b/crates/burn/src/ledger.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::time_series::MINUTE;
-use crate::{Count, Mark, TimeSeries};
+use crate::{Count, Mark, Series};
 
 /// Maximum number of time series of one balancer, one for each service and mark.
 ///
@@ -25,14 +25,14 @@
 
 /// The counts of one source.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct SourceCounts {
+pub(crate) struct Counts {
     /// When the source started counting, in seconds since the Unix epoch.
     pub(crate) since: u64,
     /// When the source last counted a flow or confirmed that its counts are complete, in seconds
     /// since the Unix epoch.
     pub(crate) until: u64,
     #[serde(rename = "tapes")]
-    series: Vec<(Arc<str>, Mark, TimeSeries)>,
+    series: Vec<(Arc<str>, Mark, Series)>,
 }
 
 /// The counts of any number of balancers.
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     #[serde(rename = "books", with = "pairs")]
-    pub(crate) by_source: BTreeMap<Source, SourceCounts>,
+    pub(crate) by_source: BTreeMap<Source, Counts>,
 }
 
 impl Ledger {
@@ -60,7 +60,7 @@
     /// ```
     #[must_use]
     pub fn new(source: Source, now: u64) -> Self {
-        let counts = SourceCounts {
+        let counts = Counts {
             since: now,
             until: now,
             series: Vec::new(),
@@ -72,7 +72,7 @@
 
     /// Adds flows of a source that ended at `now`.
     pub fn add(&mut self, source: Source, now: u64, service: &Arc<str>, mark: Mark, count: Count) {
-        let new = || SourceCounts {
+        let new = || Counts {
             since: now,
             until: now,
             series: Vec::new(),
@@ -145,7 +145,7 @@
     }
 }
 
-impl SourceCounts {
+impl Counts {
     /// Returns whether the source is still counting: it was active within the shortest window of a
     /// report, 5 minutes.
     pub(crate) fn is_current(&self, now: u64) -> bool {
@@ -163,8 +163,8 @@
         end.saturating_sub(start)
     }
 
-    fn series_mut(&mut self, service: &Arc<str>, mark: Mark) -> &mut TimeSeries {
-        let find = |counts: &SourceCounts, name: &str| {
+    fn series_mut(&mut self, service: &Arc<str>, mark: Mark) -> &mut Series {
+        let find = |counts: &Counts, name: &str| {
             counts
                 .series
                 .binary_search_by(|(other, m, _)| (&**other, *m).cmp(&(name, mark)))
@@ -174,13 +174,13 @@
             name = OTHER_SERVICES.into();
         }
         let at = find(self, &name).unwrap_or_else(|at| {
-            self.series.insert(at, (name, mark, TimeSeries::default()));
+            self.series.insert(at, (name, mark, Series::default()));
             at
         });
         &mut self.series[at].2
     }
 
-    fn merge(&mut self, other: &SourceCounts) {
+    fn merge(&mut self, other: &Counts) {
         self.since = self.since.min(other.since);
         self.until = self.until.max(other.until);
         for (service, mark, theirs) in &other.series {
@@ -195,10 +195,10 @@
 
     use serde::{Deserialize, Deserializer, Serializer};
 
-    use super::{Source, SourceCounts};
+    use super::{Counts, Source};
 
     pub(super) fn serialize<S: Serializer>(
-        by_source: &BTreeMap<Source, SourceCounts>,
+        by_source: &BTreeMap<Source, Counts>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
         serializer.collect_seq(by_source)
@@ -206,8 +206,8 @@
 
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
-    ) -> Result<BTreeMap<Source, SourceCounts>, D::Error> {
-        Ok(Vec::<(Source, SourceCounts)>::deserialize(deserializer)?
+    ) -> Result<BTreeMap<Source, Counts>, D::Error> {
+        Ok(Vec::<(Source, Counts)>::deserialize(deserializer)?
             .into_iter()
             .collect())
     }
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -26,4 +26,4 @@
 pub use page::page;
 pub use report::{Objective, Report, Row, WINDOWS, Window, json, report};
 pub use table::table;
-pub use time_series::TimeSeries;
+pub use time_series::Series;
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::ledger::SourceCounts;
+use crate::ledger::Counts;
 use crate::time_series::{HOUR, MINUTE};
 use crate::{Alert, Count, Error, Ledger, Mark, alerts};
 
@@ -176,7 +176,7 @@
 fn window(ledger: &Ledger, now: u64, seconds: u64, objective: &Objective, count: Count) -> Window {
     let sources = || ledger.by_source.values();
     let current = || sources().filter(|counts| counts.is_current(now));
-    let covered = |counts: &SourceCounts| counts.covered(now, seconds);
+    let covered = |counts: &Counts| counts.covered(now, seconds);
     let burn = objective.burn(&count);
     let expected = current().count() as u64 * seconds;
     let share = covered_share(sources().map(covered).sum(), expected);
--- a/crates/burn/src/time_series.rs
+++ b/crates/burn/src/time_series.rs
@@ -18,18 +18,18 @@
 ///
 /// There are at most 434 slots, which take about 17 KB. Slots without flows take no memory.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TimeSeries {
+pub struct Series {
     minutes: BTreeMap<u64, Count>,
     hours: BTreeMap<u64, Count>,
 }
 
-impl TimeSeries {
+impl Series {
     /// Adds flows that ended at `now`, in seconds since the Unix epoch. Flows that are older than
     /// the oldest slot are dropped, which happens only if the clock was set back.
     ///
     /// ```
-    /// use acacia_burn::{Count, TimeSeries};
-    /// let mut series = TimeSeries::default();
+    /// use acacia_burn::{Count, Series};
+    /// let mut series = Series::default();
     /// series.add(1_000_000, Count { good: 3, ..Count::default() });
     /// assert_eq!(series.sum(1_000_030, 300).good, 3);
     /// assert_eq!(series.sum(1_000_600, 300).good, 0);
@@ -60,7 +60,7 @@
 
     /// Merges another snapshot of the same time series. Counts in a slot only increase, so the
     /// maximum of each slot is kept.
-    pub fn merge(&mut self, other: &TimeSeries) {
+    pub fn merge(&mut self, other: &Series) {
         let pairs = [
             (&mut self.minutes, &other.minutes),
             (&mut self.hours, &other.hours),
--- a/crates/burn/tests/it/ledger.rs
+++ b/crates/burn/tests/it/ledger.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use acacia_burn::{Count, Ledger, Mark, Source, TimeSeries};
+use acacia_burn::{Count, Ledger, Mark, Series, Source};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -71,7 +71,7 @@
 
     #[test]
     fn a_window_sums_the_flows_within_it(ages in prop::collection::vec(0u64..300_000, 1..40)) {
-        let mut series = TimeSeries::default();
+        let mut series = Series::default();
         let mut ages = ages;
         ages.sort_unstable_by(|a, b| b.cmp(a));
         ages.iter().for_each(|age| series.add(NOW - age, good(1)));
@@ -98,7 +98,7 @@
 
 #[test]
 fn memory_is_bounded() {
-    let mut series = TimeSeries::default();
+    let mut series = Series::default();
     (0..10_000).for_each(|minute| series.add(NOW + minute * 60, good(1)));
     assert_eq!(series.len(), 361 + 73);
 
