--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -120,7 +120,8 @@
     }
 
     /// The customer with the longest prefix that contains the address. The search is linear in the
-    /// number of prefixes; use [`CustomerIndex`](crate::CustomerIndex) for frequent searches.
+    /// number of prefixes; use [`customer_index::Index`](crate::customer_index::Index) for frequent
+    /// searches.
     ///
     /// ```
     /// use acacia_config::{Config, Customer, Mark};
--- a/crates/config/src/customer_index.rs
+++ b/crates/config/src/customer_index.rs
@@ -1,3 +1,5 @@
+//! The index of the customers by their prefixes.
+
 use std::{collections::BTreeMap, net::IpAddr};
 
 use crate::{Config, Prefix};
@@ -10,7 +12,7 @@
 /// longest first, which needs at most one binary search for each length in use. In practice there
 /// are few lengths.
 #[derive(Debug, Clone, Default)]
-pub struct CustomerIndex {
+pub struct Index {
     v4: PrefixesByLength,
     v6: PrefixesByLength,
 }
@@ -19,14 +21,14 @@
 /// length, sorted, each with the index of its customer in [`Config::customers`].
 type PrefixesByLength = Vec<(u8, Vec<(IpAddr, usize)>)>;
 
-impl CustomerIndex {
+impl Index {
     /// Builds the index of the customers' prefixes.
     ///
     /// ```
-    /// use acacia_config::{CustomerIndex, Config, Customer, Mark};
+    /// use acacia_config::{Config, Customer, Mark, customer_index::Index};
     /// let mut config = Config::default();
     /// config.add_customer(Customer::new("crew", Mark::Paying, ["10.0.0.0/8".parse()?]));
-    /// let index = CustomerIndex::new(&config);
+    /// let index = Index::new(&config);
     /// assert_eq!(index.find([10, 1, 2, 3].into()), Some(0));
     /// assert_eq!(index.find([11, 1, 2, 3].into()), None);
     /// # Ok::<(), acacia_config::Problem>(())
@@ -41,7 +43,7 @@
                 prefixes.entry(family_and_length).or_default().push(entry);
             }
         }
-        let mut index = CustomerIndex::default();
+        let mut index = Index::default();
         for ((is_v4, length), mut prefixes) in prefixes.into_iter().rev() {
             prefixes.sort_unstable();
             let lengths = if is_v4 { &mut index.v4 } else { &mut index.v6 };
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -19,7 +19,7 @@
 mod check;
 mod config;
 mod customer;
-mod customer_index;
+pub mod customer_index;
 pub mod document;
 mod objective;
 mod parse;
@@ -32,7 +32,6 @@
 pub use check::check;
 pub use config::Config;
 pub use customer::{Customer, Mark, Prefix};
-pub use customer_index::CustomerIndex;
 pub use objective::{Latency, Objective, Ratio};
 pub use parse::parse;
 pub use print::print;
--- a/crates/config/src/parse/line.rs
+++ b/crates/config/src/parse/line.rs
@@ -27,7 +27,7 @@
     let mut words = line.split_whitespace();
     let address: SocketAddr = words.next()?.parse().ok()?;
     let data_centre: Arc<str> = words.next()?.into();
-    let mut optional = OptionalParts::default();
+    let mut optional = Options::default();
     for word in words {
         optional.parse(word)?;
     }
@@ -49,13 +49,13 @@
 
 /// The optional parts of a line, each at most once.
 #[derive(Default)]
-struct OptionalParts {
+struct Options {
     slots: Option<u16>,
     connections: Option<u32>,
     state: Option<State>,
 }
 
-impl OptionalParts {
+impl Options {
     /// `None` if the word is unknown, invalid or repeated.
     fn parse(&mut self, word: &str) -> Option<()> {
         let is_first = match word.split_once('=') {
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -141,10 +141,10 @@
     /// let mut after = before.clone();
     /// after.update_server("a", |server| server.state = State::Drain { deadline: None });
     /// let plan = plan::compare(&before, &after);
-    /// assert_eq!(plan.services_left_without_active_servers().count(), 1);
+    /// assert_eq!(plan.unserved_services().count(), 1);
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
-    pub fn services_left_without_active_servers(&self) -> impl Iterator<Item = &Effect> {
+    pub fn unserved_services(&self) -> impl Iterator<Item = &Effect> {
         let loses_all = |e: &&Effect| e.active.to == 0 && e.active.from > 0 && e.share.to > 0;
         self.effects.iter().filter(loses_all)
     }
--- a/crates/config/tests/it/customer_index.rs
+++ b/crates/config/tests/it/customer_index.rs
@@ -1,6 +1,6 @@
 use std::net::IpAddr;
 
-use acacia_config::{Config, Customer, CustomerIndex, Mark, Prefix};
+use acacia_config::{Config, Customer, Mark, Prefix, customer_index};
 use proptest::prelude::*;
 
 use crate::fixture::{any_config, cases};
@@ -31,7 +31,7 @@
             let prefixes = prefix_of(address, length);
             config.add_customer(Customer::new(&format!("n{length}"), Mark::Trial, prefixes));
         }
-        let index = CustomerIndex::new(&config);
+        let index = customer_index::Index::new(&config);
         let found = index.find(address).map(|position| &config.customers()[position]);
         let expected = config.customer_at(address);
         let longest = |c: &Customer| c.prefixes.iter().filter(|p| p.contains(address)).map(Prefix::length).max();
--- a/crates/config/tests/it/plan.rs
+++ b/crates/config/tests/it/plan.rs
@@ -30,7 +30,7 @@
             "-live-2 = 10.1.0.2:6080 hervanta\n+live-2 = 10.1.0.2:6080 hervanta drain=9\n"
         )
     );
-    assert_eq!(plan.services_left_without_active_servers().count(), 0);
+    assert_eq!(plan.unserved_services().count(), 0);
 }
 
 /// An operator drains all servers of a service in one change, which would leave none for new flows.
@@ -42,10 +42,7 @@
         assert!(after.update_server(name, |server| server.state = drain));
     }
     let plan = compare(&config(), &after);
-    let unserved: Vec<_> = plan
-        .services_left_without_active_servers()
-        .map(|e| &*e.service)
-        .collect();
+    let unserved: Vec<_> = plan.unserved_services().map(|e| &*e.service).collect();
     assert_eq!(unserved, ["maps"]);
 }
 
--- a/crates/ctl/src/command/plan.rs
+++ b/crates/ctl/src/command/plan.rs
@@ -35,7 +35,7 @@
     for change in &plan.changes {
         text.push_str(&format!("  {change}\n"));
     }
-    for effect in plan.services_left_without_active_servers() {
+    for effect in plan.unserved_services() {
         let name = &effect.service;
         text.push_str(&format!(
             "  WARNING: {name} has no backend server for new flows\n"
--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -3,7 +3,7 @@
 
 use std::{net::IpAddr, sync::Arc, time::Duration};
 
-use acacia_config::{Config, CustomerIndex, Mark};
+use acacia_config::{Config, Mark, customer_index};
 use acacia_flow::{
     place,
     snapshot::Address,
@@ -47,7 +47,7 @@
     pub index: Arc<Map<u16, pool::Server>>,
     /// Looks up the customer of a caller. The class of customer `n` has index `n + 1`; class 0 is
     /// for callers that belong to no customer.
-    pub callers: Arc<CustomerIndex>,
+    pub callers: Arc<customer_index::Index>,
 }
 
 /// The policies of all services, by address.
@@ -60,7 +60,7 @@
 /// Balancers with the same configuration and tables assign the same indices to servers and classes.
 #[must_use]
 pub fn policies(config: &Config, config_revision: u64, document: &Document) -> Policies {
-    let callers = Arc::new(CustomerIndex::new(config));
+    let callers = Arc::new(customer_index::Index::new(config));
     let revision = document.version << 32 | (config_revision & u64::from(u32::MAX));
     let policy = |service: &acacia_tables::Service| {
         let wanted = config.service(&service.name);
