--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -25,7 +25,7 @@
     pub json: bool,
     /// The command to run.
     #[command(subcommand)]
-    pub command: Command,
+    pub verb: Command,
 }
 
 /// A subcommand with its arguments.
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -22,7 +22,7 @@
         Ok(settings) => settings,
         Err(failure) => return failure,
     };
-    let outcome = match cli.command {
+    let outcome = match cli.verb {
         Command::Print { file } => command::print::run(&settings, file.as_deref()).await,
         Command::Check { file } => command::check::run(&file),
         Command::Plan { file } => command::plan::run(&settings, &file).await,
