--- a/crates/node/src/cookie/control.rs
+++ b/crates/node/src/cookie/control.rs
@@ -95,9 +95,9 @@
 
     /// Returns all metrics in the exposition format.
     pub fn text(&self) -> String {
-        let standing = self.core(|core, now| core.summary(now));
+        let summary = self.core(|core, now| core.summary(now));
         let listeners = self.limiters.all();
-        self.meters.text(&self.counter, &standing, &listeners)
+        self.meters.text(&self.counter, &summary, &listeners)
     }
 
     /// Whether the routers should send packets to this balancer.
--- a/crates/node/src/cookie/core/speed.rs
+++ b/crates/node/src/cookie/core/speed.rs
@@ -59,7 +59,7 @@
         };
         let reports = std::mem::take(&mut self.peer_reports);
         if !changed.is_empty() {
-            log::info!("event=speeds reports={reports} {}", SpeedList(&changed));
+            log::info!("event=speeds reports={reports} {}", List(&changed));
         }
         !changed.is_empty()
     }
@@ -86,9 +86,9 @@
 }
 
 /// Formats the servers' speeds for the log, in requests per second and slot.
-struct SpeedList<'a>(&'a [speed::Change]);
+struct List<'a>(&'a [speed::Change]);
 
-impl fmt::Display for SpeedList<'_> {
+impl fmt::Display for List<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let shown = self.0.iter().take(MAX_LOGGED);
         f.write_str("servers=")?;
--- a/crates/node/src/cookie/examine.rs
+++ b/crates/node/src/cookie/examine.rs
@@ -90,7 +90,7 @@
 }
 
 /// Logs an examination in which not all servers answered. The line shows whether other servers were
-/// in doubt at the time of a verdict.
+/// suspected at the time of a verdict.
 fn log_unless_all_answered(findings: &[Finding], took: Duration) {
     let count = |wanted: Finding| findings.iter().filter(|found| **found == wanted).count();
     let (silent, unknown) = (count(Finding::Silent), count(Finding::Unknown));
--- a/crates/node/src/cookie/exchange.rs
+++ b/crates/node/src/cookie/exchange.rs
@@ -96,19 +96,19 @@
 where
     D: Fn(u64) -> Difference + Clone + Send + Sync + 'static,
 {
-    let peer_server = PeerServer { difference };
-    let handle = move |ctx, request| peer_server.clone().serve().serve(ctx, request);
+    let responder = Responder { difference };
+    let handle = move |ctx, request| responder.clone().serve().serve(ctx, request);
     let codec = MessagePack::default();
     server::serve_connection_with(stream, codec, MAX_REQUEST_BYTES, handle, idle).await;
 }
 
 /// Implements [`Peer`] by a closure.
 #[derive(Clone)]
-struct PeerServer<D> {
+struct Responder<D> {
     difference: D,
 }
 
-impl<D: Fn(u64) -> Difference + Send> Peer for PeerServer<D> {
+impl<D: Fn(u64) -> Difference + Send> Peer for Responder<D> {
     async fn difference(self, _: context::Context, revision: u64) -> Difference {
         (self.difference)(revision)
     }
--- a/crates/node/src/cookie/leave.rs
+++ b/crates/node/src/cookie/leave.rs
@@ -35,8 +35,8 @@
         since: clock::now(),
     };
     *lock(&control.phase) = phase;
-    let (outgoing, standing) = control.core(|core, now| (core.leave(now), core.summary(now)));
-    let (version, revision, peers) = (standing.version, standing.revision, standing.peers);
+    let (outgoing, summary) = control.core(|core, now| (core.leave(now), core.summary(now)));
+    let (version, revision, peers) = (summary.version, summary.revision, summary.peers);
     log::info!("event=leaving signal={cause} version={version} revision={revision} peers={peers}");
     control.send(outgoing).await;
     let grace = lock(&control.settings).grace;
--- a/crates/node/src/cookie/meters.rs
+++ b/crates/node/src/cookie/meters.rs
@@ -133,7 +133,7 @@
     /// assert!(text.contains("acaciatrack_peers 0"));
     /// ```
     #[must_use]
-    pub fn text(&self, counter: &Counter, standing: &Summary, listeners: &[&Limiter]) -> String {
+    pub fn text(&self, counter: &Counter, summary: &Summary, listeners: &[&Limiter]) -> String {
         let mut registry = Registry::with_prefix("acaciatrack");
         registry.register(
             "opening_seconds",
@@ -157,7 +157,7 @@
             "Connections closed by the listener's limits",
             connections(listeners),
         );
-        for (name, help, value) in self.gauges(standing) {
+        for (name, help, value) in self.gauges(summary) {
             let gauge = Gauge::<i64, AtomicI64>::default();
             gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
             registry.register(name, help, gauge);
@@ -170,40 +170,40 @@
         text
     }
 
-    fn gauges(&self, standing: &Summary) -> [(&'static str, &'static str, u128); 8] {
+    fn gauges(&self, summary: &Summary) -> [(&'static str, &'static str, u128); 8] {
         let ready = self.ready.get().map_or(0, Duration::as_millis);
-        let age = standing.age.map_or(0, |age| age.as_millis());
+        let age = summary.age.map_or(0, |age| age.as_millis());
         [
             (
                 "config_version",
                 "Operators' number of the configuration in force",
-                standing.version.into(),
+                summary.version.into(),
             ),
             (
                 "store_revision",
                 "Revision of the store up to which everything is known",
-                standing.revision.into(),
+                summary.revision.into(),
             ),
             (
                 "store_age_milliseconds",
                 "How long ago that was the store's newest",
                 age,
             ),
-            ("peers", "Other balancers known", standing.peers as u128),
+            ("peers", "Other balancers known", summary.peers as u128),
             (
                 "servers_silent",
                 "Backend servers found silent",
-                standing.silent as u128,
+                summary.silent as u128,
             ),
             (
                 "evacuations",
                 "Data centres under evacuation",
-                standing.evacuations.len() as u128,
+                summary.evacuations.len() as u128,
             ),
             (
                 "reads_for_others",
                 "Whether this balancer watches the store for the others",
-                u128::from(standing.reads),
+                u128::from(summary.reads),
             ),
             (
                 "ready_milliseconds",
