--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -1,25 +1,25 @@
-//! Subcommand `control`: what a balancer's control costs, against the size of what it controls.
+//! Subcommand `control`: cost of a balancer's control plane as the group and configuration grow.
 //!
-//! Several of the product's own [`acacia_node::control::core::Core`]s run in one thread, in virtual
-//! time, joined by queues. Every message is sealed, opened and decoded as on the wire.
+//! Several instances of [`acacia_node::control::core::Core`] run in one thread and in virtual time,
+//! connected by in-memory queues. Every message is sealed, opened and decoded as on the network.
 
-/// One balancer of a fleet.
+/// Control plane of one simulated balancer.
 mod balancer;
-/// Sizes of what the store holds and balancers pass on.
+/// Sizes of the stored documents that balancers also send to each other.
 pub mod document;
-/// Balancers joined by queues.
+/// Simulated group of balancers, connected by in-memory queues.
 pub mod fleet;
-/// A straight line through points.
+/// Linear regression.
 pub mod line;
-/// Memory of the process.
+/// Resident memory of the process.
 pub mod memory;
 /// Replacement of a balancer that holds pins.
 pub mod replace;
-/// What is controlled.
+/// Size of the simulated group and of its configuration.
 pub mod size;
-/// Time until a change is in force everywhere.
+/// Time until a configuration change is in force on every balancer.
 pub mod spread;
-/// The platform's store, in memory.
+/// In-memory implementation of the platform's key-value store.
 pub mod store;
 
 use std::time::Duration;
@@ -28,31 +28,31 @@
 use line::Line;
 use size::{DIMENSIONS, Size};
 
-/// What to run.
+/// Command-line options of `control`.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Seeds, one run each.
+    /// Random seeds; each case runs once per seed.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     pub seeds: Vec<u64>,
-    /// Dimensions: peers, servers, services, pins, changes, replaced, spread, documents; all if none is named.
+    /// Dimensions to measure: peers, servers, services, pins, changes, replaced, spread, documents; all if none is named.
     #[arg(long, value_delimiter = ',')]
     pub cases: Vec<String>,
-    /// Seconds of virtual time that are measured, after the balancers have joined.
+    /// Duration of the measurement in seconds of virtual time, after the balancers have joined.
     #[arg(long, default_value_t = 60)]
     pub seconds: u64,
 }
 
-/// Time to join, before anything is measured: at 64 balancers heartbeats are 4 s apart and a
-/// member is trusted after several.
+/// Time for all balancers to join before the measurement starts: with 64 balancers the heartbeat
+/// interval is 4 s, and a member is trusted only after several heartbeats.
 const JOINING: Duration = Duration::from_secs(120);
-/// Time for the flags of new pins to reach everybody.
+/// Time for the flags of new pins to reach every balancer.
 const FLAGGING: Duration = Duration::from_secs(20);
 
-/// Runs the cases and prints their lines.
+/// Runs the selected dimensions and prints their results.
 pub fn run(options: &Options) -> anyhow::Result<()> {
     let wants = |case: &str| options.cases.is_empty() || options.cases.iter().any(|c| c == case);
-    // Kept to the end: memory that one fleet gives back would hide what the next one takes.
-    // The first takes what a process takes once.
+    // Fleets stay alive until the end: memory freed by one would be reused by the next and hide
+    // its growth. The first fleet absorbs the one-time allocations of the process.
     let size = Size::default();
     let mut fleets = vec![Fleet::new(&size, 0)?];
     fleets[0].run(FLAGGING, &size);
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-/// One dimension: a line for each point, and one for each fit.
+/// Measures one dimension. Prints one line per point and one per linear fit.
 fn sweep(
     name: &str,
     values: &[u32],
@@ -120,10 +120,10 @@
     Ok(())
 }
 
-/// One measurement.
+/// Result of one measurement.
 struct Point {
     value: f64,
     cost: Cost,
-    /// Bytes a balancer.
+    /// Resident memory per balancer, in bytes.
     memory: f64,
 }
--- a/crates/bench/src/control/balancer.rs
+++ b/crates/bench/src/control/balancer.rs
@@ -8,25 +8,25 @@
 };
 use acacia_peer::Bucket;
 
-/// Shards, as in the daemon.
+/// Number of shards, as in the daemon.
 const SHARDS: usize = 16;
 
-/// A balancer's control, with what it has to say.
+/// Control plane of one balancer and its pending output.
 pub(super) struct Balancer {
     pub(super) core: Core,
     pub(super) shards: Shards,
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
-    /// Held as the traffic threads hold it.
+    /// Kept here as the traffic threads of the daemon keep it.
     pub(super) view: Option<View>,
-    /// The byte budget of its connections, where it is kept to.
+    /// Byte budget of its connections, if the run enforces one.
     pub(super) bucket: Option<Bucket>,
-    /// Bulk messages that wait for it.
+    /// Bulk messages waiting for the byte budget.
     pub(super) waiting: VecDeque<Outgoing>,
 }
 
 impl Balancer {
-    /// One that has just started.
+    /// Creates a balancer that has just started.
     pub(super) fn new(
         id: u16,
         peers: u16,
@@ -45,21 +45,21 @@
         })
     }
 
-    /// The bulk message that may go now; it is charged for when it is sent.
+    /// Returns the next bulk message that the byte budget admits. The budget is charged on sending.
     pub(super) fn next_bulk(&mut self, now: Duration) -> Option<Outgoing> {
         let has_room = |bucket: &mut Bucket| bucket.has_room(now);
         let free = self.bucket.as_mut().is_none_or(has_room);
         free.then(|| self.waiting.pop_front()).flatten()
     }
 
-    /// Pins that it holds.
+    /// Number of pins that the balancer holds.
     pub(super) fn pins(&self) -> usize {
         let shards = 0..self.shards.count();
         shards.map(|index| self.shards.at(index).len()).sum()
     }
 }
 
-/// A balancer's settings: the others are its peers from the start.
+/// Builds the settings of a balancer, with all other balancers configured as its peers.
 fn settings(id: u16, peers: u16) -> String {
     use std::fmt::Write as _;
     let mut text = format!(
@@ -71,7 +71,7 @@
         "07".repeat(32)
     );
     for peer in (0..peers).filter(|peer| *peer != id) {
-        // Writing to a string can't fail.
+        // Writing to a `String` never fails.
         let _ = write!(
             text,
             "[peer.{peer}]\ncontrol = 10.9.0.{peer}:6081\ndata_centre = hervanta\n"
--- a/crates/bench/src/control/document.rs
+++ b/crates/bench/src/control/document.rs
@@ -6,16 +6,18 @@
     size::{Size, change},
 };
 
-/// Services at 15 servers each.
+/// Numbers of services to measure, with 15 backend servers each.
 const SERVICES: &[u32] = &[1, 9, 18, 36, 54];
-/// Servers of one service.
+/// Numbers of backend servers to measure, in a single service.
 const SERVERS: &[u32] = &[15, 60, 240, 960];
-/// Machines of the platform's list.
+/// Numbers of VMs to measure in the platform's list.
 const MACHINES: &[u16] = &[8, 390, 3_900];
-/// What a group of 8 balancers has at 3,900 balancers, 21,000 hosts and 3,900 addresses.
+/// Share of one group of 8 balancers in a deployment of 3,900 balancers, 21,000 hosts and 3,900
+/// addresses.
 const GROUP: (u32, u32) = (8, 6);
 
-/// Prints the sizes of both documents against services and servers, and of the list of VMs.
+/// Prints the sizes of the configuration and the tables by number of services and of backend
+/// servers, and the size of the platform's list of VMs.
 pub fn run() -> anyhow::Result<()> {
     machines()?;
     let one = |name: &'static str, values: &[u32], size: &dyn Fn(u32) -> Size| {
@@ -52,7 +54,7 @@
     })
 }
 
-/// The platform answers with the whole list, as JSON.
+/// Size of the platform's VM list, which it always returns whole, as JSON.
 fn machines() -> anyhow::Result<()> {
     let mut points = Vec::new();
     for &count in MACHINES {
@@ -75,7 +77,7 @@
     Ok(())
 }
 
-/// Bytes of the configuration and of the tables, as the store holds them.
+/// Sizes in bytes of the configuration and of the tables, as encoded in the store.
 fn measure(size: &Size) -> anyhow::Result<[usize; 2]> {
     let config = change(None, size.config(), 0)?;
     let situation = acacia_tables::Context {
--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -20,24 +20,24 @@
 };
 use crate::speed::{cpu, scene};
 
-/// Between two ticks, as in the daemon.
+/// Interval between two ticks, as in the daemon.
 const TICK: Duration = Duration::from_millis(50);
-/// Bytes of the length before a frame on TCP.
+/// Size of the length prefix of a frame on TCP, in bytes.
 pub const LENGTH: usize = 8;
-/// Bytes of TCP and IP headers of a segment: 20 (RFC 9293) + 12 of timestamps (RFC 7323) + 20
-/// (RFC 791).
+/// Size of a segment's TCP and IP headers in bytes: 20 (RFC 9293) + 12 for timestamps (RFC 7323) +
+/// 20 (RFC 791).
 pub const HEADERS: usize = 52;
-/// Bytes of payload in a segment on Ethernet: 1,500 less the headers.
+/// Payload of a full segment on Ethernet in bytes: the MTU of 1,500 less the headers.
 const SEGMENT: usize = 1_448;
-/// Unix time at the start.
+/// Unix time at the start of the simulation.
 const EPOCH: Duration = Duration::from_secs(1_800_000_000);
-/// Numbers of servers count from 1 in the order of the configuration: a server other than the
-/// base of most buckets.
+/// Backend server that all pins refer to. Servers are numbered from 1 in the order of the
+/// configuration, and this one is not the base server of most buckets.
 const PINNED_TO: u16 = 1;
-/// The address of the service whose first server the changes drain and put back.
+/// Address of the service whose first backend server the changes drain and return to service.
 const CHANGED: Ipv4Addr = Ipv4Addr::new(10, 77, 0, 0);
 
-/// Bytes on the network of a frame, its headers included.
+/// Returns the bytes that a frame takes on the network, including TCP and IP headers.
 ///
 /// ```
 /// use acacia_bench::control::fleet::wire;
@@ -50,23 +50,23 @@
     payload + payload.div_ceil(SEGMENT) * HEADERS
 }
 
-/// What control costs one balancer, on average.
+/// Average cost of the control plane per balancer.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
-    /// Heartbeats sent, in bytes a second, headers included.
+    /// Heartbeats sent, in bytes per second including headers.
     pub heartbeats: f64,
-    /// Urgent and bulk messages sent, in bytes a second, headers included.
+    /// Urgent and bulk messages sent, in bytes per second including headers.
     pub rest: f64,
-    /// TCP acknowledgements of what it receives, in bytes a second: at most one for each segment.
+    /// Upper bound of the TCP acknowledgements sent, in bytes per second: one per received segment.
     pub acks: f64,
-    /// Processor time, in microseconds a second.
+    /// CPU time, in microseconds per second.
     pub micros: f64,
-    /// Calls to the platform's store, by all balancers together, a second.
+    /// Calls per second to the platform's store, by all balancers together.
     pub calls: f64,
 }
 
 impl Cost {
-    /// All messages sent.
+    /// All messages sent, in bytes per second.
     #[must_use]
     pub fn sent(&self) -> f64 {
         self.heartbeats + self.rest
@@ -89,7 +89,7 @@
     }
 }
 
-/// Counts since the last reset, over all balancers.
+/// Counters since the last reset, summed over all balancers.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tally {
     since: Duration,
@@ -100,7 +100,7 @@
     processor: Duration,
 }
 
-/// Balancers joined by queues.
+/// Simulated group of balancers, connected by in-memory queues.
 pub struct Fleet {
     balancers: Vec<Balancer>,
     frames: VecDeque<(usize, Vec<u8>)>,
@@ -112,7 +112,7 @@
 }
 
 impl Fleet {
-    /// Balancers that have just started.
+    /// Creates a group whose balancers have just started.
     pub fn new(size: &Size, seed: u64) -> anyhow::Result<Self> {
         let config = size.config();
         let now = Duration::from_secs(1_000);
@@ -131,8 +131,8 @@
         })
     }
 
-    /// Gives each flow's two owners its pin, until each has about as many as wanted. Balancers that
-    /// have not joined yet would drop them again.
+    /// Adds pins at the two owners of each flow until every balancer holds about the configured number.
+    /// Call this after the balancers have joined; before that they would drop the pins.
     pub fn pin(&self, size: &Size, seed: u64) {
         let nodes: Vec<Node> = (0..size.peers)
             .map(|id| Node { id, incarnation: 0 })
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Lets bulk messages wait for the byte budget of `acacia_peer`, as in the daemon.
+    /// Limits bulk messages to the byte budget of `acacia_peer`, as in the daemon.
     pub fn keep_budget(&mut self) {
         let settings = acacia_peer::Settings::new(0, ([127, 0, 0, 1], 0).into(), 0);
         for own in &mut self.balancers {
@@ -170,8 +170,7 @@
         }
     }
 
-    /// Whether every balancer has tables in force in which the changed server is as the latest
-    /// change wants it.
+    /// Returns whether the latest change to the server is in force in the tables of every balancer.
     #[must_use]
     pub fn is_in_force(&self) -> bool {
         let wanted = match self.changed % 2 {
@@ -187,7 +186,7 @@
         views.all(|view| view.and_then(state) == Some(wanted))
     }
 
-    /// Forgets what was counted.
+    /// Resets the counters.
     pub fn reset(&mut self) {
         self.tally = Tally {
             since: self.now,
@@ -196,7 +195,7 @@
         };
     }
 
-    /// What control has cost since the last reset.
+    /// Returns the cost of the control plane since the last reset.
     #[must_use]
     pub fn cost(&self) -> Cost {
         let seconds = (self.now - self.tally.since).as_secs_f64();
@@ -210,7 +209,7 @@
         }
     }
 
-    /// Puts a new process in the place of the first balancer, which ends at once.
+    /// Stops the first balancer immediately and starts a new process in its place.
     pub fn replace(&mut self) -> anyhow::Result<()> {
         let first = &self.balancers[0];
         let (incarnation, peers) = (first.incarnation + 1_000_000, self.balancers.len() as u16);
@@ -218,7 +217,7 @@
         Ok(())
     }
 
-    /// Whether the owners' set is that of all balancers again, at every one of them.
+    /// Returns whether the owner set of every balancer contains all balancers again.
     #[must_use]
     pub fn is_steady(&self) -> bool {
         let views = self.balancers.iter().filter_map(|own| own.view.as_ref());
@@ -229,33 +228,33 @@
         steady.count() == self.balancers.len()
     }
 
-    /// Pins that a balancer holds, on average.
+    /// Returns the average number of pins per balancer.
     #[must_use]
     pub fn pins(&self) -> usize {
         let all: usize = self.balancers.iter().map(Balancer::pins).sum();
         all / self.balancers.len().max(1)
     }
 
-    /// Urgent and bulk bytes that all balancers together have sent since the last reset.
+    /// Returns the urgent and bulk bytes sent by all balancers since the last reset.
     #[must_use]
     pub fn rest(&self) -> usize {
         self.tally.rest
     }
 
-    /// How many balancers may serve.
+    /// Returns the number of balancers that are allowed to serve.
     #[must_use]
     pub fn serving(&self) -> usize {
         let serving = self.balancers.iter().filter(|own| own.view.is_some());
         serving.count()
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn run(&mut self, time: Duration, size: &Size) {
         let end = self.now + time;
         let begin = self.now;
         while self.now < end {
             self.now += TICK;
-            // The first after half of the time between two, so that their effects are counted.
+            // The first change comes after half an interval, so that the effects of all are measured.
             let due = |time: Duration| time.as_secs_f64() / 60.0 * f64::from(size.changes) + 0.5;
             if due(self.now - begin).floor() > due(self.now - begin - TICK).floor() {
                 self.change();
@@ -264,7 +263,7 @@
         }
     }
 
-    /// Puts a change into the store.
+    /// Writes a configuration change to the store.
     pub fn change(&mut self) {
         self.changed += 1;
         if let Ok(document) = change(Some(&self.store.config), self.config.clone(), self.changed) {
@@ -272,7 +271,7 @@
         }
     }
 
-    /// One tick of every balancer, with all messages and answers that come of it.
+    /// Runs one tick of every balancer and delivers all resulting messages and answers.
     fn turn(&mut self) {
         let answers = self.store.answers(self.now);
         let start = cpu::thread();
--- a/crates/bench/src/control/line.rs
+++ b/crates/bench/src/control/line.rs
@@ -3,18 +3,18 @@
 /// `intercept + slope * x`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Line {
-    /// Growth for each unit.
+    /// Growth per unit of `x`.
     pub slope: f64,
-    /// Value at nothing.
+    /// Value at `x = 0`.
     pub intercept: f64,
-    /// Part of the variance that the line explains (coefficient of determination), 0 to 1. Far
-    /// from 1, the figure doesn't grow in a straight line, or is noise.
+    /// Coefficient of determination (R²), 0 to 1. A value far below 1 means that the growth is not
+    /// linear or that the measurements are mostly noise.
     pub determined: f64,
 }
 
 impl Line {
-    /// The line of least squares through `points`; without a slope for fewer than two different
-    /// values of x.
+    /// Fits a line to `points` by least squares. The slope is 0 if there are fewer than two distinct
+    /// values of `x`.
     ///
     /// ```
     /// use acacia_bench::control::line::Line;
--- a/crates/bench/src/control/memory.rs
+++ b/crates/bench/src/control/memory.rs
@@ -1,9 +1,9 @@
 use anyhow::Context as _;
 
-/// Bytes of a page on the machines that the product runs on.
+/// Size in bytes of a memory page on the supported machines.
 const PAGE: u64 = 4_096;
 
-/// Bytes of this process that are in memory (`/proc/self/statm`, second field).
+/// Returns the resident memory of this process in bytes (`/proc/self/statm`, second field).
 ///
 /// ```
 /// assert!(acacia_bench::control::memory::resident().unwrap() > 0);
--- a/crates/bench/src/control/replace.rs
+++ b/crates/bench/src/control/replace.rs
@@ -2,15 +2,15 @@
 
 use super::{FLAGGING, JOINING, fleet::Fleet, line::Line, size::Size};
 
-/// Pins of each balancer.
+/// Pins held by each balancer.
 const PINS: &[u32] = &[0, 2_500, 5_000, 10_000, 20_000];
-/// Between two looks whether the new balancer owns flows.
+/// Interval at which the run checks whether the new balancer owns flows.
 const LOOK: Duration = Duration::from_millis(250);
-/// After this long a replacement counts as failed.
+/// Time after which a replacement counts as failed.
 const PATIENCE: Duration = Duration::from_secs(1_800);
 
-/// Ends one balancer of eight without notice and starts another in its place. Prints what the
-/// others send it, and how long it takes until it owns flows and everybody knows.
+/// Stops one of eight balancers without a graceful shutdown and starts another in its place. Prints
+/// the bytes that the others send to it and the time until it owns flows and all balancers know it.
 pub fn run(seed: u64) -> anyhow::Result<()> {
     let mut points = Vec::new();
     for &pins in PINS {
--- a/crates/bench/src/control/size.rs
+++ b/crates/bench/src/control/size.rs
@@ -5,7 +5,7 @@
     document::{Document, Draft, Id},
 };
 
-/// The dimensions with their points.
+/// Dimensions and the values measured in each.
 pub const DIMENSIONS: &[(&str, &[u32])] = &[
     ("peers", &[2, 4, 8, 16, 32, 64]),
     ("servers", &[4, 15, 30, 60, 120, 240]),
@@ -14,18 +14,18 @@
     ("changes", &[0, 1, 2, 6, 12]),
 ];
 
-/// What is controlled.
+/// Size of the simulated group and of its configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size {
-    /// Balancers of the group.
+    /// Number of balancers in the group.
     pub peers: u16,
-    /// Backend servers of each service.
+    /// Backend servers per service.
     pub servers: u32,
-    /// Services.
+    /// Number of services.
     pub services: u32,
-    /// Pins that each balancer holds, as first or second owner.
+    /// Pins held by each balancer as first or second owner.
     pub pins: u32,
-    /// Changes of the configuration a minute.
+    /// Configuration changes per minute.
     pub changes: u32,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Size {
-    /// The same with another value in the dimension of that name.
+    /// Returns a copy with the named dimension set to another value.
     #[must_use]
     pub fn with(mut self, dimension: &str, value: u32) -> Self {
         match dimension {
@@ -55,7 +55,7 @@
         self
     }
 
-    /// The configuration: services of equal size.
+    /// Builds the configuration, whose services all have the same number of backend servers.
     #[must_use]
     pub fn config(&self) -> Config {
         let mut config = Config::default();
@@ -85,8 +85,8 @@
     }
 }
 
-/// The document that follows `before`: change `number` drains the first service's first server, or
-/// puts it back to work.
+/// Applies change `number` to the configuration `before`: alternately drains the first backend
+/// server of the first service and returns it to service.
 pub fn change(
     before: Option<&Document>,
     mut config: Config,
--- a/crates/bench/src/control/spread.rs
+++ b/crates/bench/src/control/spread.rs
@@ -2,7 +2,7 @@
 
 use super::{JOINING, fleet::Fleet, size::Size};
 
-/// Balancers, services, servers of each.
+/// Numbers of balancers, of services and of backend servers per service.
 const SIZES: &[(u16, u32, u32)] = &[
     (8, 8, 6),
     (8, 4, 15),
@@ -11,17 +11,17 @@
     (16, 8, 6),
     (64, 8, 6),
 ];
-/// Between two changes of a burst.
+/// Interval between two changes of a burst.
 const APART: Duration = Duration::from_secs(2);
-/// A tick: the least that can be told apart.
+/// Duration of one tick, which is the resolution of the measurement.
 const LOOK: Duration = Duration::from_millis(50);
-/// A change that takes longer counts as one that never spreads.
+/// Time after which a change counts as never in force.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Puts a change into the store after a quiet time, and three more 2 s apart; prints how long the
-/// first and the last take to be in force everywhere, with the connections' byte budget, and how long
-/// one takes without. Calls to
-/// the store and messages take a tick at most, so this is the least that the mechanism needs.
+/// Writes one configuration change to the store after an idle period, then three more 2 s apart.
+/// Prints the time until the first and the last are in force on every balancer with the byte budget
+/// of the connections, and the time that a single change takes without the budget. Store calls and
+/// messages take at most one tick, so the results are lower bounds.
 pub fn run(seed: u64) -> anyhow::Result<()> {
     for &(peers, services, servers) in SIZES {
         let size = Size {
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-/// Seconds until the latest change is in force everywhere.
+/// Seconds until the latest change is in force on every balancer.
 fn wait(fleet: &mut Fleet, size: &Size) -> String {
     let mut passed = Duration::ZERO;
     while !fleet.is_in_force() {
--- a/crates/bench/src/control/store.rs
+++ b/crates/bench/src/control/store.rs
@@ -4,10 +4,10 @@
 use acacia_node::control::{agreement, platform};
 use acacia_tables::writer;
 
-/// How long the client lets a watch wait for something new (`acacia_platform::Options`).
+/// Timeout that the client sets for a watch (`acacia_platform::Options`).
 const WATCH: Duration = Duration::from_secs(2);
 
-/// A call that waits.
+/// Call that has not been answered yet.
 #[derive(Debug)]
 struct Waiting {
     by: usize,
@@ -15,19 +15,19 @@
     order: agreement::Call,
 }
 
-/// The platform's store: two keys, compare-and-swap, watches that wait.
+/// In-memory model of the platform's store: two keys, compare-and-swap and long-polling watches.
 #[derive(Debug)]
 pub struct Store {
-    /// The configuration.
+    /// Stored configuration.
     pub config: Arc<Document>,
     tables: agreement::Entry,
     waiting: Vec<Waiting>,
-    /// Calls taken since the start.
+    /// Number of calls received since the start.
     pub calls: u64,
 }
 
 impl Store {
-    /// A store with a configuration and no tables yet.
+    /// Creates a store that holds a configuration and no tables.
     #[must_use]
     pub fn new(config: Arc<Document>) -> Self {
         Store {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes a call of the balancer at place `by`. Answers come from [`Store::answers`].
+    /// Accepts a call from the balancer at index `by`. [`Store::answers`] returns the answer.
     pub fn call(&mut self, by: usize, order: agreement::Call, now: Duration) {
         self.calls += 1;
         let same = |waiting: &Waiting| {
@@ -56,7 +56,7 @@
         });
     }
 
-    /// What can be answered now, and to whom.
+    /// Returns the answers that are available now, each with the balancer that it goes to.
     pub fn answers(&mut self, now: Duration) -> Vec<(usize, platform::Event)> {
         let mut answers = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
