--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,5 +1,5 @@
-//! The measuring program: each subcommand prints one line of `key=value` pairs per case and
-//! policy, so that figures of one run can be set beside each other.
+//! Benchmarks: each subcommand prints one line of `key=value` pairs per case and policy, so that the
+//! results of a run can be compared.
 
 pub mod balance;
 pub mod control;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -9,13 +9,13 @@
     about = "Measures acaciatrack's own decisions"
 )]
 enum Command {
-    /// Decisions a second, bytes a flow, packets a second forwarded.
+    /// Decisions per second, bytes of state per flow, packets forwarded per second.
     Speed(acacia_bench::speed::Options),
-    /// Broken flows under change and failure, by policy.
+    /// Broken flows during changes and failures, by policy.
     Flows(acacia_bench::flows::Options),
-    /// Imbalance, answer times and refusals under load, by policy.
+    /// Imbalance, response times and refused connections under load, by policy.
     Balance(acacia_bench::balance::Options),
-    /// Control bytes, processor time and memory against size.
+    /// Control traffic, CPU time and memory by deployment size.
     Control(acacia_bench::control::Options),
 }
 
--- a/crates/bench/src/speed.rs
+++ b/crates/bench/src/speed.rs
@@ -1,48 +1,48 @@
-//! Subcommand `speed`: what one packet costs a traffic thread, from the decision alone to a
-//! datagram forwarded.
+//! Subcommand `speed`: CPU cost per packet on a traffic thread, from the forwarding decision alone
+//! to the complete forwarding of a datagram.
 
-/// Decisions where packets carry a cookie.
+/// Forwarding decisions for packets that carry a cookie.
 pub mod cookie;
-/// Processor time of the calling thread.
+/// CPU time of the calling thread.
 pub mod cpu;
-/// Decisions without sockets.
+/// Forwarding decisions without sockets.
 pub mod decide;
-/// Datagrams through the worker's sockets, beside a bare echo.
+/// Forwarding of datagrams through the worker's sockets, compared with a minimal forwarder.
 pub mod forward;
-/// Services, balancers, flows and packets.
+/// Services, balancers, flows and packets that the measurements use.
 pub mod scene;
-/// Several threads on the same state.
+/// Forwarding decisions by several threads on shared state.
 pub mod shared;
 
-/// What to run.
+/// Command-line options of `speed`.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Seeds, one run each.
+    /// Random seeds; each case runs once per seed.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     pub seeds: Vec<u64>,
-    /// Cases whose names begin so; all if none is named.
+    /// Prefixes of the names of the cases to run; all if none is given.
     #[arg(long, value_delimiter = ',')]
     pub cases: Vec<String>,
-    /// Open flows.
+    /// Number of open flows.
     #[arg(long, default_value_t = 300_000)]
     pub flows: usize,
-    /// Measurements of each case.
+    /// Number of measurements per case.
     #[arg(long, default_value_t = 5)]
     pub rounds: usize,
-    /// Milliseconds of each measurement over sockets.
+    /// Duration of each measurement over sockets, in milliseconds.
     #[arg(long, default_value_t = 400)]
     pub millis: u64,
 }
 
 impl Options {
-    /// Whether a case is to be run.
+    /// Returns whether the options select a case.
     #[must_use]
     pub fn wants(&self, case: &str) -> bool {
         self.cases.is_empty() || self.cases.iter().any(|name| case.starts_with(&**name))
     }
 }
 
-/// Runs the cases and prints their lines.
+/// Runs the selected cases and prints one line for each.
 pub fn run(options: &Options) -> anyhow::Result<()> {
     for &seed in &options.seeds {
         cookie::run(options, seed);
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-/// The middle one of some measurements, with the least and the most.
+/// Returns the median, the minimum and the maximum of some measurements, all NaN if there are none.
 ///
 /// ```
 /// assert_eq!(acacia_bench::speed::spread(vec![3.0, 1.0, 2.0]), [2.0, 1.0, 3.0]);
--- a/crates/bench/src/speed/cookie.rs
+++ b/crates/bench/src/speed/cookie.rs
@@ -19,17 +19,18 @@
 
 use super::{Options, cpu, spread};
 
-/// Open flows of a balancer at the largest deployment.
+/// Open flows per balancer in the largest deployment.
 const FLOWS: u32 = 10_000;
-/// Packets of one measurement.
+/// Packets in one measurement.
 const PACKETS: u32 = 200_000;
-/// Where all flows go.
+/// Destination of all flows.
 const FRONT: Front = Front {
     address: Ipv4Addr::new(198, 18, 0, 1),
     port: 443,
 };
 
-/// Measures decisions where packets carry a cookie, before 15 and 150 servers of one service.
+/// Measures decisions for packets that carry a cookie, with 15 and with 150 backend servers in one
+/// service.
 pub fn run(options: &Options, seed: u64) {
     for servers in [15, 150] {
         let case = format!("cookie-{servers}");
@@ -43,14 +44,14 @@
         let mut shown = format!("speed case={case} seed={seed} flows={FLOWS}");
         for (name, values) in [("opening", openings), ("packet", packets), ("line", lines)] {
             let [middle, least, most] = spread(values);
-            // Writing into a string can't fail.
+            // Writing to a `String` never fails.
             let _ = write!(shown, " {name}_ns={middle:.0} ({least:.0} to {most:.0})");
         }
         println!("{shown}");
     }
 }
 
-/// Nanoseconds of an opening, and of a packet in mid-flow.
+/// Nanoseconds per opening packet and per mid-flow packet.
 fn measure(snapshot: &Snapshot) -> (f64, f64) {
     let mut resolver = Resolver::default();
     let mut cookies = Vec::with_capacity(FLOWS as usize);
@@ -77,14 +78,14 @@
     (opening, per(cpu::thread().saturating_sub(start), PACKETS))
 }
 
-/// Nanoseconds of the text of one line of the log, as it is made for each opening.
+/// Nanoseconds for formatting the log line that is written for each opened flow.
 fn line() -> f64 {
     let mut text = String::new();
     let start = cpu::thread();
     for number in 0..PACKETS {
         text.clear();
         let (address, port) = (Ipv4Addr::from_bits(number), number % 60_000);
-        // Writing into a string can't fail.
+        // Writing to a `String` never fails.
         let _ = write!(
             text,
             "event=flow-opened caller={address}:{port} to={}:{} server=i-7f3a91c2 \
--- a/crates/bench/src/speed/cpu.rs
+++ b/crates/bench/src/speed/cpu.rs
@@ -2,8 +2,8 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Processor time that the calling thread has used. Unlike the time of day it leaves out what
-/// other processes of the machine take meanwhile.
+/// Returns the CPU time that the calling thread has used. Unlike wall-clock time, it excludes the
+/// time in which other processes run.
 ///
 /// ```
 /// let earlier = acacia_bench::speed::cpu::thread();
--- a/crates/bench/src/speed/decide.rs
+++ b/crates/bench/src/speed/decide.rs
@@ -17,14 +17,16 @@
 
 use super::{Options, cpu, scene, spread};
 
-/// Shards of the daemon.
+/// Number of shards, as in the daemon.
 const SHARDS: usize = 16;
-/// New flows of one measurement: below the room for openings of all shards.
+/// New flows in one measurement. Stays below the number of opening flows that all shards together
+/// can hold.
 const NEW: usize = 100_000;
-/// Packets with real bytes; their buffers stay in the processor's caches as those of a batch do.
+/// Packets in the cases that encode or decode bytes. Few enough for their buffers to stay in the
+/// CPU caches, as the buffers of a receive batch do.
 const PACKETS: usize = 4_096;
 
-/// What came of the decisions of one measurement.
+/// Counts of the decisions in one measurement, by action.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tally {
     forwarded: u64,
@@ -42,7 +44,7 @@
     }
 }
 
-/// One balancer's state.
+/// State of one balancer.
 struct Node {
     snapshot: Snapshot,
     shards: Shards,
@@ -80,7 +82,7 @@
     }
 }
 
-/// The header under which another balancer asks this one.
+/// Header with which another balancer redirects a packet here for a decision.
 fn question() -> Redirect {
     Redirect {
         purpose: Purpose::Resolve,
@@ -92,7 +94,7 @@
     }
 }
 
-/// A balancer whose flows all have pins and are beyond their openings.
+/// Creates a balancer that holds a pin for every flow, each past its opening packet.
 fn pinned(keys: &[Key]) -> Node {
     let node = Node::new(true);
     let asked = Arrival::Redirected(question());
@@ -103,7 +105,7 @@
     node
 }
 
-/// Runs the cases and prints their lines.
+/// Runs the selected cases and prints one line for each.
 pub fn run(options: &Options, seed: u64) -> anyhow::Result<()> {
     let owned = scene::keys(seed, options.flows, true);
     let others = scene::keys(seed, options.flows, false);
@@ -141,7 +143,7 @@
     report.encode(&owned)
 }
 
-/// Prints measurements.
+/// Runs measurements and prints their results.
 struct Report<'a> {
     options: &'a Options,
     seed: u64,
@@ -169,7 +171,7 @@
         );
     }
 
-    /// The same packets over and over at a balancer that knows their flows.
+    /// Measures repeated decisions on the same packets, after a first pass that is not measured.
     fn repeat(
         &self,
         case: &str,
@@ -180,7 +182,7 @@
         if !self.options.wants(case) {
             return Ok(());
         }
-        // The first pass fills the processor's caches as far as they hold the state.
+        // The first pass warms up the CPU caches, as far as the state fits into them.
         let tally = node.pass(packets, arrival);
         anyhow::ensure!(tally.other == 0, "{case}: {} packets dropped", tally.other);
         let measure = |_| {
@@ -194,7 +196,7 @@
         Ok(())
     }
 
-    /// Openings at an owner that knows none of their flows.
+    /// Measures the opening packets of new flows at an owner that has no state for them.
     fn fresh(&self, case: &str, packets: &[Packet], arrival: Arrival) -> anyhow::Result<()> {
         if !self.options.wants(case) {
             return Ok(());
@@ -212,7 +214,7 @@
         Ok(())
     }
 
-    /// From a datagram's bytes to the decision.
+    /// Measures decoding a datagram and deciding on its packet.
     fn bytes(&self, case: &str, node: &Node, keys: &[Key], redirected: bool) -> anyhow::Result<()> {
         if !self.options.wants(case) {
             return Ok(());
@@ -242,7 +244,7 @@
         Ok(())
     }
 
-    /// A redirect header before a packet, into a buffer that is used again.
+    /// Measures encoding a redirect header and a packet into a reused buffer.
     fn encode(&self, keys: &[Key]) -> anyhow::Result<()> {
         let case = "encode_redirect";
         if !self.options.wants(case) {
@@ -272,7 +274,7 @@
     }
 }
 
-/// Nanoseconds of this thread's processor time for each of `count` steps since `start`.
+/// Nanoseconds of CPU time of this thread since `start`, per each of `count` steps.
 fn nanos(start: std::time::Duration, count: usize) -> f64 {
     (cpu::thread() - start).as_nanos() as f64 / count as f64
 }
--- a/crates/bench/src/speed/forward.rs
+++ b/crates/bench/src/speed/forward.rs
@@ -21,16 +21,16 @@
 
 use super::{Options, cpu, scene, spread};
 
-/// Flows whose packets go round.
+/// Flows whose packets the generator sends in turn.
 const FLOWS: usize = 4_096;
-/// Receive buffer, as the daemon's.
+/// Size of the receive buffer in bytes, as in the daemon.
 const BUFFER: usize = 4 << 20;
-/// The longest that a thread waits for packets.
+/// Longest time that a thread waits for packets.
 const LOOK: Duration = Duration::from_millis(20);
-/// Packets lost by the first batches on cold caches are not measured.
+/// Warm-up time, so that packets lost by the first batches on cold caches are not measured.
 const WARM: Duration = Duration::from_millis(50);
 
-/// What one measurement gave.
+/// Result of one measurement.
 #[derive(Debug, Clone, Copy)]
 struct Rate {
     packets: u64,
@@ -39,7 +39,7 @@
 }
 
 impl Rate {
-    /// Packets for each second of processor time of the thread that forwards.
+    /// Packets per second of CPU time of the forwarding thread.
     fn per_second(&self) -> f64 {
         self.packets as f64 / self.processor.as_secs_f64()
     }
@@ -49,7 +49,8 @@
     }
 }
 
-/// Runs the cases and prints their lines: the worker and the bare echo take turns.
+/// Runs the selected cases and prints one line for each. Measurements of the worker alternate with
+/// those of the minimal forwarder.
 pub fn run(options: &Options, seed: u64) -> anyhow::Result<()> {
     for (case, flagged) in [("forward_base", false), ("forward_redirect", true)] {
         if !options.wants(case) {
@@ -90,12 +91,13 @@
     Ok(())
 }
 
-/// A thread that forwards until it is told to stop, and gives how many datagrams.
+/// Function that forwards datagrams until it is told to stop and returns their number.
 type Forwarder<'a> =
     &'a (dyn Fn(&UdpSocket, SocketAddrV4, &AtomicBool) -> std::io::Result<u64> + Sync);
 
-/// Sends packets as fast as one thread can to one that forwards them to a socket nobody reads:
-/// the kernel drops what doesn't fit there, for the worker's datagrams as for the echo's.
+/// Sends packets at the full speed of one thread to a thread that forwards them to a socket without
+/// a reader. The kernel drops what exceeds that socket's buffer, equally for the worker and for the
+/// minimal forwarder.
 fn measure(
     packets: &[Vec<u8>],
     duration: Duration,
@@ -131,7 +133,7 @@
 
 fn bind() -> anyhow::Result<(UdpSocket, SocketAddrV4)> {
     let socket = UdpSocket::bind((Ipv4Addr::new(127, 0, 0, 1), 0))?;
-    // The system may grant less.
+    // The kernel may grant a smaller buffer.
     let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(BUFFER);
     socket.set_read_timeout(Some(LOOK))?;
     match socket.local_addr()? {
@@ -153,7 +155,7 @@
     Ok(())
 }
 
-/// The least that a forwarder of datagrams can do with the same calls.
+/// Minimal forwarder: the least work that forwards datagrams with the same system calls.
 fn bare(socket: &UdpSocket, sink: SocketAddrV4, stop: &AtomicBool) -> std::io::Result<u64> {
     let (mut received, mut batch) = (Received::default(), ToSend::default());
     let mut packets = 0;
@@ -184,7 +186,7 @@
     let published = Published::default();
     published.store(Some(Arc::new(view)));
     let counter = Arc::new(Counter::default());
-    // Notices go nowhere; a full queue loses them as in the daemon.
+    // Nothing reads the notices; a full queue drops them, as in the daemon.
     let (notices, _kept) = crossbeam_channel::bounded(1);
     let (counts, _kept_counts) = crossbeam_channel::bounded(1);
     let context = worker::Context {
--- a/crates/bench/src/speed/scene.rs
+++ b/crates/bench/src/speed/scene.rs
@@ -16,23 +16,23 @@
 };
 use etherparse::PacketBuilder;
 
-/// Balancers, as in today's fleet.
+/// Number of balancers, as in the current fleet.
 pub const BALANCERS: u16 = 8;
-/// Services.
+/// Number of services.
 const SERVICES: u8 = 9;
-/// Backend servers of each service.
+/// Backend servers per service.
 pub const SERVERS: u16 = 15;
-/// The time of every decision, in milliseconds.
+/// Time in milliseconds at which all decisions are made.
 pub const NOW: u64 = 1_000_000;
-/// Bytes of payload in a packet in mid-flow: a short request.
+/// Payload of a mid-flow packet in bytes: a short request.
 const PAYLOAD: usize = 200;
-/// The caller's initial sequence number.
+/// Initial sequence number of the client.
 const ISN: u32 = 7;
 
-/// The balancer that is measured.
+/// Identifier of the balancer that is measured.
 pub const ME: u16 = 0;
 
-/// Where callers reach service `number`.
+/// Returns the address at which clients reach service `number`.
 #[must_use]
 pub fn address(number: u8) -> Address {
     Address {
@@ -42,12 +42,13 @@
     }
 }
 
-/// All services' addresses.
+/// Returns the addresses of all services.
 pub fn addresses() -> impl Iterator<Item = Address> {
     (0..SERVICES).map(address)
 }
 
-/// Flow `index` of a seed's flows. Callers of all services come from everywhere.
+/// Returns the key of flow `index` for a seed. Client addresses are spread over the same range for
+/// all services.
 #[must_use]
 pub fn key(seed: u64, index: usize) -> Key {
     let draw = mix(mix(seed) ^ index as u64);
@@ -60,7 +61,7 @@
     }
 }
 
-/// The first `count` flows that the measured balancer owns, or those that it does not own.
+/// Returns the first `count` flows that the measured balancer owns, or that it does not own.
 #[must_use]
 pub fn keys(seed: u64, count: usize, owned: bool) -> Vec<Key> {
     let nodes = nodes();
@@ -76,7 +77,8 @@
     (0..BALANCERS).map(node).collect()
 }
 
-/// What the measured balancer knows: all is well, and all buckets are flagged or none is.
+/// Returns the snapshot of the measured balancer: all balancers are healthy, and either all buckets
+/// are flagged or none.
 #[must_use]
 pub fn snapshot(flagged: bool) -> Snapshot {
     let set: Arc<[Node]> = nodes().into();
@@ -109,7 +111,7 @@
 fn entry(address: Address, flagged: bool) -> Entry {
     let weights: Vec<(u16, u32)> = (1..=SERVERS).map(|server| (server, 1)).collect();
     let base: Arc<[u16]> = build(BUCKETS, &weights, &[]).into();
-    // Flows are off their base: every bucket is to go to the next server.
+    // Moves every bucket to the next server, so that new flows are off their base.
     let off = |server: &u16| server % SERVERS + 1;
     let next = match flagged {
         true => base.iter().map(off).collect(),
@@ -145,7 +147,7 @@
     }
 }
 
-/// The packet that opens a flow.
+/// Returns the packet that opens a flow.
 #[must_use]
 pub fn opening(key: &Key) -> Packet {
     Packet {
@@ -157,7 +159,7 @@
     }
 }
 
-/// A packet in mid-flow.
+/// Returns a mid-flow packet.
 #[must_use]
 pub fn middle(key: &Key) -> Packet {
     Packet {
@@ -169,7 +171,7 @@
     }
 }
 
-/// The bytes of a packet in mid-flow, as the fabric hands it over.
+/// Returns the bytes of a mid-flow packet, as the network fabric delivers it.
 pub fn bytes(key: &Key) -> anyhow::Result<Vec<u8>> {
     let builder = PacketBuilder::ipv4(key.client.octets(), key.service.octets(), 60)
         .tcp(key.client_port, key.service_port, ISN + 1, 4_096)
@@ -179,7 +181,7 @@
     Ok(bytes)
 }
 
-/// The balancers' key.
+/// Returns the key that the balancers share.
 #[must_use]
 pub fn secret() -> Secret {
     Secret::new(&[7; 32], None)
--- a/crates/bench/src/speed/shared.rs
+++ b/crates/bench/src/speed/shared.rs
@@ -7,15 +7,15 @@
 
 use super::{Options, cpu, scene, spread};
 
-/// Threads that share shards and counts.
+/// Numbers of threads that share the shards and counters.
 const THREADS: &[usize] = &[1, 2, 4];
-/// Shards of the daemon.
+/// Number of shards, as in the daemon.
 const SHARDS: usize = 16;
-/// Passes over a thread's flows in one measurement.
+/// Passes over the flows of a thread in one measurement.
 const PASSES: usize = 4;
 
-/// What the traffic threads share is measured without sockets: decisions on base with and without
-/// the counts that the worker keeps for each packet.
+/// Measures the state shared by the traffic threads, without sockets: decisions for flows on their
+/// base server, with and without the per-packet counters of the worker.
 pub fn run(options: &Options, seed: u64) -> anyhow::Result<()> {
     for (case, counted) in [("shared_decide", false), ("shared_decide_count", true)] {
         if !options.wants(case) {
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-/// Nanoseconds of processor time a packet, over all threads.
+/// Nanoseconds of CPU time per packet, over all threads.
 fn measure(packets: &[Packet], threads: usize, counted: bool) -> anyhow::Result<f64> {
     let snapshot = scene::snapshot(false);
     let shards = Shards::new(SHARDS, Limits::default());
--- a/crates/bench/tests/it/control.rs
+++ b/crates/bench/tests/it/control.rs
@@ -7,7 +7,8 @@
 };
 use rstest::rstest;
 
-/// Worked out by hand: the sums of squares are 5 (x), 4 (both) and 5 (y).
+/// Expected values are calculated by hand from the sums of squares, 5 (x) and 5 (y), and of
+/// products, 4.
 #[test]
 fn a_line_through_scattered_points_is_that_of_least_squares() {
     let line = Line::fit([(0.0, 1.0), (1.0, 3.0), (2.0, 2.0), (3.0, 4.0)]);
@@ -24,7 +25,7 @@
     assert_eq!((line.slope, line.intercept), (0.0, mean));
 }
 
-/// A segment's headers count once for each 1,448 bytes of what is sent.
+/// Headers count once per segment, that is, for each 1,448 bytes of frame and length prefix.
 #[rstest]
 #[case(0, 60)]
 #[case(1_440, 1_500)]
@@ -44,7 +45,7 @@
     assert_eq!(fleet.serving(), 3);
     assert!(cost.heartbeats > 0.0);
     assert_eq!(cost.rest, 0.0);
-    // Two watchers, a watch of 2 s for each of the two keys.
+    // Two balancers watch the store, each with one watch of 2 s on each of the two keys.
     assert!((cost.calls - 2.0).abs() < 0.5, "{cost}");
     Ok(())
 }
--- a/crates/bench/tests/it/main.rs
+++ b/crates/bench/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of what the measuring program computes.
+//! Tests of the calculations and simulations behind the benchmarks.
 
 mod control;
 mod speed;
--- a/crates/bench/tests/it/speed.rs
+++ b/crates/bench/tests/it/speed.rs
@@ -14,7 +14,8 @@
     assert_ne!(scene::keys(3, 50, true), scene::keys(4, 50, true));
 }
 
-/// Were the flows' owners mixed up, the cases would measure something else than their names say.
+/// Guards against `scene::keys` returning flows of the wrong owner: the cases would then measure
+/// the other path than the one in their names.
 #[test]
 fn openings_off_base_stay_with_their_owner_only() {
     let snapshot = scene::snapshot(true);
