--- a/crates/bench/src/control/line.rs
+++ b/crates/bench/src/control/line.rs
@@ -9,7 +9,7 @@
     pub intercept: f64,
     /// Coefficient of determination (R²), 0 to 1. A value far below 1 means that the growth is not
     /// linear or that the measurements are mostly noise.
-    pub determined: f64,
+    pub r_squared: f64,
 }
 
 impl Line {
@@ -19,7 +19,7 @@
     /// ```
     /// use acacia_bench::control::line::Line;
     /// let line = Line::fit([(0.0, 1.0), (1.0, 3.0), (2.0, 5.0)]);
-    /// assert_eq!((line.slope, line.intercept, line.determined), (2.0, 1.0, 1.0));
+    /// assert_eq!((line.slope, line.intercept, line.r_squared), (2.0, 1.0, 1.0));
     /// ```
     #[must_use]
     pub fn fit(points: impl IntoIterator<Item = (f64, f64)>) -> Self {
@@ -36,7 +36,7 @@
         Line {
             slope,
             intercept: mean_y - slope * mean_x,
-            determined: if yy > 0.0 { slope * xy / yy } else { 1.0 },
+            r_squared: if yy > 0.0 { slope * xy / yy } else { 1.0 },
         }
     }
 }
@@ -46,11 +46,11 @@
         let Line {
             slope,
             intercept,
-            determined,
+            r_squared,
         } = self;
         write!(
             f,
-            "slope={slope:.4} intercept={intercept:.2} r2={determined:.3}"
+            "slope={slope:.4} intercept={intercept:.2} r2={r_squared:.3}"
         )
     }
 }
--- a/crates/bench/tests/it/control.rs
+++ b/crates/bench/tests/it/control.rs
@@ -14,7 +14,7 @@
     let line = Line::fit([(0.0, 1.0), (1.0, 3.0), (2.0, 2.0), (3.0, 4.0)]);
     assert!((line.slope - 0.8).abs() < 1e-12);
     assert!((line.intercept - 1.3).abs() < 1e-12);
-    assert!((line.determined - 0.64).abs() < 1e-12);
+    assert!((line.r_squared - 0.64).abs() < 1e-12);
 }
 
 #[rstest]
