--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -40,12 +40,12 @@
 /// Returns the bytes that a frame takes on the network, including TCP and IP headers.
 ///
 /// ```
-/// use acacia_bench::control::fleet::wire;
-/// assert_eq!(wire(100), 100 + 8 + 52);
-/// assert_eq!(wire(2_000), 2_000 + 8 + 2 * 52);
+/// use acacia_bench::control::fleet::wire_size;
+/// assert_eq!(wire_size(100), 100 + 8 + 52);
+/// assert_eq!(wire_size(2_000), 2_000 + 8 + 2 * 52);
 /// ```
 #[must_use]
-pub fn wire(frame: usize) -> usize {
+pub fn wire_size(frame: usize) -> usize {
     let payload = frame + LENGTH;
     payload + payload.div_ceil(SEGMENT) * HEADERS
 }
@@ -327,7 +327,7 @@
             body: postcard::to_allocvec(&outgoing.message).ok(),
         };
         let frame = seal(&envelope, &payload, &scene::secret());
-        let bytes = wire(frame.len());
+        let bytes = wire_size(frame.len());
         if let Some(bucket) = &mut own.bucket {
             bucket.charge(frame.len() + LENGTH);
         }
--- a/crates/bench/tests/it/control.rs
+++ b/crates/bench/tests/it/control.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use acacia_bench::control::{
-    fleet::{Fleet, wire},
+    fleet::{Fleet, wire_size},
     line::Line,
     size::Size,
 };
@@ -31,7 +31,7 @@
 #[case(1_440, 1_500)]
 #[case(1_441, 1_553)]
 fn a_frame_takes_headers_for_each_segment(#[case] frame: usize, #[case] bytes: usize) {
-    assert_eq!(wire(frame), bytes);
+    assert_eq!(wire_size(frame), bytes);
 }
 
 #[test]
