--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -163,7 +163,7 @@
     }
 
     /// Limits bulk messages to the byte budget of `acacia_peer`, as in the daemon.
-    pub fn keep_budget(&mut self) {
+    pub fn enforce_byte_budget(&mut self) {
         let settings = acacia_peer::Settings::new(0, ([127, 0, 0, 1], 0).into(), 0);
         for own in &mut self.balancers {
             own.bucket = Some(Bucket::new(settings.rate, settings.burst, self.now));
--- a/crates/bench/src/control/spread.rs
+++ b/crates/bench/src/control/spread.rs
@@ -35,7 +35,7 @@
         fleet.change();
         let unlimited = wait(&mut fleet, &size);
         fleet.run(JOINING, &size);
-        fleet.keep_budget();
+        fleet.enforce_byte_budget();
         fleet.change();
         let first = wait(&mut fleet, &size);
         fleet.run(JOINING, &size);
