--- a/crates/bench/src/speed.rs
+++ b/crates/bench/src/speed.rs
@@ -56,10 +56,10 @@
 /// Returns the median, the minimum and the maximum of some measurements, all NaN if there are none.
 ///
 /// ```
-/// assert_eq!(acacia_bench::speed::spread(vec![3.0, 1.0, 2.0]), [2.0, 1.0, 3.0]);
+/// assert_eq!(acacia_bench::speed::median_and_range(vec![3.0, 1.0, 2.0]), [2.0, 1.0, 3.0]);
 /// ```
 #[must_use]
-pub fn spread(mut values: Vec<f64>) -> [f64; 3] {
+pub fn median_and_range(mut values: Vec<f64>) -> [f64; 3] {
     values.sort_by(f64::total_cmp);
     match values.as_slice() {
         [] => [f64::NAN; 3],
--- a/crates/bench/src/speed/cookie.rs
+++ b/crates/bench/src/speed/cookie.rs
@@ -17,7 +17,7 @@
     packet::{Kind, Packet},
 };
 
-use super::{Options, cpu, spread};
+use super::{Options, cpu, median_and_range};
 
 /// Open flows per balancer in the largest deployment.
 const FLOWS: u32 = 10_000;
@@ -43,7 +43,7 @@
         let lines = (0..options.rounds).map(|_| line()).collect();
         let mut shown = format!("speed case={case} seed={seed} flows={FLOWS}");
         for (name, values) in [("opening", openings), ("packet", packets), ("line", lines)] {
-            let [middle, least, most] = spread(values);
+            let [middle, least, most] = median_and_range(values);
             // Writing to a `String` never fails.
             let _ = write!(shown, " {name}_ns={middle:.0} ({least:.0} to {most:.0})");
         }
--- a/crates/bench/src/speed/decide.rs
+++ b/crates/bench/src/speed/decide.rs
@@ -15,7 +15,7 @@
 };
 use anyhow::Context as _;
 
-use super::{Options, cpu, scene, spread};
+use super::{Options, cpu, median_and_range, scene};
 
 /// Number of shards, as in the daemon.
 const SHARDS: usize = 16;
@@ -159,7 +159,7 @@
     }
 
     fn line(&self, case: &str, flows: usize, nanos: Vec<f64>, state: f64, tally: Tally) {
-        let [median, least, most] = spread(nanos);
+        let [median, least, most] = median_and_range(nanos);
         println!(
             "case={case} seed={} flows={flows} nanos={median:.1} nanos_least={least:.1} \
              nanos_most={most:.1} per_second={:.0} state_bytes_per_flow={state:.1} \
--- a/crates/bench/src/speed/forward.rs
+++ b/crates/bench/src/speed/forward.rs
@@ -19,7 +19,7 @@
 };
 use anyhow::anyhow;
 
-use super::{Options, cpu, scene, spread};
+use super::{Options, cpu, median_and_range, scene};
 
 /// Flows whose packets the generator sends in turn.
 const FLOWS: usize = 4_096;
@@ -74,9 +74,10 @@
             ours.push(worker);
             echo.push(bare);
         }
-        let middle =
-            |rates: &[Rate], of: fn(&Rate) -> f64| spread(rates.iter().map(of).collect())[0];
-        let [ratio, least, most] = spread(ratios);
+        let middle = |rates: &[Rate], of: fn(&Rate) -> f64| {
+            median_and_range(rates.iter().map(of).collect())[0]
+        };
+        let [ratio, least, most] = median_and_range(ratios);
         println!(
             "case={case} seed={seed} rounds={} per_second={:.0} echo_per_second={:.0} \
              ratio={ratio:.3} ratio_least={least:.3} ratio_most={most:.3} \
--- a/crates/bench/src/speed/shared.rs
+++ b/crates/bench/src/speed/shared.rs
@@ -5,7 +5,7 @@
 use acacia_wire::packet::Packet;
 use anyhow::anyhow;
 
-use super::{Options, cpu, scene, spread};
+use super::{Options, cpu, median_and_range, scene};
 
 /// Numbers of threads that share the shards and counters.
 const THREADS: &[usize] = &[1, 2, 4];
@@ -28,7 +28,7 @@
             let nanos: Vec<f64> = (0..options.rounds)
                 .map(measure)
                 .collect::<anyhow::Result<_>>()?;
-            let [median, least, most] = spread(nanos);
+            let [median, least, most] = median_and_range(nanos);
             println!(
                 "case={case} seed={seed} threads={threads} flows={} nanos={median:.1} \
                  nanos_least={least:.1} nanos_most={most:.1}",
--- a/crates/bench/tests/it/speed.rs
+++ b/crates/bench/tests/it/speed.rs
@@ -1,11 +1,14 @@
-use acacia_bench::speed::{scene, spread};
+use acacia_bench::speed::{median_and_range, scene};
 use acacia_flow::{place::by_table, resolve, shard::Limits, shard::Shard, verdict};
 
 #[test]
-fn spread_gives_the_middle_and_both_ends() {
-    assert_eq!(spread(vec![5.0, 1.0, 4.0, 2.0, 3.0]), [3.0, 1.0, 5.0]);
-    assert_eq!(spread(vec![2.0]), [2.0; 3]);
-    assert!(spread(Vec::new())[0].is_nan());
+fn median_and_range_of_measurements() {
+    assert_eq!(
+        median_and_range(vec![5.0, 1.0, 4.0, 2.0, 3.0]),
+        [3.0, 1.0, 5.0]
+    );
+    assert_eq!(median_and_range(vec![2.0]), [2.0; 3]);
+    assert!(median_and_range(Vec::new())[0].is_nan());
 }
 
 #[test]
