--- a/crates/bench/src/control/document.rs
+++ b/crates/bench/src/control/document.rs
@@ -12,8 +12,8 @@
 const SERVERS: &[u32] = &[15, 60, 240, 960];
 /// Numbers of VMs to measure in the platform's list.
 const MACHINES: &[u16] = &[8, 390, 3_900];
-/// Share of one group of 8 balancers in a deployment of 3,900 balancers, 21,000 hosts and 3,900
-/// addresses.
+/// Services and backend servers per service of one group of 8 balancers, as its share of a
+/// deployment with 3,900 balancers, 21,000 hosts and 3,900 addresses.
 const GROUP: (u32, u32) = (8, 6);
 
 /// Prints the sizes of the configuration and the tables by number of services and of backend
--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -28,14 +28,14 @@
 /// 20 (RFC 791).
 pub const HEADERS: usize = 52;
 /// Payload of a full segment on Ethernet in bytes: the MTU of 1,500 less the headers.
-const SEGMENT: usize = 1_448;
+const SEGMENT_PAYLOAD: usize = 1_448;
 /// Unix time at the start of the simulation.
 const EPOCH: Duration = Duration::from_secs(1_800_000_000);
 /// Backend server that all pins refer to. Servers are numbered from 1 in the order of the
 /// configuration, and this one is not the base server of most buckets.
 const PINNED_TO: u16 = 1;
 /// Address of the service whose first backend server the changes drain and return to service.
-const CHANGED: Ipv4Addr = Ipv4Addr::new(10, 77, 0, 0);
+const CHANGED_SERVICE: Ipv4Addr = Ipv4Addr::new(10, 77, 0, 0);
 
 /// Returns the bytes that a frame takes on the network, including TCP and IP headers.
 ///
@@ -47,7 +47,7 @@
 #[must_use]
 pub fn wire_size(frame: usize) -> usize {
     let payload = frame + LENGTH;
-    payload + payload.div_ceil(SEGMENT) * HEADERS
+    payload + payload.div_ceil(SEGMENT_PAYLOAD) * HEADERS
 }
 
 /// Average cost of the control plane per balancer.
@@ -107,7 +107,7 @@
     store: Store,
     config: Config,
     now: Duration,
-    changed: u64,
+    change_count: u64,
     tally: Tally,
 }
 
@@ -126,7 +126,7 @@
             store: Store::new(document),
             config,
             now,
-            changed: 0,
+            change_count: 0,
             tally: Tally::default(),
         })
     }
@@ -165,24 +165,24 @@
     /// Limits bulk messages to the byte budget of `acacia_peer`, as in the daemon.
     pub fn enforce_byte_budget(&mut self) {
         let settings = acacia_peer::Settings::new(0, ([127, 0, 0, 1], 0).into(), 0);
-        for own in &mut self.balancers {
-            own.bucket = Some(Bucket::new(settings.rate, settings.burst, self.now));
+        for balancer in &mut self.balancers {
+            balancer.bucket = Some(Bucket::new(settings.rate, settings.burst, self.now));
         }
     }
 
     /// Returns whether the latest change to the server is in force in the tables of every balancer.
     #[must_use]
     pub fn is_in_force(&self) -> bool {
-        let wanted = match self.changed % 2 {
+        let wanted = match self.change_count % 2 {
             1 => State::Draining,
             _ => State::Up,
         };
         let state = |view: &View| {
             let mut entries = view.snapshot.services.values();
-            let first = entries.find(|entry| entry.service.address.ip == CHANGED);
+            let first = entries.find(|entry| entry.service.address.ip == CHANGED_SERVICE);
             first.and_then(|entry| Some(entry.service.servers.get(&PINNED_TO)?.state))
         };
-        let mut views = self.balancers.iter().map(|own| own.view.as_ref());
+        let mut views = self.balancers.iter().map(|balancer| balancer.view.as_ref());
         views.all(|view| view.and_then(state) == Some(wanted))
     }
 
@@ -220,7 +220,10 @@
     /// Returns whether the owner set of every balancer contains all balancers again.
     #[must_use]
     pub fn is_steady(&self) -> bool {
-        let views = self.balancers.iter().filter_map(|own| own.view.as_ref());
+        let views = self
+            .balancers
+            .iter()
+            .filter_map(|balancer| balancer.view.as_ref());
         let steady = views.filter(|view| {
             let snapshot = &view.snapshot;
             snapshot.owner && snapshot.steady && snapshot.settled.len() == self.balancers.len()
@@ -244,7 +247,10 @@
     /// Returns the number of balancers that are allowed to serve.
     #[must_use]
     pub fn serving(&self) -> usize {
-        let serving = self.balancers.iter().filter(|own| own.view.is_some());
+        let serving = self
+            .balancers
+            .iter()
+            .filter(|balancer| balancer.view.is_some());
         serving.count()
     }
 
@@ -259,42 +265,48 @@
             if due(self.now - begin).floor() > due(self.now - begin - TICK).floor() {
                 self.change();
             }
-            self.turn();
+            self.tick();
         }
     }
 
     /// Writes a configuration change to the store.
     pub fn change(&mut self) {
-        self.changed += 1;
-        if let Ok(document) = change(Some(&self.store.config), self.config.clone(), self.changed) {
+        self.change_count += 1;
+        if let Ok(document) = change(
+            Some(&self.store.config),
+            self.config.clone(),
+            self.change_count,
+        ) {
             self.store.config = document;
         }
     }
 
     /// Runs one tick of every balancer and delivers all resulting messages and answers.
-    fn turn(&mut self) {
+    fn tick(&mut self) {
         let answers = self.store.answers(self.now);
         let start = cpu::thread();
-        for (by, event) in answers {
-            self.balancers[by]
+        for (balancer, event) in answers {
+            self.balancers[balancer]
                 .core
                 .handle_platform_event(self.now, event);
         }
-        let mut orders = Vec::new();
+        let mut calls = Vec::new();
         for at in 0..self.balancers.len() {
-            let own = &mut self.balancers[at];
-            let outcome = own.core.tick(self.now, EPOCH + self.now, &own.shards);
-            own.incarnation = outcome.incarnation;
-            own.view = outcome.view;
-            orders.extend(outcome.platform_calls.into_iter().map(|order| (at, order)));
+            let balancer = &mut self.balancers[at];
+            let outcome = balancer
+                .core
+                .tick(self.now, EPOCH + self.now, &balancer.shards);
+            balancer.incarnation = outcome.incarnation;
+            balancer.view = outcome.view;
+            calls.extend(outcome.platform_calls.into_iter().map(|call| (at, call)));
             self.send(at, outcome.outgoing);
         }
         while let Some((to, frame)) = self.frames.pop_front() {
             self.receive(to, &frame);
         }
         self.tally.processor += cpu::thread() - start;
-        for (by, order) in orders {
-            self.store.call(by, order, self.now);
+        for (balancer, call) in calls {
+            self.store.call(balancer, call, self.now);
         }
     }
 
@@ -311,31 +323,31 @@
     }
 
     fn transmit(&mut self, from: usize, outgoing: &Outgoing) {
-        let own = &mut self.balancers[from];
-        own.sequence += 1;
+        let balancer = &mut self.balancers[from];
+        balancer.sequence += 1;
         let envelope = Envelope {
             sender: from as u16,
-            incarnation: own.incarnation,
-            sequence: own.sequence,
+            incarnation: balancer.incarnation,
+            sequence: balancer.sequence,
         };
         let payload = Payload {
             to: outgoing.to,
             echo: Some(Echo {
-                incarnation: own.incarnation,
-                sequence: own.sequence,
+                incarnation: balancer.incarnation,
+                sequence: balancer.sequence,
             }),
             body: postcard::to_allocvec(&outgoing.message).ok(),
         };
         let frame = seal(&envelope, &payload, &scene::secret());
         let bytes = wire_size(frame.len());
-        if let Some(bucket) = &mut own.bucket {
+        if let Some(bucket) = &mut balancer.bucket {
             bucket.charge(frame.len() + LENGTH);
         }
         match outgoing.class {
             Class::Heartbeat => self.tally.heartbeats += bytes,
             _ => self.tally.rest += bytes,
         }
-        self.tally.segments += (frame.len() + LENGTH).div_ceil(SEGMENT);
+        self.tally.segments += (frame.len() + LENGTH).div_ceil(SEGMENT_PAYLOAD);
         self.frames.push_back((usize::from(outgoing.to), frame));
     }
 
@@ -347,8 +359,10 @@
         let Ok(message) = postcard::from_bytes::<Message>(&body) else {
             return;
         };
-        let own = &mut self.balancers[to];
-        let answers = own.core.receive(self.now, &envelope, message, &own.shards);
+        let balancer = &mut self.balancers[to];
+        let answers = balancer
+            .core
+            .receive(self.now, &envelope, message, &balancer.shards);
         self.send(to, answers.unwrap_or_default());
     }
 }
--- a/crates/bench/src/control/replace.rs
+++ b/crates/bench/src/control/replace.rs
@@ -5,9 +5,9 @@
 /// Pins held by each balancer.
 const PINS: &[u32] = &[0, 2_500, 5_000, 10_000, 20_000];
 /// Interval at which the run checks whether the new balancer owns flows.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time after which a replacement counts as failed.
-const PATIENCE: Duration = Duration::from_secs(1_800);
+const TIMEOUT: Duration = Duration::from_secs(1_800);
 
 /// Stops one of eight balancers without a graceful shutdown and starts another in its place. Prints
 /// the bytes that the others send to it and the time until it owns flows and all balancers know it.
@@ -22,13 +22,16 @@
         let held = fleet.pins();
         fleet.reset();
         fleet.replace()?;
-        let mut passed = Duration::ZERO;
+        let mut elapsed = Duration::ZERO;
         while !fleet.is_steady() {
-            fleet.run(LOOK, &size);
-            passed += LOOK;
-            anyhow::ensure!(passed < PATIENCE, "the new balancer never owned flows");
+            fleet.run(CHECK_INTERVAL, &size);
+            elapsed += CHECK_INTERVAL;
+            anyhow::ensure!(
+                elapsed < TIMEOUT,
+                "the new balancer did not own flows within {TIMEOUT:?}"
+            );
         }
-        let (bytes, seconds) = (fleet.rest(), passed.as_secs_f64());
+        let (bytes, seconds) = (fleet.rest(), elapsed.as_secs_f64());
         println!(
             "case=replaced seed={seed} {size} pins_held={held} pins_after={} sent_bytes={bytes} \
              seconds={seconds:.1}",
--- a/crates/bench/src/control/spread.rs
+++ b/crates/bench/src/control/spread.rs
@@ -12,11 +12,11 @@
     (64, 8, 6),
 ];
 /// Interval between two changes of a burst.
-const APART: Duration = Duration::from_secs(2);
+const CHANGE_INTERVAL: Duration = Duration::from_secs(2);
 /// Duration of one tick, which is the resolution of the measurement.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time after which a change counts as never in force.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Writes one configuration change to the store after an idle period, then three more 2 s apart.
 /// Prints the time until the first and the last are in force on every balancer with the byte budget
@@ -33,18 +33,18 @@
         let mut fleet = Fleet::new(&size, seed)?;
         fleet.run(JOINING, &size);
         fleet.change();
-        let unlimited = wait(&mut fleet, &size);
+        let unlimited = wait_until_in_force(&mut fleet, &size);
         fleet.run(JOINING, &size);
         fleet.enforce_byte_budget();
         fleet.change();
-        let first = wait(&mut fleet, &size);
+        let first = wait_until_in_force(&mut fleet, &size);
         fleet.run(JOINING, &size);
         for _ in 0..2 {
             fleet.change();
-            fleet.run(APART, &size);
+            fleet.run(CHANGE_INTERVAL, &size);
         }
         fleet.change();
-        let last = wait(&mut fleet, &size);
+        let last = wait_until_in_force(&mut fleet, &size);
         println!(
             "case=spread seed={seed} {size} unlimited_seconds={unlimited} first_seconds={first} \
              last_of_burst_seconds={last}"
@@ -54,14 +54,14 @@
 }
 
 /// Seconds until the latest change is in force on every balancer.
-fn wait(fleet: &mut Fleet, size: &Size) -> String {
-    let mut passed = Duration::ZERO;
+fn wait_until_in_force(fleet: &mut Fleet, size: &Size) -> String {
+    let mut elapsed = Duration::ZERO;
     while !fleet.is_in_force() {
-        if passed >= PATIENCE {
-            return format!("over_{}", PATIENCE.as_secs());
+        if elapsed >= TIMEOUT {
+            return format!("over_{}", TIMEOUT.as_secs());
         }
-        fleet.run(LOOK, size);
-        passed += LOOK;
+        fleet.run(CHECK_INTERVAL, size);
+        elapsed += CHECK_INTERVAL;
     }
-    format!("{:.2}", passed.as_secs_f64())
+    format!("{:.2}", elapsed.as_secs_f64())
 }
--- a/crates/bench/src/control/store.rs
+++ b/crates/bench/src/control/store.rs
@@ -5,14 +5,14 @@
 use acacia_tables::writer;
 
 /// Timeout that the client sets for a watch (`acacia_platform::Options`).
-const WATCH: Duration = Duration::from_secs(2);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Call that has not been answered yet.
 #[derive(Debug)]
-struct Waiting {
-    by: usize,
+struct PendingCall {
+    balancer: usize,
     since: Duration,
-    order: agreement::Call,
+    call: agreement::Call,
 }
 
 /// In-memory model of the platform's store: two keys, compare-and-swap and long-polling watches.
@@ -21,7 +21,7 @@
     /// Stored configuration.
     pub config: Arc<Document>,
     tables: agreement::Entry,
-    waiting: Vec<Waiting>,
+    pending: Vec<PendingCall>,
     /// Number of calls received since the start.
     pub calls: u64,
 }
@@ -36,60 +36,61 @@
                 revision: 0,
                 value: None,
             },
-            waiting: Vec::new(),
+            pending: Vec::new(),
             calls: 0,
         }
     }
 
-    /// Accepts a call from the balancer at index `by`. [`Store::answers`] returns the answer.
-    pub fn call(&mut self, by: usize, order: agreement::Call, now: Duration) {
+    /// Accepts a call from the balancer at index `balancer`. [`Store::answers`] returns the answer.
+    pub fn call(&mut self, balancer: usize, call: agreement::Call, now: Duration) {
         self.calls += 1;
-        let same = |waiting: &Waiting| {
-            let kind = std::mem::discriminant(&waiting.order);
-            waiting.by == by && kind == std::mem::discriminant(&order)
+        let same = |pending: &PendingCall| {
+            let kind = std::mem::discriminant(&pending.call);
+            pending.balancer == balancer && kind == std::mem::discriminant(&call)
         };
-        self.waiting.retain(|waiting| !same(waiting));
-        self.waiting.push(Waiting {
-            by,
+        self.pending.retain(|pending| !same(pending));
+        self.pending.push(PendingCall {
+            balancer,
             since: now,
-            order,
+            call,
         });
     }
 
     /// Returns the answers that are available now, each with the balancer that it goes to.
     pub fn answers(&mut self, now: Duration) -> Vec<(usize, platform::Event)> {
         let mut answers = Vec::new();
-        for waiting in std::mem::take(&mut self.waiting) {
-            let late = now >= waiting.since + WATCH;
-            match self.answer(&waiting.order, late) {
-                Some(news) => answers.push((waiting.by, news)),
-                None => self.waiting.push(waiting),
+        for pending in std::mem::take(&mut self.pending) {
+            let timed_out = now >= pending.since + WATCH_TIMEOUT;
+            match self.answer(&pending.call, timed_out) {
+                Some(event) => answers.push((pending.balancer, event)),
+                None => self.pending.push(pending),
             }
         }
         answers
     }
 
-    fn answer(&mut self, order: &agreement::Call, late: bool) -> Option<platform::Event> {
-        match order {
+    fn answer(&mut self, call: &agreement::Call, timed_out: bool) -> Option<platform::Event> {
+        match call {
             agreement::Call::WatchConfig { above } => {
                 let answer = acacia_rollout::Entry {
                     revision: self.config.revision,
                     document: Some(Arc::clone(&self.config)),
                 };
-                (late || answer.revision > *above).then_some(platform::Event::Config(Some(answer)))
+                (timed_out || answer.revision > *above)
+                    .then_some(platform::Event::Config(Some(answer)))
             }
-            agreement::Call::WatchTables { above } => (late || self.tables.revision > *above)
+            agreement::Call::WatchTables { above } => (timed_out || self.tables.revision > *above)
                 .then(|| platform::Event::Tables(Some(self.tables.clone()))),
             agreement::Call::ReadTables => {
                 Some(platform::Event::ReadTables(Some(self.tables.clone())))
             }
             agreement::Call::WriteTables { expected, text } => Some(platform::Event::WroteTables(
-                self.swap(*expected, Arc::clone(text)),
+                self.compare_and_swap(*expected, Arc::clone(text)),
             )),
         }
     }
 
-    fn swap(&mut self, expected: u64, text: Arc<str>) -> writer::Answer {
+    fn compare_and_swap(&mut self, expected: u64, text: Arc<str>) -> writer::Answer {
         if expected != self.tables.revision {
             return writer::Answer::Conflict;
         }
