--- a/crates/bench/src/speed/cookie.rs
+++ b/crates/bench/src/speed/cookie.rs
@@ -40,14 +40,18 @@
         let snapshot = snapshot(servers);
         let measured = (0..options.rounds).map(|_| measure(&snapshot));
         let (openings, packets): (Vec<f64>, Vec<f64>) = measured.unzip();
-        let lines = (0..options.rounds).map(|_| line()).collect();
-        let mut shown = format!("speed case={case} seed={seed} flows={FLOWS}");
-        for (name, values) in [("opening", openings), ("packet", packets), ("line", lines)] {
-            let [middle, least, most] = median_and_range(values);
+        let log_lines = (0..options.rounds).map(|_| log_line()).collect();
+        let mut output = format!("speed case={case} seed={seed} flows={FLOWS}");
+        for (name, values) in [
+            ("opening", openings),
+            ("packet", packets),
+            ("line", log_lines),
+        ] {
+            let [median, least, most] = median_and_range(values);
             // Writing to a `String` never fails.
-            let _ = write!(shown, " {name}_ns={middle:.0} ({least:.0} to {most:.0})");
+            let _ = write!(output, " {name}_ns={median:.0} ({least:.0} to {most:.0})");
         }
-        println!("{shown}");
+        println!("{output}");
     }
 }
 
@@ -79,7 +83,7 @@
 }
 
 /// Nanoseconds for formatting the log line that is written for each opened flow.
-fn line() -> f64 {
+fn log_line() -> f64 {
     let mut text = String::new();
     let start = cpu::thread();
     for number in 0..PACKETS {
--- a/crates/bench/src/speed/decide.rs
+++ b/crates/bench/src/speed/decide.rs
@@ -21,7 +21,7 @@
 const SHARDS: usize = 16;
 /// New flows in one measurement. Stays below the number of opening flows that all shards together
 /// can hold.
-const NEW: usize = 100_000;
+const NEW_FLOWS: usize = 100_000;
 /// Packets in the cases that encode or decode bytes. Few enough for their buffers to stay in the
 /// CPU caches, as the buffers of a receive batch do.
 const PACKETS: usize = 4_096;
@@ -83,7 +83,7 @@
 }
 
 /// Header with which another balancer redirects a packet here for a decision.
-fn question() -> Redirect {
+fn resolve_request() -> Redirect {
     Redirect {
         purpose: Purpose::Resolve,
         hops: 1,
@@ -97,7 +97,7 @@
 /// Creates a balancer that holds a pin for every flow, each past its opening packet.
 fn pinned(keys: &[Key]) -> Node {
     let node = Node::new(true);
-    let asked = Arrival::Redirected(question());
+    let asked = Arrival::Redirected(resolve_request());
     for key in keys {
         node.decide(&scene::opening(key), asked);
         node.decide(&scene::middle(key), asked);
@@ -109,38 +109,38 @@
 pub fn run(options: &Options, seed: u64) -> anyhow::Result<()> {
     let owned = scene::keys(seed, options.flows, true);
     let others = scene::keys(seed, options.flows, false);
-    let asked = Arrival::Redirected(question());
+    let asked = Arrival::Redirected(resolve_request());
     let report = Report { options, seed };
     let middle: Vec<Packet> = owned.iter().map(scene::middle).collect();
-    let opening: Vec<Packet> = owned.iter().take(NEW).map(scene::opening).collect();
+    let opening: Vec<Packet> = owned.iter().take(NEW_FLOWS).map(scene::opening).collect();
     let foreign: Vec<Packet> = others.iter().map(scene::middle).collect();
     let foreign_opening: Vec<Packet> = others.iter().map(scene::opening).collect();
 
     let base = Node::new(false);
-    report.repeat("warm_base", &base, &middle, Arrival::Ingress)?;
-    report.repeat("new_base", &base, &opening, Arrival::Ingress)?;
-    if report.any(&["warm_pinned", "decode"]) {
+    report.measure_repeated("warm_base", &base, &middle, Arrival::Ingress)?;
+    report.measure_repeated("new_base", &base, &opening, Arrival::Ingress)?;
+    if report.wants_any(&["warm_pinned", "decode"]) {
         let owner = pinned(&owned);
-        report.repeat("warm_pinned_owner", &owner, &middle, asked)?;
-        report.repeat(
+        report.measure_repeated("warm_pinned_owner", &owner, &middle, asked)?;
+        report.measure_repeated(
             "warm_pinned_owner_ingress",
             &owner,
             &middle,
             Arrival::Ingress,
         )?;
-        report.bytes("decode_redirected", &owner, &owned, true)?;
+        report.measure_decode("decode_redirected", &owner, &owned, true)?;
     }
     let flagged = Node::new(true);
-    report.repeat("warm_pinned_ingress", &flagged, &foreign, Arrival::Ingress)?;
-    report.repeat(
+    report.measure_repeated("warm_pinned_ingress", &flagged, &foreign, Arrival::Ingress)?;
+    report.measure_repeated(
         "new_pinned_ingress",
         &flagged,
         &foreign_opening,
         Arrival::Ingress,
     )?;
-    report.fresh("new_pinned_owner", &opening, asked)?;
-    report.bytes("decode_plain", &base, &owned, false)?;
-    report.encode(&owned)
+    report.measure_new_flows("new_pinned_owner", &opening, asked)?;
+    report.measure_decode("decode_plain", &base, &owned, false)?;
+    report.measure_encode(&owned)
 }
 
 /// Runs measurements and prints their results.
@@ -150,7 +150,7 @@
 }
 
 impl Report<'_> {
-    fn any(&self, names: &[&str]) -> bool {
+    fn wants_any(&self, names: &[&str]) -> bool {
         let cases = &self.options.cases;
         cases.is_empty()
             || cases
@@ -158,7 +158,7 @@
                 .any(|case| names.iter().any(|n| case.starts_with(n)))
     }
 
-    fn line(&self, case: &str, flows: usize, nanos: Vec<f64>, state: f64, tally: Tally) {
+    fn print(&self, case: &str, flows: usize, nanos: Vec<f64>, state: f64, tally: Tally) {
         let [median, least, most] = median_and_range(nanos);
         println!(
             "case={case} seed={} flows={flows} nanos={median:.1} nanos_least={least:.1} \
@@ -172,7 +172,7 @@
     }
 
     /// Measures repeated decisions on the same packets, after a first pass that is not measured.
-    fn repeat(
+    fn measure_repeated(
         &self,
         case: &str,
         node: &Node,
@@ -192,12 +192,17 @@
         };
         let nanos = (0..self.options.rounds).map(measure).collect();
         let state = node.shards.bytes() as f64 / packets.len() as f64;
-        self.line(case, packets.len(), nanos, state, tally);
+        self.print(case, packets.len(), nanos, state, tally);
         Ok(())
     }
 
     /// Measures the opening packets of new flows at an owner that has no state for them.
-    fn fresh(&self, case: &str, packets: &[Packet], arrival: Arrival) -> anyhow::Result<()> {
+    fn measure_new_flows(
+        &self,
+        case: &str,
+        packets: &[Packet],
+        arrival: Arrival,
+    ) -> anyhow::Result<()> {
         if !self.options.wants(case) {
             return Ok(());
         }
@@ -210,12 +215,18 @@
             state = node.shards.bytes() as f64 / packets.len() as f64;
         }
         anyhow::ensure!(tally.other == 0, "{case}: {} packets dropped", tally.other);
-        self.line(case, packets.len(), times, state, tally);
+        self.print(case, packets.len(), times, state, tally);
         Ok(())
     }
 
     /// Measures decoding a datagram and deciding on its packet.
-    fn bytes(&self, case: &str, node: &Node, keys: &[Key], redirected: bool) -> anyhow::Result<()> {
+    fn measure_decode(
+        &self,
+        case: &str,
+        node: &Node,
+        keys: &[Key],
+        redirected: bool,
+    ) -> anyhow::Result<()> {
         if !self.options.wants(case) {
             return Ok(());
         }
@@ -225,7 +236,7 @@
             let bytes = scene::bytes(key)?;
             let mut datagram = Vec::new();
             match redirected {
-                true => encap::encode(&question(), &bytes, &secret, &mut datagram),
+                true => encap::encode(&resolve_request(), &bytes, &secret, &mut datagram),
                 false => datagram = bytes,
             }
             datagrams.push(datagram);
@@ -235,17 +246,21 @@
             tally = Tally::default();
             let start = cpu::thread();
             for datagram in &datagrams {
-                tally.add(&node.decode(datagram, &secret).context("decoding")?);
+                tally.add(
+                    &node
+                        .decode(datagram, &secret)
+                        .context("failed to decode a generated datagram")?,
+                );
             }
             times.push(nanos(start, datagrams.len()));
         }
         anyhow::ensure!(tally.other == 0, "{case}: {} packets dropped", tally.other);
-        self.line(case, datagrams.len(), times, 0.0, tally);
+        self.print(case, datagrams.len(), times, 0.0, tally);
         Ok(())
     }
 
     /// Measures encoding a redirect header and a packet into a reused buffer.
-    fn encode(&self, keys: &[Key]) -> anyhow::Result<()> {
+    fn measure_encode(&self, keys: &[Key]) -> anyhow::Result<()> {
         let case = "encode_redirect";
         if !self.options.wants(case) {
             return Ok(());
@@ -259,7 +274,7 @@
         let measure = |_| {
             let start = cpu::thread();
             for packet in &packets {
-                encap::encode(&question(), packet, &secret, &mut out);
+                encap::encode(&resolve_request(), packet, &secret, &mut out);
                 black_box(&out);
             }
             nanos(start, packets.len())
@@ -269,7 +284,7 @@
             redirected: packets.len() as u64,
             ..Tally::default()
         };
-        self.line(case, packets.len(), times, 0.0, tally);
+        self.print(case, packets.len(), times, 0.0, tally);
         Ok(())
     }
 }
--- a/crates/bench/src/speed/forward.rs
+++ b/crates/bench/src/speed/forward.rs
@@ -26,22 +26,22 @@
 /// Size of the receive buffer in bytes, as in the daemon.
 const BUFFER: usize = 4 << 20;
 /// Longest time that a thread waits for packets.
-const LOOK: Duration = Duration::from_millis(20);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(20);
 /// Warm-up time, so that packets lost by the first batches on cold caches are not measured.
-const WARM: Duration = Duration::from_millis(50);
+const WARM_UP: Duration = Duration::from_millis(50);
 
 /// Result of one measurement.
 #[derive(Debug, Clone, Copy)]
 struct Rate {
     packets: u64,
-    processor: Duration,
+    cpu_time: Duration,
     wall: Duration,
 }
 
 impl Rate {
     /// Packets per second of CPU time of the forwarding thread.
     fn per_second(&self) -> f64 {
-        self.packets as f64 / self.processor.as_secs_f64()
+        self.packets as f64 / self.cpu_time.as_secs_f64()
     }
 
     fn per_wall_second(&self) -> f64 {
@@ -61,20 +61,21 @@
             .iter()
             .map(scene::bytes)
             .collect::<anyhow::Result<_>>()?;
-        let (mut ours, mut echo, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut worker_rates, mut minimal_rates, mut ratios) =
+            (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..options.rounds {
             let duration = Duration::from_millis(options.millis);
-            let bare = measure(&packets, duration, &|socket, sink, stop| {
-                bare(socket, sink, stop)
+            let minimal = measure(&packets, duration, &|socket, sink, stop| {
+                forward_minimal(socket, sink, stop)
             })?;
             let worker = measure(&packets, duration, &|socket, sink, stop| {
                 through_worker(socket, sink, stop, flagged)
             })?;
-            ratios.push(worker.per_second() / bare.per_second());
-            ours.push(worker);
-            echo.push(bare);
+            ratios.push(worker.per_second() / minimal.per_second());
+            worker_rates.push(worker);
+            minimal_rates.push(minimal);
         }
-        let middle = |rates: &[Rate], of: fn(&Rate) -> f64| {
+        let median = |rates: &[Rate], of: fn(&Rate) -> f64| {
             median_and_range(rates.iter().map(of).collect())[0]
         };
         let [ratio, least, most] = median_and_range(ratios);
@@ -83,10 +84,10 @@
              ratio={ratio:.3} ratio_least={least:.3} ratio_most={most:.3} \
              wall_per_second={:.0} echo_wall_per_second={:.0}",
             options.rounds,
-            middle(&ours, Rate::per_second),
-            middle(&echo, Rate::per_second),
-            middle(&ours, Rate::per_wall_second),
-            middle(&echo, Rate::per_wall_second),
+            median(&worker_rates, Rate::per_second),
+            median(&minimal_rates, Rate::per_second),
+            median(&worker_rates, Rate::per_wall_second),
+            median(&minimal_rates, Rate::per_wall_second),
         );
     }
     Ok(())
@@ -109,13 +110,13 @@
     let (generating, stop) = (AtomicBool::new(true), AtomicBool::new(false));
     let rate = thread::scope(|scope| {
         let generator = scope.spawn(|| generate(packets, at, &generating));
-        sleep(WARM);
+        sleep(WARM_UP);
         let forwarder = scope.spawn(|| {
             let (start, before) = (Instant::now(), cpu::thread());
             let packets = forward(&socket, to, &stop)?;
             std::io::Result::Ok(Rate {
                 packets,
-                processor: cpu::thread() - before,
+                cpu_time: cpu::thread() - before,
                 wall: start.elapsed(),
             })
         });
@@ -128,7 +129,7 @@
         Ok::<Rate, anyhow::Error>(rate.map_err(|_| anyhow!("the forwarder panicked"))??)
     })?;
     drop(sink);
-    anyhow::ensure!(rate.packets > 0, "nothing was forwarded");
+    anyhow::ensure!(rate.packets > 0, "the forwarder forwarded no packets");
     Ok(rate)
 }
 
@@ -136,7 +137,7 @@
     let socket = UdpSocket::bind((Ipv4Addr::new(127, 0, 0, 1), 0))?;
     // The kernel may grant a smaller buffer.
     let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(BUFFER);
-    socket.set_read_timeout(Some(LOOK))?;
+    socket.set_read_timeout(Some(RECEIVE_TIMEOUT))?;
     match socket.local_addr()? {
         std::net::SocketAddr::V4(at) => Ok((socket, at)),
         std::net::SocketAddr::V6(at) => Err(anyhow!("not an IPv4 address: {at}")),
@@ -146,9 +147,9 @@
 fn generate(packets: &[Vec<u8>], to: SocketAddrV4, on: &AtomicBool) -> anyhow::Result<()> {
     let (socket, _) = bind()?;
     let (received, mut batch) = (Received::default(), ToSend::default());
-    let mut round = packets.iter().cycle();
+    let mut source = packets.iter().cycle();
     while on.load(Ordering::Relaxed) {
-        for packet in round.by_ref().take(SIZE) {
+        for packet in source.by_ref().take(SIZE) {
             batch.build(to, |out| out.extend_from_slice(packet));
         }
         batch.flush(&socket, &received);
@@ -157,7 +158,11 @@
 }
 
 /// Minimal forwarder: the least work that forwards datagrams with the same system calls.
-fn bare(socket: &UdpSocket, sink: SocketAddrV4, stop: &AtomicBool) -> std::io::Result<u64> {
+fn forward_minimal(
+    socket: &UdpSocket,
+    sink: SocketAddrV4,
+    stop: &AtomicBool,
+) -> std::io::Result<u64> {
     let (mut received, mut batch) = (Received::default(), ToSend::default());
     let mut packets = 0;
     while !stop.load(Ordering::Relaxed) {
@@ -188,8 +193,8 @@
     published.store(Some(Arc::new(view)));
     let counter = Arc::new(Counter::default());
     // Nothing reads the notices; a full queue drops them, as in the daemon.
-    let (notices, _kept) = crossbeam_channel::bounded(1);
-    let (counts, _kept_counts) = crossbeam_channel::bounded(1);
+    let (notices, _notices_receiver) = crossbeam_channel::bounded(1);
+    let (counts, _counts_receiver) = crossbeam_channel::bounded(1);
     let context = worker::Context {
         published,
         shards: Arc::new(Shards::new(16, Limits::default())),
--- a/crates/bench/src/speed/shared.rs
+++ b/crates/bench/src/speed/shared.rs
@@ -72,6 +72,6 @@
         let times = running.into_iter().map(thread::ScopedJoinHandle::join);
         times.sum::<Result<f64, _>>()
     });
-    let nanos = sum.map_err(|_| anyhow!("a thread panicked"))?;
+    let nanos = sum.map_err(|_| anyhow!("a measuring thread panicked"))?;
     Ok(nanos / (PASSES * part * threads) as f64)
 }
