--- a/crates/bench/src/speed/decide.rs
+++ b/crates/bench/src/speed/decide.rs
@@ -246,11 +246,7 @@
             tally = Tally::default();
             let start = cpu::thread();
             for datagram in &datagrams {
-                tally.add(
-                    &node
-                        .decode(datagram, &secret)
-                        .context("failed to decode a generated datagram")?,
-                );
+                tally.add(&node.decode(datagram, &secret).context("decoding")?);
             }
             times.push(nanos(start, datagrams.len()));
         }
