--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,13 +1,9 @@
-//! `acacia-bench`: measures decisions, flows, balance and control traffic.
+//! `acacia-bench`: benchmarks of forwarding decisions, flows, balance and control traffic.
 
 use clap::Parser;
 
 #[derive(Debug, Parser)]
-#[command(
-    name = "acacia-bench",
-    version,
-    about = "Measures acaciatrack's own decisions"
-)]
+#[command(name = "acacia-bench", version, about = "Benchmarks for acaciatrack")]
 enum Command {
     /// Decisions per second, bytes of state per flow, packets forwarded per second.
     Speed(acacia_bench::speed::Options),
