--- a/crates/bench/tests/it/control.rs
+++ b/crates/bench/tests/it/control.rs
@@ -10,7 +10,7 @@
 /// Expected values are calculated by hand from the sums of squares, 5 (x) and 5 (y), and of
 /// products, 4.
 #[test]
-fn a_line_through_scattered_points_is_that_of_least_squares() {
+fn fit_of_scattered_points_minimizes_squared_error() {
     let line = Line::fit([(0.0, 1.0), (1.0, 3.0), (2.0, 2.0), (3.0, 4.0)]);
     assert!((line.slope - 0.8).abs() < 1e-12);
     assert!((line.intercept - 1.3).abs() < 1e-12);
@@ -20,7 +20,7 @@
 #[rstest]
 #[case::no_points(&[], 0.0)]
 #[case::one_x(&[(2.0, 4.0), (2.0, 6.0)], 5.0)]
-fn points_without_two_x_have_no_slope(#[case] points: &[(f64, f64)], #[case] mean: f64) {
+fn fit_without_two_distinct_x_has_zero_slope(#[case] points: &[(f64, f64)], #[case] mean: f64) {
     let line = Line::fit(points.iter().copied());
     assert_eq!((line.slope, line.intercept), (0.0, mean));
 }
@@ -30,12 +30,12 @@
 #[case(0, 60)]
 #[case(1_440, 1_500)]
 #[case(1_441, 1_553)]
-fn a_frame_takes_headers_for_each_segment(#[case] frame: usize, #[case] bytes: usize) {
+fn wire_size_counts_headers_per_segment(#[case] frame: usize, #[case] bytes: usize) {
     assert_eq!(wire_size(frame), bytes);
 }
 
 #[test]
-fn balancers_that_joined_serve_and_send_heartbeats_only() -> anyhow::Result<()> {
+fn idle_balancers_serve_and_send_only_heartbeats() -> anyhow::Result<()> {
     let size = Size::default().with("peers", 3);
     let mut fleet = Fleet::new(&size, 1)?;
     fleet.run(Duration::from_secs(20), &size);
--- a/crates/bench/tests/it/speed.rs
+++ b/crates/bench/tests/it/speed.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_flows_again() {
+fn same_seed_gives_same_flows() {
     assert_eq!(scene::keys(3, 50, true), scene::keys(3, 50, true));
     assert_ne!(scene::keys(3, 50, true), scene::keys(4, 50, true));
 }
@@ -20,7 +20,7 @@
 /// Guards against `scene::keys` returning flows of the wrong owner: the cases would then measure
 /// the other path than the one in their names.
 #[test]
-fn openings_off_base_stay_with_their_owner_only() {
+fn only_owner_pins_new_flows_off_base() {
     let snapshot = scene::snapshot(true);
     for owned in [true, false] {
         for key in scene::keys(1, 50, owned) {
