--- a/crates/bench/src/control/fleet.rs
+++ b/crates/bench/src/control/fleet.rs
@@ -20,53 +20,53 @@
 };
 use crate::speed::{cpu, scene};
 
-/// Between two ticks, as in the daemon.
+/// Interval between two ticks, as in the daemon.
 const TICK: Duration = Duration::from_millis(50);
-/// Bytes of the length before a frame on TCP.
+/// Size of the length prefix of a frame on TCP, in bytes.
 pub const LENGTH: usize = 8;
-/// Bytes of TCP and IP headers of a segment: 20 (RFC 9293) + 12 of timestamps (RFC 7323) + 20
-/// (RFC 791).
+/// Size of a segment's TCP and IP headers in bytes: 20 (RFC 9293) + 12 for timestamps (RFC 7323) +
+/// 20 (RFC 791).
 pub const HEADERS: usize = 52;
-/// Bytes of payload in a segment on Ethernet: 1,500 less the headers.
-const SEGMENT: usize = 1_448;
-/// Unix time at the start.
+/// Payload of a full segment on Ethernet in bytes: the MTU of 1,500 less the headers.
+const SEGMENT_PAYLOAD: usize = 1_448;
+/// Unix time at the start of the simulation.
 const EPOCH: Duration = Duration::from_secs(1_800_000_000);
-/// Numbers of servers count from 1 in the order of the configuration: a server other than the
-/// base of most buckets.
+/// Backend server that all pins refer to. Servers are numbered from 1 in the order of the
+/// configuration, and this one is not the base server of most buckets.
 const PINNED_TO: u16 = 1;
-/// The address of the service whose first server the changes drain and put back.
-const CHANGED: Ipv4Addr = Ipv4Addr::new(10, 77, 0, 0);
+/// Address of the service whose first backend server the changes drain and return to service.
+const CHANGED_SERVICE: Ipv4Addr = Ipv4Addr::new(10, 77, 0, 0);
 
-/// Bytes on the network of a frame, its headers included.
+/// Returns the bytes that a frame takes on the network, including TCP and IP headers.
 ///
 /// ```
-/// use acacia_bench::control::fleet::wire;
-/// assert_eq!(wire(100), 100 + 8 + 52);
-/// assert_eq!(wire(2_000), 2_000 + 8 + 2 * 52);
+/// use acacia_bench::control::fleet::wire_size;
+/// assert_eq!(wire_size(100), 100 + 8 + 52);
+/// assert_eq!(wire_size(2_000), 2_000 + 8 + 2 * 52);
 /// ```
 #[must_use]
-pub fn wire(frame: usize) -> usize {
+pub fn wire_size(frame: usize) -> usize {
     let payload = frame + LENGTH;
-    payload + payload.div_ceil(SEGMENT) * HEADERS
+    payload + payload.div_ceil(SEGMENT_PAYLOAD) * HEADERS
 }
 
-/// What control costs one balancer, on average.
+/// Average cost of the control plane per balancer.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
-    /// Heartbeats sent, in bytes a second, headers included.
+    /// Heartbeats sent, in bytes per second including headers.
     pub heartbeats: f64,
-    /// Urgent and bulk messages sent, in bytes a second, headers included.
+    /// Urgent and bulk messages sent, in bytes per second including headers.
     pub rest: f64,
-    /// TCP acknowledgements of what it receives, in bytes a second: at most one for each segment.
+    /// Upper bound of the TCP acknowledgements sent, in bytes per second: one per received segment.
     pub acks: f64,
-    /// Processor time, in microseconds a second.
+    /// CPU time, in microseconds per second.
     pub micros: f64,
-    /// Calls to the platform's store, by all balancers together, a second.
+    /// Calls per second to the platform's store, by all balancers together.
     pub calls: f64,
 }
 
 impl Cost {
-    /// All messages sent.
+    /// All messages sent, in bytes per second.
     #[must_use]
     pub fn sent(&self) -> f64 {
         self.heartbeats + self.rest
@@ -89,7 +89,7 @@
     }
 }
 
-/// Counts since the last reset, over all balancers.
+/// Counters since the last reset, summed over all balancers.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tally {
     since: Duration,
@@ -100,19 +100,19 @@
     processor: Duration,
 }
 
-/// Balancers joined by queues.
+/// Simulated group of balancers, connected by in-memory queues.
 pub struct Fleet {
     balancers: Vec<Balancer>,
     frames: VecDeque<(usize, Vec<u8>)>,
     store: Store,
     config: Config,
     now: Duration,
-    changed: u64,
+    change_count: u64,
     tally: Tally,
 }
 
 impl Fleet {
-    /// Balancers that have just started.
+    /// Creates a group whose balancers have just started.
     pub fn new(size: &Size, seed: u64) -> anyhow::Result<Self> {
         let config = size.config();
         let now = Duration::from_secs(1_000);
@@ -126,13 +126,13 @@
             store: Store::new(document),
             config,
             now,
-            changed: 0,
+            change_count: 0,
             tally: Tally::default(),
         })
     }
 
-    /// Gives each flow's two owners its pin, until each has about as many as wanted. Balancers that
-    /// have not joined yet would drop them again.
+    /// Adds pins at the two owners of each flow until every balancer holds about the configured number.
+    /// Call this after the balancers have joined; before that they would drop the pins.
     pub fn pin(&self, size: &Size, seed: u64) {
         let nodes: Vec<Node> = (0..size.peers)
             .map(|id| Node { id, incarnation: 0 })
@@ -162,32 +162,31 @@
         }
     }
 
-    /// Lets bulk messages wait for the byte budget of `acacia_peer`, as in the daemon.
-    pub fn keep_budget(&mut self) {
+    /// Limits bulk messages to the byte budget of `acacia_peer`, as in the daemon.
+    pub fn enforce_byte_budget(&mut self) {
         let settings = acacia_peer::Settings::new(0, ([127, 0, 0, 1], 0).into(), 0);
-        for own in &mut self.balancers {
-            own.bucket = Some(Bucket::new(settings.rate, settings.burst, self.now));
+        for balancer in &mut self.balancers {
+            balancer.bucket = Some(Bucket::new(settings.rate, settings.burst, self.now));
         }
     }
 
-    /// Whether every balancer has tables in force in which the changed server is as the latest
-    /// change wants it.
+    /// Returns whether the latest change to the server is in force in the tables of every balancer.
     #[must_use]
     pub fn is_in_force(&self) -> bool {
-        let wanted = match self.changed % 2 {
+        let wanted = match self.change_count % 2 {
             1 => State::Draining,
             _ => State::Up,
         };
         let state = |view: &View| {
             let mut entries = view.snapshot.services.values();
-            let first = entries.find(|entry| entry.service.address.ip == CHANGED);
+            let first = entries.find(|entry| entry.service.address.ip == CHANGED_SERVICE);
             first.and_then(|entry| Some(entry.service.servers.get(&PINNED_TO)?.state))
         };
-        let mut views = self.balancers.iter().map(|own| own.view.as_ref());
+        let mut views = self.balancers.iter().map(|balancer| balancer.view.as_ref());
         views.all(|view| view.and_then(state) == Some(wanted))
     }
 
-    /// Forgets what was counted.
+    /// Resets the counters.
     pub fn reset(&mut self) {
         self.tally = Tally {
             since: self.now,
@@ -196,7 +195,7 @@
         };
     }
 
-    /// What control has cost since the last reset.
+    /// Returns the cost of the control plane since the last reset.
     #[must_use]
     pub fn cost(&self) -> Cost {
         let seconds = (self.now - self.tally.since).as_secs_f64();
@@ -210,7 +209,7 @@
         }
     }
 
-    /// Puts a new process in the place of the first balancer, which ends at once.
+    /// Stops the first balancer immediately and starts a new process in its place.
     pub fn replace(&mut self) -> anyhow::Result<()> {
         let first = &self.balancers[0];
         let (incarnation, peers) = (first.incarnation + 1_000_000, self.balancers.len() as u16);
@@ -218,10 +217,13 @@
         Ok(())
     }
 
-    /// Whether the owners' set is that of all balancers again, at every one of them.
+    /// Returns whether the owner set of every balancer contains all balancers again.
     #[must_use]
     pub fn is_steady(&self) -> bool {
-        let views = self.balancers.iter().filter_map(|own| own.view.as_ref());
+        let views = self
+            .balancers
+            .iter()
+            .filter_map(|balancer| balancer.view.as_ref());
         let steady = views.filter(|view| {
             let snapshot = &view.snapshot;
             snapshot.owner && snapshot.steady && snapshot.settled.len() == self.balancers.len()
@@ -229,73 +231,82 @@
         steady.count() == self.balancers.len()
     }
 
-    /// Pins that a balancer holds, on average.
+    /// Returns the average number of pins per balancer.
     #[must_use]
     pub fn pins(&self) -> usize {
         let all: usize = self.balancers.iter().map(Balancer::pins).sum();
         all / self.balancers.len().max(1)
     }
 
-    /// Urgent and bulk bytes that all balancers together have sent since the last reset.
+    /// Returns the urgent and bulk bytes sent by all balancers since the last reset.
     #[must_use]
     pub fn rest(&self) -> usize {
         self.tally.rest
     }
 
-    /// How many balancers may serve.
+    /// Returns the number of balancers that are allowed to serve.
     #[must_use]
     pub fn serving(&self) -> usize {
-        let serving = self.balancers.iter().filter(|own| own.view.is_some());
+        let serving = self
+            .balancers
+            .iter()
+            .filter(|balancer| balancer.view.is_some());
         serving.count()
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn run(&mut self, time: Duration, size: &Size) {
         let end = self.now + time;
         let begin = self.now;
         while self.now < end {
             self.now += TICK;
-            // The first after half of the time between two, so that their effects are counted.
+            // The first change comes after half an interval, so that the effects of all are measured.
             let due = |time: Duration| time.as_secs_f64() / 60.0 * f64::from(size.changes) + 0.5;
             if due(self.now - begin).floor() > due(self.now - begin - TICK).floor() {
                 self.change();
             }
-            self.turn();
+            self.tick();
         }
     }
 
-    /// Puts a change into the store.
+    /// Writes a configuration change to the store.
     pub fn change(&mut self) {
-        self.changed += 1;
-        if let Ok(document) = change(Some(&self.store.config), self.config.clone(), self.changed) {
+        self.change_count += 1;
+        if let Ok(document) = change(
+            Some(&self.store.config),
+            self.config.clone(),
+            self.change_count,
+        ) {
             self.store.config = document;
         }
     }
 
-    /// One tick of every balancer, with all messages and answers that come of it.
-    fn turn(&mut self) {
+    /// Runs one tick of every balancer and delivers all resulting messages and answers.
+    fn tick(&mut self) {
         let answers = self.store.answers(self.now);
         let start = cpu::thread();
-        for (by, event) in answers {
-            self.balancers[by]
+        for (balancer, event) in answers {
+            self.balancers[balancer]
                 .core
                 .handle_platform_event(self.now, event);
         }
-        let mut orders = Vec::new();
+        let mut calls = Vec::new();
         for at in 0..self.balancers.len() {
-            let own = &mut self.balancers[at];
-            let outcome = own.core.tick(self.now, EPOCH + self.now, &own.shards);
-            own.incarnation = outcome.incarnation;
-            own.view = outcome.view;
-            orders.extend(outcome.platform_calls.into_iter().map(|order| (at, order)));
+            let balancer = &mut self.balancers[at];
+            let outcome = balancer
+                .core
+                .tick(self.now, EPOCH + self.now, &balancer.shards);
+            balancer.incarnation = outcome.incarnation;
+            balancer.view = outcome.view;
+            calls.extend(outcome.platform_calls.into_iter().map(|call| (at, call)));
             self.send(at, outcome.outgoing);
         }
         while let Some((to, frame)) = self.frames.pop_front() {
             self.receive(to, &frame);
         }
         self.tally.processor += cpu::thread() - start;
-        for (by, order) in orders {
-            self.store.call(by, order, self.now);
+        for (balancer, call) in calls {
+            self.store.call(balancer, call, self.now);
         }
     }
 
@@ -312,31 +323,31 @@
     }
 
     fn transmit(&mut self, from: usize, outgoing: &Outgoing) {
-        let own = &mut self.balancers[from];
-        own.sequence += 1;
+        let balancer = &mut self.balancers[from];
+        balancer.sequence += 1;
         let envelope = Envelope {
             sender: from as u16,
-            incarnation: own.incarnation,
-            sequence: own.sequence,
+            incarnation: balancer.incarnation,
+            sequence: balancer.sequence,
         };
         let payload = Payload {
             to: outgoing.to,
             echo: Some(Echo {
-                incarnation: own.incarnation,
-                sequence: own.sequence,
+                incarnation: balancer.incarnation,
+                sequence: balancer.sequence,
             }),
             body: postcard::to_allocvec(&outgoing.message).ok(),
         };
         let frame = seal(&envelope, &payload, &scene::secret());
-        let bytes = wire(frame.len());
-        if let Some(bucket) = &mut own.bucket {
+        let bytes = wire_size(frame.len());
+        if let Some(bucket) = &mut balancer.bucket {
             bucket.charge(frame.len() + LENGTH);
         }
         match outgoing.class {
             Class::Heartbeat => self.tally.heartbeats += bytes,
             _ => self.tally.rest += bytes,
         }
-        self.tally.segments += (frame.len() + LENGTH).div_ceil(SEGMENT);
+        self.tally.segments += (frame.len() + LENGTH).div_ceil(SEGMENT_PAYLOAD);
         self.frames.push_back((usize::from(outgoing.to), frame));
     }
 
@@ -348,8 +359,10 @@
         let Ok(message) = postcard::from_bytes::<Message>(&body) else {
             return;
         };
-        let own = &mut self.balancers[to];
-        let answers = own.core.receive(self.now, &envelope, message, &own.shards);
+        let balancer = &mut self.balancers[to];
+        let answers = balancer
+            .core
+            .receive(self.now, &envelope, message, &balancer.shards);
         self.send(to, answers.unwrap_or_default());
     }
 }
--- a/crates/bench/src/control/line.rs
+++ b/crates/bench/src/control/line.rs
@@ -3,23 +3,23 @@
 /// `intercept + slope * x`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Line {
-    /// Growth for each unit.
+    /// Growth per unit of `x`.
     pub slope: f64,
-    /// Value at nothing.
+    /// Value at `x = 0`.
     pub intercept: f64,
-    /// Part of the variance that the line explains (coefficient of determination), 0 to 1. Far
-    /// from 1, the figure doesn't grow in a straight line, or is noise.
-    pub determined: f64,
+    /// Coefficient of determination (R²), 0 to 1. A value far below 1 means that the growth is not
+    /// linear or that the measurements are mostly noise.
+    pub r_squared: f64,
 }
 
 impl Line {
-    /// The line of least squares through `points`; without a slope for fewer than two different
-    /// values of x.
+    /// Fits a line to `points` by least squares. The slope is 0 if there are fewer than two distinct
+    /// values of `x`.
     ///
     /// ```
     /// use acacia_bench::control::line::Line;
     /// let line = Line::fit([(0.0, 1.0), (1.0, 3.0), (2.0, 5.0)]);
-    /// assert_eq!((line.slope, line.intercept, line.determined), (2.0, 1.0, 1.0));
+    /// assert_eq!((line.slope, line.intercept, line.r_squared), (2.0, 1.0, 1.0));
     /// ```
     #[must_use]
     pub fn fit(points: impl IntoIterator<Item = (f64, f64)>) -> Self {
@@ -36,7 +36,7 @@
         Line {
             slope,
             intercept: mean_y - slope * mean_x,
-            determined: if yy > 0.0 { slope * xy / yy } else { 1.0 },
+            r_squared: if yy > 0.0 { slope * xy / yy } else { 1.0 },
         }
     }
 }
@@ -46,11 +46,11 @@
         let Line {
             slope,
             intercept,
-            determined,
+            r_squared,
         } = self;
         write!(
             f,
-            "slope={slope:.4} intercept={intercept:.2} r2={determined:.3}"
+            "slope={slope:.4} intercept={intercept:.2} r2={r_squared:.3}"
         )
     }
 }
--- a/crates/bench/src/control/store.rs
+++ b/crates/bench/src/control/store.rs
@@ -4,30 +4,30 @@
 use acacia_node::control::{agreement, platform};
 use acacia_tables::writer;
 
-/// How long the client lets a watch wait for something new (`acacia_platform::Options`).
-const WATCH: Duration = Duration::from_secs(2);
+/// Timeout that the client sets for a watch (`acacia_platform::Options`).
+const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A call that waits.
+/// Call that has not been answered yet.
 #[derive(Debug)]
-struct Waiting {
-    by: usize,
+struct PendingCall {
+    balancer: usize,
     since: Duration,
-    order: agreement::Call,
+    call: agreement::Call,
 }
 
-/// The platform's store: two keys, compare-and-swap, watches that wait.
+/// In-memory model of the platform's store: two keys, compare-and-swap and long-polling watches.
 #[derive(Debug)]
 pub struct Store {
-    /// The configuration.
+    /// Stored configuration.
     pub config: Arc<Document>,
     tables: agreement::Entry,
-    waiting: Vec<Waiting>,
-    /// Calls taken since the start.
+    pending: Vec<PendingCall>,
+    /// Number of calls received since the start.
     pub calls: u64,
 }
 
 impl Store {
-    /// A store with a configuration and no tables yet.
+    /// Creates a store that holds a configuration and no tables.
     #[must_use]
     pub fn new(config: Arc<Document>) -> Self {
         Store {
@@ -36,60 +36,61 @@
                 revision: 0,
                 value: None,
             },
-            waiting: Vec::new(),
+            pending: Vec::new(),
             calls: 0,
         }
     }
 
-    /// Takes a call of the balancer at place `by`. Answers come from [`Store::answers`].
-    pub fn call(&mut self, by: usize, order: agreement::Call, now: Duration) {
+    /// Accepts a call from the balancer at index `balancer`. [`Store::answers`] returns the answer.
+    pub fn call(&mut self, balancer: usize, call: agreement::Call, now: Duration) {
         self.calls += 1;
-        let same = |waiting: &Waiting| {
-            let kind = std::mem::discriminant(&waiting.order);
-            waiting.by == by && kind == std::mem::discriminant(&order)
+        let same = |pending: &PendingCall| {
+            let kind = std::mem::discriminant(&pending.call);
+            pending.balancer == balancer && kind == std::mem::discriminant(&call)
         };
-        self.waiting.retain(|waiting| !same(waiting));
-        self.waiting.push(Waiting {
-            by,
+        self.pending.retain(|pending| !same(pending));
+        self.pending.push(PendingCall {
+            balancer,
             since: now,
-            order,
+            call,
         });
     }
 
-    /// What can be answered now, and to whom.
+    /// Returns the answers that are available now, each with the balancer that it goes to.
     pub fn answers(&mut self, now: Duration) -> Vec<(usize, platform::Event)> {
         let mut answers = Vec::new();
-        for waiting in std::mem::take(&mut self.waiting) {
-            let late = now >= waiting.since + WATCH;
-            match self.answer(&waiting.order, late) {
-                Some(news) => answers.push((waiting.by, news)),
-                None => self.waiting.push(waiting),
+        for pending in std::mem::take(&mut self.pending) {
+            let timed_out = now >= pending.since + WATCH_TIMEOUT;
+            match self.answer(&pending.call, timed_out) {
+                Some(event) => answers.push((pending.balancer, event)),
+                None => self.pending.push(pending),
             }
         }
         answers
     }
 
-    fn answer(&mut self, order: &agreement::Call, late: bool) -> Option<platform::Event> {
-        match order {
+    fn answer(&mut self, call: &agreement::Call, timed_out: bool) -> Option<platform::Event> {
+        match call {
             agreement::Call::WatchConfig { above } => {
                 let answer = acacia_rollout::Entry {
                     revision: self.config.revision,
                     document: Some(Arc::clone(&self.config)),
                 };
-                (late || answer.revision > *above).then_some(platform::Event::Config(Some(answer)))
+                (timed_out || answer.revision > *above)
+                    .then_some(platform::Event::Config(Some(answer)))
             }
-            agreement::Call::WatchTables { above } => (late || self.tables.revision > *above)
+            agreement::Call::WatchTables { above } => (timed_out || self.tables.revision > *above)
                 .then(|| platform::Event::Tables(Some(self.tables.clone()))),
             agreement::Call::ReadTables => {
                 Some(platform::Event::ReadTables(Some(self.tables.clone())))
             }
             agreement::Call::WriteTables { expected, text } => Some(platform::Event::WroteTables(
-                self.swap(*expected, Arc::clone(text)),
+                self.compare_and_swap(*expected, Arc::clone(text)),
             )),
         }
     }
 
-    fn swap(&mut self, expected: u64, text: Arc<str>) -> writer::Answer {
+    fn compare_and_swap(&mut self, expected: u64, text: Arc<str>) -> writer::Answer {
         if expected != self.tables.revision {
             return writer::Answer::Conflict;
         }
--- a/crates/bench/src/speed/decide.rs
+++ b/crates/bench/src/speed/decide.rs
@@ -15,16 +15,18 @@
 };
 use anyhow::Context as _;
 
-use super::{Options, cpu, scene, spread};
+use super::{Options, cpu, median_and_range, scene};
 
-/// Shards of the daemon.
+/// Number of shards, as in the daemon.
 const SHARDS: usize = 16;
-/// New flows of one measurement: below the room for openings of all shards.
-const NEW: usize = 100_000;
-/// Packets with real bytes; their buffers stay in the processor's caches as those of a batch do.
+/// New flows in one measurement. Stays below the number of opening flows that all shards together
+/// can hold.
+const NEW_FLOWS: usize = 100_000;
+/// Packets in the cases that encode or decode bytes. Few enough for their buffers to stay in the
+/// CPU caches, as the buffers of a receive batch do.
 const PACKETS: usize = 4_096;
 
-/// What came of the decisions of one measurement.
+/// Counts of the decisions in one measurement, by action.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tally {
     forwarded: u64,
@@ -42,7 +44,7 @@
     }
 }
 
-/// One balancer's state.
+/// State of one balancer.
 struct Node {
     snapshot: Snapshot,
     shards: Shards,
@@ -80,8 +82,8 @@
     }
 }
 
-/// The header under which another balancer asks this one.
-fn question() -> Redirect {
+/// Header with which another balancer redirects a packet here for a decision.
+fn resolve_request() -> Redirect {
     Redirect {
         purpose: Purpose::Resolve,
         hops: 1,
@@ -92,10 +94,10 @@
     }
 }
 
-/// A balancer whose flows all have pins and are beyond their openings.
+/// Creates a balancer that holds a pin for every flow, each past its opening packet.
 fn pinned(keys: &[Key]) -> Node {
     let node = Node::new(true);
-    let asked = Arrival::Redirected(question());
+    let asked = Arrival::Redirected(resolve_request());
     for key in keys {
         node.decide(&scene::opening(key), asked);
         node.decide(&scene::middle(key), asked);
@@ -103,52 +105,52 @@
     node
 }
 
-/// Runs the cases and prints their lines.
+/// Runs the selected cases and prints one line for each.
 pub fn run(options: &Options, seed: u64) -> anyhow::Result<()> {
     let owned = scene::keys(seed, options.flows, true);
     let others = scene::keys(seed, options.flows, false);
-    let asked = Arrival::Redirected(question());
+    let asked = Arrival::Redirected(resolve_request());
     let report = Report { options, seed };
     let middle: Vec<Packet> = owned.iter().map(scene::middle).collect();
-    let opening: Vec<Packet> = owned.iter().take(NEW).map(scene::opening).collect();
+    let opening: Vec<Packet> = owned.iter().take(NEW_FLOWS).map(scene::opening).collect();
     let foreign: Vec<Packet> = others.iter().map(scene::middle).collect();
     let foreign_opening: Vec<Packet> = others.iter().map(scene::opening).collect();
 
     let base = Node::new(false);
-    report.repeat("warm_base", &base, &middle, Arrival::Ingress)?;
-    report.repeat("new_base", &base, &opening, Arrival::Ingress)?;
-    if report.any(&["warm_pinned", "decode"]) {
+    report.measure_repeated("warm_base", &base, &middle, Arrival::Ingress)?;
+    report.measure_repeated("new_base", &base, &opening, Arrival::Ingress)?;
+    if report.wants_any(&["warm_pinned", "decode"]) {
         let owner = pinned(&owned);
-        report.repeat("warm_pinned_owner", &owner, &middle, asked)?;
-        report.repeat(
+        report.measure_repeated("warm_pinned_owner", &owner, &middle, asked)?;
+        report.measure_repeated(
             "warm_pinned_owner_ingress",
             &owner,
             &middle,
             Arrival::Ingress,
         )?;
-        report.bytes("decode_redirected", &owner, &owned, true)?;
+        report.measure_decode("decode_redirected", &owner, &owned, true)?;
     }
     let flagged = Node::new(true);
-    report.repeat("warm_pinned_ingress", &flagged, &foreign, Arrival::Ingress)?;
-    report.repeat(
+    report.measure_repeated("warm_pinned_ingress", &flagged, &foreign, Arrival::Ingress)?;
+    report.measure_repeated(
         "new_pinned_ingress",
         &flagged,
         &foreign_opening,
         Arrival::Ingress,
     )?;
-    report.fresh("new_pinned_owner", &opening, asked)?;
-    report.bytes("decode_plain", &base, &owned, false)?;
-    report.encode(&owned)
+    report.measure_new_flows("new_pinned_owner", &opening, asked)?;
+    report.measure_decode("decode_plain", &base, &owned, false)?;
+    report.measure_encode(&owned)
 }
 
-/// Prints measurements.
+/// Runs measurements and prints their results.
 struct Report<'a> {
     options: &'a Options,
     seed: u64,
 }
 
 impl Report<'_> {
-    fn any(&self, names: &[&str]) -> bool {
+    fn wants_any(&self, names: &[&str]) -> bool {
         let cases = &self.options.cases;
         cases.is_empty()
             || cases
@@ -156,8 +158,8 @@
                 .any(|case| names.iter().any(|n| case.starts_with(n)))
     }
 
-    fn line(&self, case: &str, flows: usize, nanos: Vec<f64>, state: f64, tally: Tally) {
-        let [median, least, most] = spread(nanos);
+    fn print(&self, case: &str, flows: usize, nanos: Vec<f64>, state: f64, tally: Tally) {
+        let [median, least, most] = median_and_range(nanos);
         println!(
             "case={case} seed={} flows={flows} nanos={median:.1} nanos_least={least:.1} \
              nanos_most={most:.1} per_second={:.0} state_bytes_per_flow={state:.1} \
@@ -169,8 +171,8 @@
         );
     }
 
-    /// The same packets over and over at a balancer that knows their flows.
-    fn repeat(
+    /// Measures repeated decisions on the same packets, after a first pass that is not measured.
+    fn measure_repeated(
         &self,
         case: &str,
         node: &Node,
@@ -180,7 +182,7 @@
         if !self.options.wants(case) {
             return Ok(());
         }
-        // The first pass fills the processor's caches as far as they hold the state.
+        // The first pass warms up the CPU caches, as far as the state fits into them.
         let tally = node.pass(packets, arrival);
         anyhow::ensure!(tally.other == 0, "{case}: {} packets dropped", tally.other);
         let measure = |_| {
@@ -190,12 +192,17 @@
         };
         let nanos = (0..self.options.rounds).map(measure).collect();
         let state = node.shards.bytes() as f64 / packets.len() as f64;
-        self.line(case, packets.len(), nanos, state, tally);
+        self.print(case, packets.len(), nanos, state, tally);
         Ok(())
     }
 
-    /// Openings at an owner that knows none of their flows.
-    fn fresh(&self, case: &str, packets: &[Packet], arrival: Arrival) -> anyhow::Result<()> {
+    /// Measures the opening packets of new flows at an owner that has no state for them.
+    fn measure_new_flows(
+        &self,
+        case: &str,
+        packets: &[Packet],
+        arrival: Arrival,
+    ) -> anyhow::Result<()> {
         if !self.options.wants(case) {
             return Ok(());
         }
@@ -208,12 +215,18 @@
             state = node.shards.bytes() as f64 / packets.len() as f64;
         }
         anyhow::ensure!(tally.other == 0, "{case}: {} packets dropped", tally.other);
-        self.line(case, packets.len(), times, state, tally);
+        self.print(case, packets.len(), times, state, tally);
         Ok(())
     }
 
-    /// From a datagram's bytes to the decision.
-    fn bytes(&self, case: &str, node: &Node, keys: &[Key], redirected: bool) -> anyhow::Result<()> {
+    /// Measures decoding a datagram and deciding on its packet.
+    fn measure_decode(
+        &self,
+        case: &str,
+        node: &Node,
+        keys: &[Key],
+        redirected: bool,
+    ) -> anyhow::Result<()> {
         if !self.options.wants(case) {
             return Ok(());
         }
@@ -223,7 +236,7 @@
             let bytes = scene::bytes(key)?;
             let mut datagram = Vec::new();
             match redirected {
-                true => encap::encode(&question(), &bytes, &secret, &mut datagram),
+                true => encap::encode(&resolve_request(), &bytes, &secret, &mut datagram),
                 false => datagram = bytes,
             }
             datagrams.push(datagram);
@@ -238,12 +251,12 @@
             times.push(nanos(start, datagrams.len()));
         }
         anyhow::ensure!(tally.other == 0, "{case}: {} packets dropped", tally.other);
-        self.line(case, datagrams.len(), times, 0.0, tally);
+        self.print(case, datagrams.len(), times, 0.0, tally);
         Ok(())
     }
 
-    /// A redirect header before a packet, into a buffer that is used again.
-    fn encode(&self, keys: &[Key]) -> anyhow::Result<()> {
+    /// Measures encoding a redirect header and a packet into a reused buffer.
+    fn measure_encode(&self, keys: &[Key]) -> anyhow::Result<()> {
         let case = "encode_redirect";
         if !self.options.wants(case) {
             return Ok(());
@@ -257,7 +270,7 @@
         let measure = |_| {
             let start = cpu::thread();
             for packet in &packets {
-                encap::encode(&question(), packet, &secret, &mut out);
+                encap::encode(&resolve_request(), packet, &secret, &mut out);
                 black_box(&out);
             }
             nanos(start, packets.len())
@@ -267,12 +280,12 @@
             redirected: packets.len() as u64,
             ..Tally::default()
         };
-        self.line(case, packets.len(), times, 0.0, tally);
+        self.print(case, packets.len(), times, 0.0, tally);
         Ok(())
     }
 }
 
-/// Nanoseconds of this thread's processor time for each of `count` steps since `start`.
+/// Nanoseconds of CPU time of this thread since `start`, per each of `count` steps.
 fn nanos(start: std::time::Duration, count: usize) -> f64 {
     (cpu::thread() - start).as_nanos() as f64 / count as f64
 }
--- a/crates/bench/src/speed/shared.rs
+++ b/crates/bench/src/speed/shared.rs
@@ -5,17 +5,17 @@
 use acacia_wire::packet::Packet;
 use anyhow::anyhow;
 
-use super::{Options, cpu, scene, spread};
+use super::{Options, cpu, median_and_range, scene};
 
-/// Threads that share shards and counts.
+/// Numbers of threads that share the shards and counters.
 const THREADS: &[usize] = &[1, 2, 4];
-/// Shards of the daemon.
+/// Number of shards, as in the daemon.
 const SHARDS: usize = 16;
-/// Passes over a thread's flows in one measurement.
+/// Passes over the flows of a thread in one measurement.
 const PASSES: usize = 4;
 
-/// What the traffic threads share is measured without sockets: decisions on base with and without
-/// the counts that the worker keeps for each packet.
+/// Measures the state shared by the traffic threads, without sockets: decisions for flows on their
+/// base server, with and without the per-packet counters of the worker.
 pub fn run(options: &Options, seed: u64) -> anyhow::Result<()> {
     for (case, counted) in [("shared_decide", false), ("shared_decide_count", true)] {
         if !options.wants(case) {
@@ -28,7 +28,7 @@
             let nanos: Vec<f64> = (0..options.rounds)
                 .map(measure)
                 .collect::<anyhow::Result<_>>()?;
-            let [median, least, most] = spread(nanos);
+            let [median, least, most] = median_and_range(nanos);
             println!(
                 "case={case} seed={seed} threads={threads} flows={} nanos={median:.1} \
                  nanos_least={least:.1} nanos_most={most:.1}",
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-/// Nanoseconds of processor time a packet, over all threads.
+/// Nanoseconds of CPU time per packet, over all threads.
 fn measure(packets: &[Packet], threads: usize, counted: bool) -> anyhow::Result<f64> {
     let snapshot = scene::snapshot(false);
     let shards = Shards::new(SHARDS, Limits::default());
@@ -72,6 +72,6 @@
         let times = running.into_iter().map(thread::ScopedJoinHandle::join);
         times.sum::<Result<f64, _>>()
     });
-    let nanos = sum.map_err(|_| anyhow!("a thread panicked"))?;
+    let nanos = sum.map_err(|_| anyhow!("a measuring thread panicked"))?;
     Ok(nanos / (PASSES * part * threads) as f64)
 }
--- a/crates/bench/tests/it/speed.rs
+++ b/crates/bench/tests/it/speed.rs
@@ -1,22 +1,26 @@
-use acacia_bench::speed::{scene, spread};
+use acacia_bench::speed::{median_and_range, scene};
 use acacia_flow::{place::by_table, resolve, shard::Limits, shard::Shard, verdict};
 
 #[test]
-fn spread_gives_the_middle_and_both_ends() {
-    assert_eq!(spread(vec![5.0, 1.0, 4.0, 2.0, 3.0]), [3.0, 1.0, 5.0]);
-    assert_eq!(spread(vec![2.0]), [2.0; 3]);
-    assert!(spread(Vec::new())[0].is_nan());
+fn median_and_range_of_measurements() {
+    assert_eq!(
+        median_and_range(vec![5.0, 1.0, 4.0, 2.0, 3.0]),
+        [3.0, 1.0, 5.0]
+    );
+    assert_eq!(median_and_range(vec![2.0]), [2.0; 3]);
+    assert!(median_and_range(Vec::new())[0].is_nan());
 }
 
 #[test]
-fn a_seed_gives_the_same_flows_again() {
+fn same_seed_gives_same_flows() {
     assert_eq!(scene::keys(3, 50, true), scene::keys(3, 50, true));
     assert_ne!(scene::keys(3, 50, true), scene::keys(4, 50, true));
 }
 
-/// Were the flows' owners mixed up, the cases would measure something else than their names say.
+/// Guards against `scene::keys` returning flows of the wrong owner: the cases would then measure
+/// the other path than the one in their names.
 #[test]
-fn openings_off_base_stay_with_their_owner_only() {
+fn only_owner_pins_new_flows_off_base() {
     let snapshot = scene::snapshot(true);
     for owned in [true, false] {
         for key in scene::keys(1, 50, owned) {
