--- a/crates/bench/src/balance.rs
+++ b/crates/bench/src/balance.rs
@@ -1,23 +1,23 @@
-//! Subcommand `balance`: an event-driven model of callers and backend servers around the real
-//! decision code, against simpler policies and an all-knowing one.
+//! Subcommand `balance`: a discrete-event simulation of callers and backend servers that runs the
+//! product's decision code and compares it with simpler policies and with an omniscient one.
 
-/// How flows arrive and are placed.
+/// Arrival of flows and their placement on backend servers.
 pub mod arrival;
-/// What a run is made of: demand, faults, sizes.
+/// Definitions of the simulated cases: sites, demand and faults.
 pub mod case;
-/// Balancers that place flows by cookie.
+/// Balancers that place flows whose packets carry a routing cookie.
 pub mod cookie;
-/// What happens in a run, in order of time.
+/// Events of a simulation and the queue that orders them by time.
 pub mod event;
-/// Balancers with stale counts of each other, around the product's decision code.
+/// Balancers that run the product's decision code on delayed reports from their peers.
 pub mod fleet;
-/// Backend servers: slots, a queue, true speeds.
+/// Model of a backend server: parallel slots, a queue and a true speed.
 pub mod model;
-/// What is measured.
+/// Results of a simulation.
 pub mod outcome;
-/// One run of one case under one policy.
+/// Simulation of one case under one policy.
 pub mod simulation;
-/// Buckets of new flows.
+/// Hash table that maps buckets of new flows to backend servers.
 pub mod table;
 
 use acacia_load::limits::Limits;
@@ -25,46 +25,49 @@
 use case::{Case, SITES};
 use simulation::Policy;
 
-/// What to run.
+/// Command-line options of `balance`.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Seeds, one run each.
+    /// Random seeds; each case runs once per seed.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     pub seeds: Vec<u64>,
-    /// Cases; all if none is named.
+    /// Cases to run; all by default.
     #[arg(long, value_delimiter = ',')]
     pub cases: Vec<String>,
-    /// Policies: equal, static, least, ours, cookie, ideal; all if none is named.
+    /// Policies to compare (equal, static, least, ours, cookie, ideal); all by default.
     #[arg(long, value_delimiter = ',')]
     pub policies: Vec<String>,
-    /// Sites: tampere, lima; both if none is named.
+    /// Sites to simulate (tampere, lima); both by default.
     #[arg(long, value_delimiter = ',')]
     pub sites: Vec<String>,
-    /// Mean work of a short request on a server of speed 1, in milliseconds.
+    /// Mean service time of a short request on a server of speed 1, in milliseconds.
     #[arg(long, default_value_t = 10.0)]
     pub work: f64,
-    /// Part of the acknowledgements that callers may delay, so that their times tell nothing.
+    /// Fraction of acknowledgements that callers delay, which makes them useless as latency samples.
     #[arg(long, default_value_t = 0.3)]
     pub delayed: f64,
-    /// Print the writing balancer's view every second, to the standard error.
+    /// Print the state of the balancer that writes the table to standard error every second.
     #[arg(long)]
     pub trace: bool,
-    /// A limit to sweep, as NAME=VALUE, such as `lent=0.8`; may be repeated.
+    /// Override a limit of the decision code, as NAME=VALUE (for example `lent=0.8`); repeatable.
     #[arg(long = "limit")]
     pub limits: Vec<String>,
 }
 
-/// Runs the cases and prints their lines.
+/// Runs the selected cases and prints one result line per run.
 pub fn run(options: &Options) -> anyhow::Result<()> {
-    let limits = limits(&options.limits)?;
-    for site in SITES.iter().filter(|site| named(&options.sites, site.name)) {
+    let limits = limits_with_overrides(&options.limits)?;
+    for site in SITES
+        .iter()
+        .filter(|site| is_selected(&options.sites, site.name))
+    {
         for case in Case::all()
             .iter()
-            .filter(|case| named(&options.cases, case.name))
+            .filter(|case| is_selected(&options.cases, case.name))
         {
             for policy in Policy::ALL
                 .iter()
-                .filter(|policy| named(&options.policies, policy.name()))
+                .filter(|policy| is_selected(&options.policies, policy.name()))
             {
                 for seed in &options.seeds {
                     let mut scene = case::Scene::new(site, case, options.work / 1e3, *seed);
@@ -80,33 +83,33 @@
     Ok(())
 }
 
-fn named(names: &[String], name: &str) -> bool {
-    names.is_empty() || names.iter().any(|own| own == name)
+fn is_selected(names: &[String], name: &str) -> bool {
+    names.is_empty() || names.iter().any(|selected| selected == name)
 }
 
-fn limits(changes: &[String]) -> anyhow::Result<Limits> {
+fn limits_with_overrides(overrides: &[String]) -> anyhow::Result<Limits> {
     let mut limits = Limits::default();
-    for change in changes {
-        let (name, value) = change
+    for assignment in overrides {
+        let (name, value) = assignment
             .split_once('=')
-            .ok_or_else(|| anyhow::anyhow!("not NAME=VALUE: {change}"))?;
+            .ok_or_else(|| anyhow::anyhow!("expected NAME=VALUE, got {assignment:?}"))?;
         let value: f64 = value.parse()?;
-        let time = || std::time::Duration::from_secs_f64(value);
+        let duration = || std::time::Duration::from_secs_f64(value);
         match name {
-            "fast" => limits.fast = time(),
-            "slow" => limits.slow = time(),
+            "fast" => limits.fast = duration(),
+            "slow" => limits.slow = duration(),
             "samples" => limits.samples = value,
             "samples_least" => limits.samples_least = value,
-            "patience" => limits.patience = time(),
+            "patience" => limits.patience = duration(),
             "memory" => limits.memory = value,
             "distrust" => limits.distrust = value,
             "eject" => limits.eject = value,
             "rise" => limits.rise = value,
             "fall" => limits.fall = value,
-            "period" => limits.period = time(),
+            "period" => limits.period = duration(),
             "hysteresis" => limits.hysteresis = value,
             "start" => limits.start = value,
-            "rest" => limits.ejection_time = time(),
+            "rest" => limits.ejection_time = duration(),
             "evidence" => limits.evidence = value,
             "silence" => limits.silence = value,
             "bound" => limits.bound = value,
@@ -114,16 +117,16 @@
             "calm" => limits.spill_min_progress = value,
             "ceiling" => limits.ceiling = value,
             "lent" => limits.lent = value,
-            "about" => limits.paying_window = time(),
+            "about" => limits.paying_window = duration(),
             "change" => limits.change = value,
             "target" => limits.target = value,
             "gain" => limits.gain = value,
-            "burst" => limits.burst = time(),
-            "burst_trial" => limits.burst_trial = time(),
-            "slack" => limits.slack = time(),
+            "burst" => limits.burst = duration(),
+            "burst_trial" => limits.burst_trial = duration(),
+            "slack" => limits.slack = duration(),
             "least" => limits.least = value,
             "least_lent" => limits.least_lent = value,
-            _ => anyhow::bail!("no such limit to sweep: {name}"),
+            _ => anyhow::bail!("unknown limit: {name}"),
         }
     }
     Ok(limits)
--- a/crates/bench/src/flows.rs
+++ b/crates/bench/src/flows.rs
@@ -1,9 +1,9 @@
-//! Subcommand `flows`: broken flows under change and failure, by policy.
+//! Subcommand `flows`: counts flows that break under configuration changes and failures, by policy.
 //!
-//! An event loop in virtual time: callers spray packets over balancers at random, balancers hand
-//! them on with a fixed delay, and every backend server knows which flows it opened. A flow is
-//! broken when one of its packets reaches a server that doesn't, whose kernel answers with a reset.
-//! Policy `ours` runs the product's own decision code.
+//! A discrete-event simulation: each packet enters at a random balancer, balancers redirect packets
+//! to each other with a fixed delay, and every backend server knows the flows that it accepted. A
+//! flow breaks when one of its packets reaches a server that doesn't know it, because that server's
+//! kernel answers with a reset. Policy `ours` runs the product's decision code.
 
 mod balancer;
 mod case;
@@ -18,10 +18,10 @@
 pub use case::Case;
 pub use policy::Policy;
 
-/// What to run.
+/// Command-line options of `flows`.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Seeds, one run each.
+    /// Random seeds; each case runs once per seed.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     pub seeds: Vec<u64>,
     /// Cases to run.
@@ -30,30 +30,31 @@
     /// Policies to compare.
     #[arg(long, value_enum, value_delimiter = ',', default_values_t = Policy::ALL)]
     pub policies: Vec<Policy>,
-    /// Flows open at a time.
+    /// Number of concurrently open flows.
     #[arg(long, default_value_t = 300_000)]
     pub flows: u32,
-    /// Balancers.
+    /// Number of balancers.
     #[arg(long, default_value_t = 8)]
     pub balancers: u16,
-    /// Backend servers.
+    /// Number of backend servers.
     #[arg(long, default_value_t = 15)]
     pub servers: u16,
-    /// New flows a second at each balancer.
+    /// New flows per second at each balancer.
     #[arg(long, default_value_t = 2_000)]
     pub opens: u32,
-    /// Seconds that a case lasts after its flows are open; cases that need longer take longer.
+    /// Minimum duration of a case in seconds, counted from when its flows are open; a case whose
+    /// timeline is longer runs to its end.
     #[arg(long, default_value_t = 60)]
     pub seconds: u64,
-    /// Buckets of the service's table.
+    /// Number of buckets in the service's hash table.
     #[arg(long, default_value_t = 4_096)]
     pub buckets: usize,
-    /// Share of packets between balancers that are lost.
+    /// Fraction of packets between balancers that are lost.
     #[arg(long, default_value_t = 0.0)]
     pub loss: f64,
 }
 
-/// Runs the cases and prints their lines.
+/// Runs the selected cases and prints one result line per run.
 pub fn run(options: &Options) -> anyhow::Result<()> {
     anyhow::ensure!(options.balancers > 1, "at least two balancers are needed");
     for &case in &options.cases {
--- a/crates/bench/src/flows/case.rs
+++ b/crates/bench/src/flows/case.rs
@@ -1,4 +1,4 @@
-/// What happens while the flows are open.
+/// A scenario of changes and failures that the open flows have to survive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum Case {
     /// One backend server drains.
@@ -7,43 +7,43 @@
     DrainCrash,
     /// A backend server is added.
     Add,
-    /// A third of the backend servers get other weights.
+    /// The weights of two thirds of the backend servers change.
     Reweight,
     /// All balancers are replaced one after another during a drain.
     Rolling,
     /// The store is down for ten minutes, and three servers drain meanwhile.
     StoreDown,
-    /// Half of the balancers are cut off from the others for 20 s during a drain.
+    /// A network partition separates half of the balancers from the others for 20 s during a drain.
     CutHeal,
-    /// All of it in sequence.
+    /// A sequence of drains, a reweight, a replacement, an addition, a crash and a partition.
     All,
 }
 
-/// One change.
+/// A change or failure in a case's timeline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// A server stops to take new flows.
+    /// A server stops accepting new flows.
     Drain(u16),
     /// A server is added.
     Add(u16),
-    /// Every third server gets half its weight, the next one twice.
+    /// Of every three servers, the weight of the first is halved and that of the second doubled.
     Reweight,
-    /// A balancer hands over, ends, and a new process takes its place.
+    /// A balancer hands over its flows and exits; a new process takes its place.
     Replace(u16),
-    /// A balancer ends without notice.
+    /// A balancer exits without telling its peers.
     Crash(u16),
-    /// A crashed balancer's successor starts.
+    /// A new process takes the place of a crashed balancer.
     Start(u16),
-    /// The lower half of the balancers is cut off from the others.
+    /// A network partition separates the lower half of the balancers from the others.
     Cut,
-    /// The cut ends.
+    /// The network partition ends.
     Heal,
-    /// Tables take longer to reach everyone: they pass between balancers only.
+    /// The store fails: tables spread only between balancers, so they take longer to reach all.
     StoreDown,
 }
 
 impl Case {
-    /// All of them.
+    /// Every case.
     pub const ALL: [Case; 8] = [
         Case::Drain,
         Case::DrainCrash,
@@ -55,7 +55,7 @@
         Case::All,
     ];
 
-    /// The changes with their times in seconds after the flows are open.
+    /// The changes, each with its time in seconds after the flows are open.
     #[must_use]
     pub fn timeline(self, balancers: u16, servers: u16) -> Vec<(u64, Change)> {
         use Change::*;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Seconds that the case lasts at least.
+    /// Minimum duration of the case in seconds.
     #[must_use]
     pub fn seconds(self, balancers: u16) -> u64 {
         match self {
--- a/crates/bench/src/flows/policy.rs
+++ b/crates/bench/src/flows/policy.rs
@@ -1,18 +1,18 @@
 use acacia_wire::{collections::Map, flow::Key, packet::Kind};
 
-/// A way of sending packets to backend servers.
+/// How balancers choose a backend server for a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum Policy {
-    /// Consistent hashing alone.
+    /// Consistent hashing without per-flow state.
     Hash,
-    /// Consistent hashing, and each balancer remembers the flows it has seen.
+    /// Consistent hashing with a flow table local to each balancer.
     Track,
     /// The product's decision code.
     Ours,
 }
 
 impl Policy {
-    /// All of them.
+    /// Every policy.
     pub const ALL: [Policy; 3] = [Policy::Hash, Policy::Track, Policy::Ours];
 }
 
@@ -26,14 +26,14 @@
     }
 }
 
-/// One balancer's memory under [`Policy::Track`].
+/// Flow table of one balancer under [`Policy::Track`].
 #[derive(Debug, Default)]
 pub struct Tracked {
     flows: Map<Key, u16>,
 }
 
 impl Tracked {
-    /// The server for a packet whose bucket belongs to `hashed` now.
+    /// Returns the server for a packet; `hashed` is the server that its bucket maps to at present.
     pub fn resolve(&mut self, key: &Key, kind: Kind, hashed: u16) -> u16 {
         match kind {
             Kind::Closing | Kind::Reset => self.flows.remove(key).unwrap_or(hashed),
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Bytes of the memory.
+    /// Estimated heap size of the flow table in bytes: a hash map holds 7 entries per 8 slots, each
+    /// slot with one control byte.
     pub fn bytes(&self) -> usize {
         self.flows.capacity() * 8 / 7 * (size_of::<(Key, u16)>() + 1)
     }
--- a/crates/bench/src/flows/wheel.rs
+++ b/crates/bench/src/flows/wheel.rs
@@ -1,8 +1,8 @@
-/// Milliseconds ahead that a [`Wheel`] can hold.
+/// Range of a [`Wheel`] in milliseconds; longer delays are clamped to it.
 pub const SPAN: u64 = 1 << 18;
 
-/// Events by the millisecond at which they are due: adding and taking cost the same however many
-/// there are, which matters with hundreds of thousands of flows.
+/// A timer wheel with one slot per millisecond. Insertion and expiry take constant time per event,
+/// which matters with hundreds of thousands of flows.
 #[derive(Debug)]
 pub struct Wheel<T> {
     slots: Vec<Vec<T>>,
@@ -17,13 +17,13 @@
         }
     }
 
-    /// Adds an event due after `delay` milliseconds, at least one.
+    /// Schedules an event after `delay` milliseconds, clamped to between 1 and `SPAN - 1`.
     pub fn add(&mut self, delay: u64, event: T) {
         let at = self.now + delay.clamp(1, SPAN - 1);
         self.slots[(at % SPAN) as usize].push(event);
     }
 
-    /// Goes on by one millisecond and takes what is due then.
+    /// Advances the clock by one millisecond and returns the events that are due.
     pub fn advance(&mut self) -> Vec<T> {
         self.now += 1;
         std::mem::take(&mut self.slots[(self.now % SPAN) as usize])
