--- a/crates/bench/src/balance.rs
+++ b/crates/bench/src/balance.rs
@@ -43,7 +43,8 @@
     /// Mean service time of a short request on a server of speed 1, in milliseconds.
     #[arg(long, default_value_t = 10.0)]
     pub work: f64,
-    /// Fraction of acknowledgements that callers delay, which makes them useless as latency samples.
+    /// Fraction of acknowledgements that callers delay, which makes them useless as latency
+    /// samples.
     #[arg(long, default_value_t = 0.3)]
     pub delayed: f64,
     /// Print the state of the balancer that writes the table to standard error every second.
--- a/crates/bench/src/balance/arrival.rs
+++ b/crates/bench/src/balance/arrival.rs
@@ -10,15 +10,15 @@
     table::BUCKETS,
 };
 
-/// A caller resends an opening packet after this time, in seconds.
+/// Retransmission timeout of an opening packet, in seconds.
 const RESEND: f64 = 1.0;
-/// Part of the openings that a shedding server resets.
+/// Fraction of new connections that a server with [`Fault::Shed`] resets.
 const SHED: f64 = 0.7;
-/// Buckets into which skewed demand falls.
+/// Number of buckets that skewed demand falls into.
 const HOT: usize = 8;
 
 impl Simulation<'_> {
-    /// An arrival of the Poisson stream, and the time of the next.
+    /// Handles an arrival of the Poisson process and schedules the next one.
     pub(super) fn generate(&mut self, now: f64) {
         if now >= END {
             return;
@@ -34,7 +34,7 @@
             .iter()
             .map(|demand| demand.from)
             .find(|from| *from > now);
-        // The stream is memoryless, so it may start anew where its rate changes.
+        // A Poisson process is memoryless, so it can restart where its rate changes.
         let next = change.map_or(next, |change| if next > change { change } else { next });
         self.at(
             next,
@@ -79,7 +79,7 @@
         }
         self.servers[server].promised += work;
         if self.sheds(server, now) {
-            // The reset goes straight to the caller: no balancer sees anything of it.
+            // Replies bypass the balancers, so none of them sees the reset.
             self.servers[server].promised -= work;
             return;
         }
--- a/crates/bench/src/balance/case.rs
+++ b/crates/bench/src/balance/case.rs
@@ -1,22 +1,22 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 
-/// A deployment's service and its servers.
+/// A service of a reference deployment and the servers behind it.
 #[derive(Debug)]
 pub struct Site {
-    /// For `--sites`.
+    /// Name of the deployment, as matched by `--sites`.
     pub name: &'static str,
-    /// The service.
+    /// Name of the service.
     pub service: &'static str,
-    /// Its backend servers.
+    /// Number of backend servers.
     pub hosts: usize,
-    /// Slots of each.
+    /// Requests that each server processes in parallel.
     pub slots: u32,
-    /// Time there and back between caller and backend server, through a balancer, in seconds.
+    /// Round-trip time between caller and backend server, through a balancer, in seconds.
     pub round_trip: f64,
 }
 
-/// Both deployments, their large service and the small one.
+/// A large and a small service of each reference deployment.
 pub const SITES: &[Site] = &[
     Site {
         name: "tampere",
@@ -48,57 +48,59 @@
     },
 ];
 
-/// Connections that a backend server holds open.
+/// Maximum number of open connections at a backend server.
 pub const CONNECTIONS: u32 = 2_000;
-/// When a case's event happens and measuring begins, in seconds; by then weights have settled.
+/// Time at which a case's fault or change occurs and measurement begins, in seconds. The warm-up
+/// before it lets the weights converge.
 pub const BEGIN: f64 = 60.0;
-/// When a passing fault ends, in seconds.
+/// Time at which a temporary fault ends, in seconds.
 pub const HEAL: f64 = 90.0;
-/// When arrivals end, in seconds.
+/// Time at which arrivals and measurement end, in seconds.
 pub const END: f64 = 120.0;
 
-/// A stretch of demand, as parts of the pool's true capacity.
+/// Demand from one time until the next entry, as fractions of the pool's true capacity.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand {
-    /// From this second on.
+    /// Start time in seconds.
     pub from: f64,
-    /// Of paying callers.
+    /// Demand from paying callers.
     pub paying: f64,
-    /// Of callers on trial.
+    /// Demand from trial callers.
     pub trial: f64,
 }
 
-/// What goes wrong at [`BEGIN`].
+/// The fault that occurs at [`BEGIN`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// One fast server is four times as slow until [`HEAL`].
+    /// The fastest server runs at a quarter of its speed until [`HEAL`].
     Slow,
-    /// One server answers nothing until [`HEAL`]; its health endpoint says fine.
+    /// One server stops answering until [`HEAL`] while its health endpoint reports it healthy.
     Hung,
-    /// One server resets most openings until [`HEAL`].
+    /// One server resets most new connections until [`HEAL`].
     Shed,
-    /// One server joins, a tenth as fast at first and warm after 20 s.
+    /// One server joins at a tenth of its speed and warms up within 20 s.
     Cold,
-    /// One balancer of eight dies for good; the fabric and its peers notice after 2 s.
+    /// One of eight balancers fails permanently; the fabric and its peers detect it after 2 s.
     Balancer,
-    /// Balancers hear nothing of each other until [`HEAL`].
+    /// Balancers receive no reports from each other until [`HEAL`].
     Silence,
-    /// A slow server's health endpoint, 10 s late, and that of a fine server say it fails.
+    /// One server slows down and its health endpoint reports it unhealthy 10 s late; the endpoint
+    /// of a healthy server wrongly reports that one unhealthy.
     Lies,
 }
 
-/// A case to run.
+/// A simulated case.
 #[derive(Debug, Clone)]
 pub struct Case {
-    /// For `--cases`.
+    /// Name of the case, as matched by `--cases`.
     pub name: &'static str,
     /// Demand over time, in order.
     pub demand: Vec<Demand>,
-    /// What goes wrong.
+    /// The fault that occurs.
     pub fault: Fault,
-    /// Part of the flows that fall into a few buckets.
+    /// Fraction of flows that fall into a few hot buckets.
     pub skew: f64,
 }
 
@@ -177,40 +179,41 @@
     }
 }
 
-/// A case at a site: true speeds and rates.
+/// A case applied to a site, with the servers' true speeds and the arrival rates.
 #[derive(Debug)]
 pub struct Scene {
     /// The case.
     pub case: Case,
-    /// Slots of each server.
+    /// Requests that each server processes in parallel.
     pub slots: u32,
-    /// Time there and back, in seconds.
+    /// Round-trip time between caller and backend server, in seconds.
     pub round_trip: f64,
-    /// True speed of each server, 1 to 4.
+    /// True speed of each server, from 1 to 4.
     pub speeds: Vec<f64>,
-    /// Mean work of a short request at speed 1, in seconds.
+    /// Mean service time of a short request at speed 1, in seconds.
     pub work: f64,
-    /// Mean work of a flow over all kinds.
+    /// Mean service time over short and long requests at speed 1, in seconds.
     pub mean: f64,
-    /// Part of the acknowledgements that callers may delay, so that their times tell nothing.
+    /// Fraction of acknowledgements that callers delay, which makes them useless as latency
+    /// samples.
     pub delayed: f64,
-    /// Whether the writing balancer's view is printed every second.
+    /// Whether to print the state of the balancer that writes the table every second.
     pub trace: bool,
-    /// Flows a second that all servers together can work through.
+    /// Flows per second that all servers together can process.
     pub capacity: f64,
 }
 
-/// Part of the flows that are long work (a slow report, a large map).
+/// Fraction of flows with a long request, such as a slow report or a large map.
 pub const LONG: f64 = 0.05;
-/// Work of long over that of short ones.
+/// Ratio of the mean service time of long requests to that of short ones.
 pub const LONGER: f64 = 6.0;
-/// Part of the flows that stay open as feeds after their answer.
+/// Fraction of flows that stay open as feeds after their answer.
 pub const FEEDS: f64 = 0.02;
-/// Mean life of a feed, in seconds.
+/// Mean lifetime of a feed, in seconds.
 pub const FEED_LIFE: f64 = 60.0;
 
 impl Scene {
-    /// Draws the speeds: one server of speed 4, one of speed 1, the rest between.
+    /// Draws the speeds at random: server 0 has speed 4, server 1 speed 1, the others lie between.
     #[must_use]
     pub fn new(site: &Site, case: &Case, work: f64, seed: u64) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed ^ 0x5eed);
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Rates of paying and trial flows at that time, in flows a second.
+    /// Arrival rates of paying and trial flows at the time `now`, in flows per second.
     #[must_use]
     pub fn rates(&self, now: f64) -> [f64; 2] {
         let current = self
--- a/crates/bench/src/balance/cookie.rs
+++ b/crates/bench/src/balance/cookie.rs
@@ -8,20 +8,20 @@
 
 use super::fleet::BALANCERS;
 
-/// Marks that flows are counted by: paying and trial.
+/// Number of flow classes that are counted: paying and trial.
 const MARKS: usize = 2;
 
-/// One balancer.
+/// State of one balancer.
 #[derive(Debug)]
 struct Balancer {
     tally: Tally,
     speeds: Speeds,
-    /// Factors on the servers' weights.
+    /// Weight factor of each server.
     factors: Vec<f64>,
 }
 
-/// Balancers that place flows as they do where packets carry a cookie, around the product's decision
-/// code: by flows in hand, and by speeds that all balancers' counts go into.
+/// Balancers that run the product's decision code for packets with a routing cookie: they place
+/// flows by their own open flows and by server speeds estimated from the counts of all balancers.
 #[derive(Debug)]
 pub struct Cookie {
     names: Vec<Arc<str>>,
@@ -30,7 +30,7 @@
 }
 
 impl Cookie {
-    /// Balancers that know nothing yet of so many servers.
+    /// Creates balancers without any measurements of the servers.
     #[must_use]
     pub fn new(servers: usize, slots: u32) -> Self {
         let balancer = || Balancer {
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Feeds what the balancer `at` has seen of a flow.
+    /// Records an event of a flow that the balancer `at` observed.
     pub fn saw(&mut self, at: usize, event: impl FnOnce(&mut Tally)) {
         event(&mut self.balancers[at].tally);
     }
 
-    /// A second has passed: the balancers tell each other what they have seen, unless they are `cut`
-    /// off from each other.
+    /// Runs the periodic update, once per second: balancers exchange their counts, unless the
+    /// network between them is `cut`, and update their speed estimates.
     pub fn tick(&mut self, cut: bool, now: f64) {
         let seen: Vec<Vec<speed::Count>> = self
             .balancers
@@ -72,8 +72,8 @@
         }
     }
 
-    /// The server of the flow with that hash, among those that are `usable`. `open` is how many flows
-    /// the balancer has at each.
+    /// Chooses a server among the `usable` ones for the flow with the hash `flow`. `open` is the
+    /// number of open flows that the balancer has at each server.
     #[must_use]
     pub fn place(
         &self,
--- a/crates/bench/src/balance/event.rs
+++ b/crates/bench/src/balance/event.rs
@@ -6,36 +6,36 @@
 
 use super::{fleet::Update, model::Job};
 
-/// What happens in a run.
+/// An event of the simulation.
 #[derive(Clone)]
 pub enum Event {
     /// A flow arrives.
     Arrival {
-        /// When the caller first tried, for one that a dead balancer lost.
+        /// Time of the caller's first attempt, if a failed balancer dropped an earlier one.
         since: Option<f64>,
-        /// The flow's class.
+        /// Index of the flow's class.
         class: usize,
     },
-    /// A request reaches its server.
+    /// A request arrives at its server.
     Reach(Job),
-    /// A slot ends a request.
+    /// A server completes a request.
     Finish(Job),
     /// A feed ends.
     End {
-        /// Which.
+        /// Index of the flow.
         flow: u32,
     },
-    /// A second has passed at a balancer.
+    /// The periodic update of a balancer, once per second.
     Tick(usize),
     /// A balancer's report arrives at its peers.
     Mail(Rc<(usize, Report)>),
-    /// A table arrives at a balancer.
+    /// A balancer receives a new table and applies it.
     Apply(usize, Update),
-    /// Everybody notices the dead balancer.
+    /// The peers detect that a balancer has failed.
     Notice,
-    /// The cold server joins.
+    /// The cold server joins the pool.
     Join,
-    /// A health endpoint says that a server is fine, or not.
+    /// A health endpoint reports a server as healthy (`true`) or unhealthy (`false`).
     Health(usize, bool),
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Events in order of time, then of being added.
+/// Pending events, ordered by time and then by insertion.
 #[derive(Default)]
 pub struct Queue {
     heap: BinaryHeap<Reverse<Entry>>,
@@ -70,7 +70,7 @@
 }
 
 impl Queue {
-    /// Adds an event.
+    /// Schedules an event.
     pub fn push(&mut self, seconds: f64, event: Event) {
         self.order += 1;
         let at = (seconds * 1e9) as u64;
@@ -78,7 +78,7 @@
         self.heap.push(Reverse(Entry { at, order, event }));
     }
 
-    /// Takes the next event and its time in seconds.
+    /// Removes the next event and returns it with its time in seconds.
     pub fn pop(&mut self) -> Option<(f64, Event)> {
         let Reverse(entry) = self.heap.pop()?;
         Some((entry.at as f64 / 1e9, entry.event))
--- a/crates/bench/src/balance/fleet.rs
+++ b/crates/bench/src/balance/fleet.rs
@@ -17,12 +17,12 @@
     table::Table,
 };
 
-/// Balancers of a deployment.
+/// Number of balancers in a deployment.
 pub const BALANCERS: usize = 8;
-/// Part of the heartbeats that get lost.
+/// Fraction of reports between balancers that are lost.
 const LOSS: f64 = 0.02;
 
-/// A balancer with the product's decision code.
+/// A balancer that runs the product's decision code.
 struct Balancer {
     gate: Gate,
     controller: Controller,
@@ -30,28 +30,29 @@
     table: Rc<Table>,
 }
 
-/// All balancers, with stale counts of each other.
+/// All balancers; each knows the others' counts only from delayed reports.
 pub struct Fleet {
     balancers: Vec<Balancer>,
     weights: Vec<f64>,
     rng: Pcg64,
-    /// Changes of the table.
+    /// Number of tables published.
     pub tables: u64,
 }
 
-/// A table on its way to the balancers.
+/// A published table that has yet to reach the balancers.
 #[derive(Clone)]
 pub struct Update {
     table: Rc<Table>,
     weights: Rc<Vec<f64>>,
 }
 
-fn time(now: f64) -> Duration {
+fn duration(now: f64) -> Duration {
     Duration::from_secs_f64(now)
 }
 
 impl Fleet {
-    /// Balancers that know nothing but the configuration and `table` with its `weights`.
+    /// Creates balancers without measurements, which know the configuration and `table`, built from
+    /// `weights`.
     #[must_use]
     pub fn new(
         scene: &Scene,
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Decides on a new flow: the server and whether it is the first choice.
+    /// Admits and places a new flow. Returns the server and whether it is the bucket's first
+    /// choice.
     pub fn decide(
         &mut self,
         at: usize,
@@ -106,7 +108,7 @@
         let balancer = &mut self.balancers[at];
         balancer
             .gate
-            .admit(class, &balancer.plan, time(now), &mut self.rng)?;
+            .admit(class, &balancer.plan, duration(now), &mut self.rng)?;
         let ranked = balancer.table.ranked(bucket).map(Server);
         let position = balancer
             .gate
@@ -114,13 +116,13 @@
         Ok((ranked[position].index(), position == 0))
     }
 
-    /// Feeds what the balancer `at` has seen of a flow.
+    /// Records an event of a flow that the balancer `at` observed.
     pub fn saw(&mut self, at: usize, event: impl FnOnce(&mut acacia_load::tally::Tally)) {
         event(self.balancers[at].gate.tally());
     }
 
-    /// A second has passed at a balancer: gives its report for the peers and, if it is the one
-    /// that may write and finds better weights, a table.
+    /// Runs the periodic update of a balancer, once per second. Returns its report for the peers
+    /// and, if it is the writer and its controller proposes new weights, a new table.
     pub fn tick(
         &mut self,
         at: usize,
@@ -131,17 +133,17 @@
         let balancer = &mut self.balancers[at];
         let tally = balancer.gate.drain();
         balancer.controller.absorb(&tally);
-        let (report, plan) = balancer.controller.tick(members, time(now));
+        let (report, plan) = balancer.controller.tick(members, duration(now));
         balancer.plan = plan;
         let weights = writer
-            .then(|| balancer.controller.weights(time(now)))
+            .then(|| balancer.controller.weights(duration(now)))
             .flatten();
         let old = Rc::clone(&balancer.table);
         let update = weights.map(|weights| self.publish(&weights, &old));
         (report, update)
     }
 
-    /// A table with other weights.
+    /// Builds and publishes a table with new weights.
     pub fn publish(&mut self, weights: &[f64], old: &Table) -> Update {
         self.tables += 1;
         self.weights = weights.to_vec();
@@ -151,7 +153,8 @@
         }
     }
 
-    /// The configuration takes a server out or lets it in, at every balancer.
+    /// Applies a configuration change to every balancer that takes a server out of service or
+    /// returns it.
     pub fn leaving(&mut self, server: usize, leaving: bool) {
         for balancer in &mut self.balancers {
             balancer
@@ -160,35 +163,36 @@
         }
     }
 
-    /// A new table is in force at a balancer.
+    /// Applies a published table at a balancer.
     pub fn apply(&mut self, at: usize, update: &Update) {
         let balancer = &mut self.balancers[at];
         balancer.table = Rc::clone(&update.table);
         balancer.controller.set_weights(&update.weights);
     }
 
-    /// Delivers a report, or loses it.
+    /// Delivers a report to a peer; a fraction [`LOSS`] of them is lost.
     pub fn deliver(&mut self, from: usize, to: usize, report: &Report, now: f64) {
         if self.rng.random_bool(1.0 - LOSS) {
             self.balancers[to]
                 .controller
-                .merge(from as u16, report, time(now));
+                .merge(from as u16, report, duration(now));
         }
     }
 
-    /// A balancer learns that another is gone.
+    /// Makes a balancer discard the state of a failed peer.
     pub fn forget(&mut self, at: usize, gone: usize) {
         self.balancers[at].controller.forget(gone as u16);
     }
 
-    /// What a health endpoint says, at every balancer.
+    /// Sets the health that a server's endpoint reports, at every balancer.
     pub fn health(&mut self, server: usize, fine: bool) {
         for balancer in &mut self.balancers {
             balancer.controller.set_health(Server(server as u16), fine);
         }
     }
 
-    /// For looking into a run: work in progress a slot and capacity as one balancer measures them.
+    /// Formats the state of balancer 0 for `--trace`: work in progress per slot, measured capacity,
+    /// rates, standings and weights.
     #[must_use]
     pub fn view(&self, servers: usize) -> String {
         let controller = &self.balancers[0].controller;
--- a/crates/bench/src/balance/model.rs
+++ b/crates/bench/src/balance/model.rs
@@ -2,35 +2,35 @@
 
 use super::case::{BEGIN, Fault, HEAL, Scene};
 
-/// The server that faults strike: the fastest, whose loss hurts most.
+/// Index of the server that faults affect: the fastest one, whose loss costs the most capacity.
 pub const VICTIM: usize = 0;
-/// How long a cold server takes to warm up, in seconds.
+/// Time over which the speed factor of a cold server rises by 1, in seconds.
 const WARMING: f64 = 20.0;
-/// Speed of a cold server over that of a warm one.
+/// Initial speed of a cold server as a fraction of its full speed.
 const COLD: f64 = 0.1;
 
 /// A request at a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
-    /// Which flow.
+    /// Index of the flow.
     pub flow: u32,
-    /// Work at speed 1, in seconds.
+    /// Service time at speed 1, in seconds.
     pub work: f64,
 }
 
-/// A backend server: a FIFO queue before its slots.
+/// A backend server with parallel slots and a FIFO queue in front of them.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// True speed without faults.
+    /// True speed in the absence of faults.
     pub speed: f64,
     slots: u32,
     busy: u32,
     queue: VecDeque<Job>,
-    /// Work on its way, in queue and slots, in seconds at speed 1.
+    /// Work in transit, queued and in progress, in seconds at speed 1.
     pub promised: f64,
-    /// Connections open now.
+    /// Number of open connections.
     pub open: u32,
-    /// Work that was placed here while measuring, in seconds at speed 1.
+    /// Work placed on this server during measurement, in seconds at speed 1.
     pub offered: f64,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes a request; gives it back if it starts at once.
+    /// Accepts a request. Returns it if it starts immediately, and queues it otherwise.
     pub fn take(&mut self, job: Job) -> Option<Job> {
         if self.busy < self.slots {
             self.busy += 1;
@@ -59,7 +59,7 @@
         None
     }
 
-    /// Ends a request; gives the next one that starts.
+    /// Completes a request and returns the next one to start, if any is queued.
     pub fn finish(&mut self, job: Job) -> Option<Job> {
         self.promised -= job.work;
         let next = self.queue.pop_front();
@@ -70,7 +70,7 @@
     }
 }
 
-/// Factor on the speed of server `index` at that time; 0 while it hangs.
+/// Speed factor of server `index` at the time `now`; 0 while the server hangs.
 #[must_use]
 pub fn factor(scene: &Scene, index: usize, now: f64) -> f64 {
     if index != VICTIM || now < BEGIN {
@@ -84,10 +84,10 @@
     }
 }
 
-/// Work that server `index` could do between two times with all slots, in seconds at speed 1.
+/// Work that server `index` can do with all its slots from `from` to `to`, in seconds at speed 1.
 #[must_use]
 pub fn able(scene: &Scene, index: usize, from: f64, to: f64) -> f64 {
-    /// Steps of the integral.
+    /// Number of steps of the numerical integration.
     const STEPS: u32 = 600;
     let step = (to - from) / f64::from(STEPS);
     let sum: f64 = (0..STEPS)
--- a/crates/bench/src/balance/outcome.rs
+++ b/crates/bench/src/balance/outcome.rs
@@ -2,18 +2,18 @@
 
 use hdrhistogram::Histogram;
 
-/// What became of the flows that arrived while measuring, for one mark.
+/// Results of the flows of one class that arrived during measurement.
 #[derive(Debug)]
 pub struct Mark {
-    /// Flows that arrived.
+    /// Number of flows that arrived.
     pub arrived: u64,
-    /// Refused for want of a share.
+    /// Flows refused because their class had used up its share.
     pub refused_share: u64,
-    /// Refused for want of a connection.
+    /// Flows refused because the connection limit was reached.
     pub refused_connections: u64,
-    /// Turned away by the server itself, or answered past the deadline or never.
+    /// Flows reset by the server, or not answered within the deadline.
     pub failed: u64,
-    /// Answered within the deadline.
+    /// Flows answered within the deadline.
     pub good: u64,
     times: Histogram<u64>,
 }
@@ -40,46 +40,51 @@
             .expect("the histogram grows as needed");
     }
 
-    /// A quantile of the answer times, in milliseconds.
+    /// Returns a quantile of the answer times, in milliseconds.
     #[must_use]
     pub fn quantile(&self, quantile: f64) -> f64 {
         self.times.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
-/// What is measured of one run.
+/// Measurements of one run.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Use of each server that worked throughout: work placed over work it could do.
+    /// Utilisation of each server, work placed over work possible; leaves out a server that hangs
+    /// or sheds connections.
     pub uses: Vec<f64>,
-    /// Paying, then trial.
+    /// Results of paying and of trial flows, in this order.
     pub marks: [Mark; 2],
-    /// Flows placed.
+    /// Number of flows placed.
     pub placed: u64,
-    /// Flows placed off the first choice of the table of new flows.
+    /// Flows placed on a server other than the first choice of the table of new flows.
     pub second: u64,
-    /// Flows placed off the table that was in force at the beginning.
+    /// Flows placed on a server other than the first choice of the initial table.
     pub pinned: u64,
-    /// Changes of the table of new flows.
+    /// Number of changes to the table of new flows.
     pub tables: u64,
-    /// Flows answered in time over what demand or capacity allows, whichever is less.
+    /// Flows answered within the deadline, divided by the lesser of demand and capacity.
     pub goodput: f64,
 }
 
 impl Outcome {
-    /// The busiest server's use over the mean.
+    /// Ratio of the highest server utilisation to the mean.
     #[must_use]
     pub fn max_mean(&self) -> f64 {
         let mean = self.uses.iter().sum::<f64>() / self.uses.len().max(1) as f64;
         self.uses.iter().copied().fold(0.0, f64::max) / mean
     }
 
-    /// Standard deviation of the servers' uses over their mean.
+    /// Coefficient of variation of the server utilisations.
     #[must_use]
     pub fn spread(&self) -> f64 {
         let count = self.uses.len().max(1) as f64;
         let mean = self.uses.iter().sum::<f64>() / count;
-        let square: f64 = self.uses.iter().map(|own| (own - mean).powi(2)).sum();
+        let square: f64 = self
+            .uses
+            .iter()
+            .map(|utilisation| (utilisation - mean).powi(2))
+            .sum();
         (square / count).sqrt() / mean
     }
 }
--- a/crates/bench/src/balance/simulation.rs
+++ b/crates/bench/src/balance/simulation.rs
@@ -14,31 +14,31 @@
     table::Table,
 };
 
-/// Callers wait this long for an answer, in seconds.
+/// Time that callers wait for an answer, in seconds.
 const DEADLINE: f64 = 10.0;
-/// Time after which the fabric and the peers notice a dead balancer, in seconds.
+/// Time until the fabric and the peers detect a failed balancer, in seconds.
 const NOTICE: f64 = 2.0;
-/// The balancer that dies.
+/// Index of the balancer that fails.
 const DEAD: usize = 0;
-/// Delay of a health endpoint, in seconds.
+/// Delay until a health endpoint reports a change, in seconds.
 const HEALTH_LAG: f64 = 10.0;
-/// Part of a long request's work after which its first byte is sent.
+/// Fraction of a long request's service time after which the first byte of the answer is sent.
 const FIRST_BYTE: f64 = 0.3;
 
-/// How new flows are let in and placed.
+/// How new flows are admitted and placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// Equal shares, all let in.
+    /// Equal weights; admits every flow.
     Equal,
-    /// Shares by true speed, all let in.
+    /// Weights by true speed; admits every flow.
     Static,
-    /// Least open flows by the balancer's own knowledge, all let in.
+    /// Fewest open flows among those that the balancer placed itself; admits every flow.
     Least,
     /// The product's decision code.
     Ours,
-    /// The product's decision code where packets carry a cookie; all let in.
+    /// The product's decision code for packets with a routing cookie; admits every flow.
     Cookie,
-    /// Knows every queue, speed and fault: soonest done. A bound.
+    /// Earliest completion with knowledge of every queue, speed and fault: a reference bound.
     Ideal,
 }
 
@@ -53,7 +53,7 @@
         Policy::Ideal,
     ];
 
-    /// The name in options and lines.
+    /// Name of the policy in options and result lines.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -67,7 +67,7 @@
     }
 }
 
-/// A flow that was let in.
+/// An admitted flow.
 #[derive(Debug, Clone, Copy)]
 pub struct Flow {
     pub(super) arrived: f64,
@@ -75,13 +75,13 @@
     pub(super) started: f64,
     pub(super) class: u8,
     pub(super) ingress: u8,
-    /// The balancer that saw its data.
+    /// Index of the balancer that the request's data passed.
     pub(super) asked: u8,
     pub(super) server: u16,
     pub(super) long: bool,
 }
 
-/// A run under way.
+/// State of a running simulation.
 pub struct Simulation<'a> {
     pub(super) scene: &'a Scene,
     pub(super) policy: Policy,
@@ -94,14 +94,15 @@
     pub(super) table: Rc<Table>,
     pub(super) base: Rc<Table>,
     pub(super) events: Queue,
-    /// Arrivals, their work and buckets: the same for every policy.
+    /// Random numbers for arrivals, their work and buckets; separate from `chance` so that every
+    /// policy is compared on the same demand.
     pub(super) demand: Pcg64,
-    /// The fabric's choices and the rest.
+    /// Random numbers for the fabric's choices and everything else.
     pub(super) chance: Pcg64,
     pub(super) outcome: Outcome,
 }
 
-/// Runs a case under a policy.
+/// Runs a case under a policy and returns its measurements.
 #[must_use]
 pub fn run(scene: &Scene, policy: Policy, limits: &Limits, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(scene, policy, limits, seed);
@@ -201,15 +202,15 @@
         self.scene.case.fault == Fault::Balancer && balancer == DEAD && now >= BEGIN
     }
 
-    /// The balancer that the fabric hands a packet to.
+    /// Chooses the balancer that the fabric sends a packet to.
     pub(super) fn spray(&mut self, now: f64) -> usize {
         let known = self.scene.case.fault == Fault::Balancer && now >= BEGIN + NOTICE;
         let first = usize::from(known);
         self.chance.random_range(first..BALANCERS)
     }
 
-    /// The balancer that a further packet of a flow passes. Where packets carry a cookie, routers
-    /// send all packets of a flow to one balancer while the set of balancers stays.
+    /// Chooses the balancer that a later packet of a flow passes. With cookies, routers send all
+    /// packets of a flow to the same balancer as long as the set of balancers is unchanged.
     fn passes(&mut self, flow: &Flow, now: f64) -> usize {
         let ingress = usize::from(flow.ingress);
         match self.policy {
@@ -267,8 +268,8 @@
 
     fn answer(&mut self, flow: &Flow, now: f64) {
         let asked = usize::from(flow.asked);
-        // The acknowledgement of the answer's first part tells its time, unless it is delayed; the
-        // caller's FIN only tells that there was an answer.
+        // The acknowledgement of the first part of the answer gives a latency sample, unless it is
+        // delayed. The caller's FIN shows only that there was an answer.
         let (acknowledged, closed) = (self.passes(flow, now), self.passes(flow, now));
         if acknowledged == asked || closed == asked {
             let whole = now - flow.started;
@@ -338,7 +339,7 @@
         }
     }
 
-    /// A table reaches the balancers at different times.
+    /// Schedules an update to reach each balancer after a random delay.
     fn spread(&mut self, update: &Update, now: f64) {
         for to in 0..BALANCERS {
             let delay = self.chance.random_range(0.1..1.5);
@@ -388,10 +389,10 @@
     }
 }
 
-/// Set in a flow's class if it stays open as a feed.
+/// Flag in a flow's class byte: the flow stays open as a feed.
 pub(super) const FEED: u8 = 0x80;
 
-/// The weights that a policy begins with, or takes when a cold server joins.
+/// Weights that a policy starts with, and those that it uses once a cold server has joined.
 fn initial(scene: &Scene, policy: Policy, now: f64) -> Vec<f64> {
     let weight = |(index, speed): (usize, &f64)| match policy {
         _ if scene.case.fault == Fault::Cold && index == VICTIM && now < BEGIN => 0.0,
--- a/crates/bench/src/balance/table.rs
+++ b/crates/bench/src/balance/table.rs
@@ -1,16 +1,16 @@
 use acacia_wire::flow::mix;
 
-/// Buckets of a service's table.
+/// Number of buckets in a service's table.
 pub const BUCKETS: usize = 4_096;
 
-/// First and second choice by bucket.
+/// Maps each bucket to its first and second choice of server.
 #[derive(Debug, Clone)]
 pub struct Table {
     first: Vec<u16>,
     second: Vec<u16>,
 }
 
-/// Rendezvous score of a bucket at a server (Thaler and Ravishankar, 1996), weighted.
+/// Weighted rendezvous hashing score of a server for a bucket (Thaler and Ravishankar, 1996).
 fn score(bucket: usize, server: usize, weight: f64) -> f64 {
     let hash = mix((bucket as u64) << 16 | server as u64);
     let unit = (hash >> 11) as f64 / (1u64 << 53) as f64;
@@ -22,8 +22,8 @@
 }
 
 impl Table {
-    /// Buckets of each server in exact proportion to its weight; buckets move from `old` only
-    /// where a server has too many.
+    /// Builds a table in which each server has buckets in exact proportion to its weight. Buckets
+    /// move away from their server in `old` only where it exceeds its quota.
     #[must_use]
     pub fn new(weights: &[f64], old: Option<&Table>) -> Self {
         let sum: f64 = weights.iter().sum();
@@ -59,14 +59,14 @@
         Table { first, second }
     }
 
-    /// First and second choice of a bucket.
+    /// Returns the first and second choice of a bucket.
     #[must_use]
     pub fn ranked(&self, bucket: usize) -> [u16; 2] {
         [self.first[bucket], self.second[bucket]]
     }
 }
 
-/// Buckets of each server: the largest remainders get the odd ones.
+/// Number of buckets of each server, by the largest remainder method.
 fn quotas(weights: &[f64], sum: f64) -> Vec<usize> {
     let exact: Vec<f64> = weights
         .iter()
--- a/crates/bench/src/flows/balancer.rs
+++ b/crates/bench/src/flows/balancer.rs
@@ -11,30 +11,30 @@
 
 use super::policy::Tracked;
 
-/// Milliseconds of silence after which a member is taken for dead.
+/// Time without a heartbeat after which a member is considered dead, in milliseconds.
 const DEAD: u64 = 4_000;
-/// Milliseconds between two reports to each peer.
+/// Interval between heartbeats to each peer, in milliseconds.
 const HEARTBEAT: u64 = 500;
-/// Bytes of UDP and IP headers.
+/// Size of the IPv4 and UDP headers in bytes.
 const HEADERS: u64 = 28;
 
-/// What balancers send each other besides packets.
+/// A control message between balancers.
 #[derive(Debug, Clone)]
 pub enum Message {
-    /// A heartbeat with its report.
+    /// A heartbeat that carries a report.
     Heartbeat(Stage, Report),
-    /// Copies of pins.
+    /// Replicated flow pins.
     Batch(Batch),
-    /// The answer to them.
+    /// The reply to a batch.
     Acknowledgement(Acknowledgement),
-    /// A word about one flow.
+    /// A correction or hint about a single flow.
     Notice(Notice),
-    /// The sender ends.
+    /// The sender is about to exit.
     Bye,
 }
 
 impl Message {
-    /// Bytes on the wire.
+    /// Size of the sealed message on the wire in bytes, with headers.
     pub fn bytes(&self) -> u64 {
         let envelope = Envelope {
             sender: 1,
@@ -54,7 +54,7 @@
     }
 }
 
-/// One balancer: the product's core, and what the daemon around it would do.
+/// A balancer: the product's decision code and a minimal stand-in for the daemon that runs it.
 #[derive(Debug)]
 pub struct Balancer {
     pub node: Node,
@@ -64,7 +64,8 @@
     pub snapshot: Snapshot,
     pub tables: Tables,
     pub tracked: Tracked,
-    /// Bytes of control traffic sent, and those within the present second.
+    /// Bytes of control traffic sent in total, within the current second, and within the busiest
+    /// second.
     pub sent: u64,
     pub second: u64,
     pub peak: u64,
@@ -75,7 +76,7 @@
 }
 
 impl Balancer {
-    /// A new process that knows `others` from the platform's list.
+    /// Starts a process that knows its peers `others` from the platform's member list.
     pub fn new(node: Node, tables: &Tables, others: &[(Node, Stage)], now: u64) -> Self {
         let mut control = Control::new(node, Settings::default(), now);
         control.set_tables(tables.clone(), now);
@@ -101,8 +102,8 @@
         }
     }
 
-    /// One turn of the control thread: gives what it sends. `ended` are processes that the
-    /// platform's list no longer shows.
+    /// Runs one iteration of the control thread and returns the messages to send, each with its
+    /// recipient. `ended` are the processes that the platform's member list no longer contains.
     pub fn turn(&mut self, now: u64, ended: &[Node]) -> Vec<(u16, Message)> {
         let left = &self.left;
         self.heard
@@ -132,7 +133,8 @@
         out
     }
 
-    /// All shards within a second: two in most turns of 100 ms.
+    /// Sweeps a part of the shards in each 100 ms iteration, so that all are covered within a
+    /// second.
     fn sweep(&mut self, now: u64) {
         let count = self.shards.count();
         let due = (now % 1_000 / 100 + 1) as usize * count / 10;
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Takes in a message; gives the answer.
+    /// Processes a message and returns the reply, if any.
     pub fn receive(&mut self, from: Node, message: Message, now: u64) -> Option<Message> {
         match message {
             Message::Heartbeat(stage, report) => {
@@ -180,13 +182,13 @@
         None
     }
 
-    /// Counts bytes sent; the peak is over whole seconds.
+    /// Counts bytes of control traffic sent.
     pub fn count(&mut self, bytes: u64) {
         self.sent += bytes;
         self.second += bytes;
     }
 
-    /// Ends a second of counting.
+    /// Closes a one-second interval and updates the peak.
     pub fn end_second(&mut self) {
         self.peak = self.peak.max(self.second);
         self.second = 0;
--- a/crates/bench/src/flows/change.rs
+++ b/crates/bench/src/flows/change.rs
@@ -17,7 +17,7 @@
     policy::Policy,
 };
 
-/// What operators and faults do.
+/// Changes by operators, and faults.
 impl Fleet<'_> {
     pub(super) fn apply(&mut self, change: Change) {
         let id = |id: u16| usize::from(id);
@@ -99,8 +99,9 @@
         self.balancers[usize::from(at)] = balancer;
     }
 
-    /// A leaving balancer says goodbye once it may, serves the latecomers for a second, and ends.
-    pub(super) fn go_on_replacing(&mut self) {
+    /// Advances graceful replacements: a leaving balancer announces its exit once it may leave,
+    /// serves packets that still arrive for one second, and is then replaced by a new process.
+    pub(super) fn advance_replacements(&mut self) {
         for (at, until) in self.replacing.clone() {
             let balancer = &self.balancers[usize::from(at)];
             let node = balancer.node;
@@ -121,7 +122,7 @@
     }
 }
 
-/// The tables at first: all servers with the same weight.
+/// The initial tables, in which all servers have the same weight.
 pub(super) fn tables(options: &Options) -> Tables {
     let weights: Vec<_> = (0..options.servers).map(|id| (id, 100)).collect();
     let table: Arc<[u16]> = build(options.buckets, &weights, &[]).into();
--- a/crates/bench/src/flows/fleet.rs
+++ b/crates/bench/src/flows/fleet.rs
@@ -19,22 +19,24 @@
     wheel::Wheel,
 };
 
-/// Milliseconds between two balancers, and from a server's answer to the caller's next packet.
+/// One-way delay between two balancers, in milliseconds.
 pub(super) const DELAY: u64 = 1;
+/// Time from a packet's arrival at a server to the caller's next packet, in milliseconds.
 pub(super) const ANSWER: u64 = 3;
-/// Milliseconds between two turns of the control threads.
+/// Interval between iterations of the control threads, in milliseconds.
 const TURN: u64 = 100;
-/// Milliseconds after which the platform's list shows that a process has ended.
+/// Time until a process that has exited disappears from the platform's member list, in
+/// milliseconds.
 const LISTED: u64 = 6_000;
-/// Mean milliseconds between two packets of a feed; a third of all feeds is silent throughout.
+/// Mean interval between packets of a feed, in milliseconds. A third of all feeds stays idle.
 pub(super) const FEED: f64 = 60_000.0;
-/// Milliseconds that a short flow is open.
+/// Time from the data packet of a short flow to its close, in milliseconds.
 pub(super) const SHORT: u64 = 2_000;
-/// Milliseconds over which the feeds are opened at first.
+/// Period over which the initial feeds are opened, in milliseconds.
 const RAMP: u64 = 15_000;
-/// Resends after which a caller gives up.
+/// Number of retransmissions after which a caller gives up.
 pub(super) const RESENDS: u8 = 9;
-/// A server's number that stands for none.
+/// Server number of a flow that no server has accepted yet.
 pub(super) const NONE: u16 = u16::MAX;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -75,7 +77,7 @@
     },
 }
 
-/// Runs one case and gives its line.
+/// Runs one case and returns its result line.
 pub fn run(options: &Options, case: Case, policy: Policy, seed: u64) -> anyhow::Result<String> {
     let started = Instant::now();
     let mut fleet = Fleet::new(options, policy, seed)?;
@@ -176,7 +178,7 @@
             .context("the balancers did not become ready")
     }
 
-    /// Opens the feeds.
+    /// Opens the initial feeds at a constant rate.
     fn ramp(&mut self) {
         let shorts =
             u64::from(self.options.opens) * u64::from(self.options.balancers) * SHORT / 1_000;
@@ -199,7 +201,7 @@
         }
     }
 
-    /// One millisecond with callers.
+    /// Simulates one millisecond, with new flows.
     fn tick(&mut self) {
         let opens = f64::from(self.options.opens) * f64::from(self.options.balancers) / 1_000.0;
         self.openings_due += opens;
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Every flow that is still open sends once more, also those idle throughout.
+    /// Sends one more packet on every feed that is still open, so that idle feeds are checked too.
     fn finish(&mut self) {
         let open: Vec<u32> = (0..self.flows.len() as u32)
             .filter(|&at| {
@@ -258,7 +260,7 @@
                 self.post(from, to, message);
             }
         }
-        self.go_on_replacing();
+        self.advance_replacements();
     }
 
     pub(super) fn post(&mut self, from: Node, to: u16, message: Message) {
--- a/crates/bench/src/flows/traffic.rs
+++ b/crates/bench/src/flows/traffic.rs
@@ -15,7 +15,7 @@
     policy::Policy,
 };
 
-/// Callers and their packets.
+/// Traffic of the callers.
 impl Fleet<'_> {
     pub(super) fn start_flow(&mut self, feed: bool) {
         let flow = Flow {
@@ -41,7 +41,7 @@
         self.due(at);
     }
 
-    /// The caller of a flow sends its next packet through a balancer that the fabric chooses.
+    /// Sends the next packet of a flow through a running balancer chosen at random by the fabric.
     pub(super) fn due(&mut self, at: u32) {
         let flow = self.flows[at as usize];
         if flow.broken {
@@ -103,7 +103,8 @@
         }
     }
 
-    /// A packet reaches a server, which answers; the caller goes on.
+    /// Delivers a packet to a server and schedules the caller's next packet. The flow breaks if the
+    /// server isn't the one that accepted it.
     pub(super) fn deliver(&mut self, at: u32, step: Step, server: u16) {
         let flow = &mut self.flows[at as usize];
         if step == Step::Open {
@@ -120,9 +121,9 @@
         let feed = flow.feed;
         let (next, delay) = match step {
             Step::Open => (Step::Acknowledge, ANSWER),
-            Step::Acknowledge if feed => return self.wait_for_news(at),
+            Step::Acknowledge if feed => return self.wait_for_feed_data(at),
             Step::Acknowledge => (Step::Send, ANSWER),
-            Step::Send if feed => return self.wait_for_news(at),
+            Step::Send if feed => return self.wait_for_feed_data(at),
             Step::Send => (Step::Close, SHORT),
             Step::Close => return self.free.push(at),
         };
@@ -130,7 +131,7 @@
         self.wheel.add(delay, Event::Due(at));
     }
 
-    pub(super) fn wait_for_news(&mut self, at: u32) {
+    pub(super) fn wait_for_feed_data(&mut self, at: u32) {
         let flow = &mut self.flows[at as usize];
         flow.step = Step::Send;
         if !flow.number.is_multiple_of(3) {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// A packet was dropped: the caller's transport sends it again, with growing pauses.
+    /// Schedules the retransmission of a dropped packet, with exponential backoff.
     pub(super) fn resend(&mut self, at: u32, step: Step) {
         self.dropped += 1;
         let flow = &mut self.flows[at as usize];
