--- a/crates/bench/src/balance/arrival.rs
+++ b/crates/bench/src/balance/arrival.rs
@@ -3,19 +3,22 @@
 use rand_distr::{Distribution as _, Exp1};
 
 use super::{
-    case::{BEGIN, CONNECTIONS, END, FEED_LIFE, FEEDS, Fault, HEAL, LONG, LONGER},
+    case::{
+        BEGIN, END, FEED_FRACTION, Fault, HEAL, LONG_FRACTION, LONG_WORK_RATIO, MAX_CONNECTIONS,
+        MEAN_FEED_LIFETIME,
+    },
     event::Event,
-    model::{Job, VICTIM, factor},
-    simulation::{FEED, Flow, Policy, Simulation},
+    model::{Job, VICTIM, speed_factor},
+    simulation::{FEED_FLAG, Flow, Policy, Simulation},
     table::BUCKETS,
 };
 
 /// Retransmission timeout of an opening packet, in seconds.
-const RESEND: f64 = 1.0;
+const RETRANSMISSION_TIMEOUT: f64 = 1.0;
 /// Fraction of new connections that a server with [`Fault::Shed`] resets.
-const SHED: f64 = 0.7;
+const SHED_FRACTION: f64 = 0.7;
 /// Number of buckets that skewed demand falls into.
-const HOT: usize = 8;
+const HOT_BUCKETS: usize = 8;
 
 impl Simulation<'_> {
     /// Handles an arrival of the Poisson process and schedules the next one.
@@ -53,15 +56,15 @@
         let skewed = self.demand.random_bool(self.scene.case.skew);
         let bucket = self
             .demand
-            .random_range(0..if skewed { HOT } else { BUCKETS });
-        let long = self.demand.random_bool(LONG);
-        let feed = self.demand.random_bool(FEEDS);
+            .random_range(0..if skewed { HOT_BUCKETS } else { BUCKETS });
+        let long = self.demand.random_bool(LONG_FRACTION);
+        let feed = self.demand.random_bool(FEED_FRACTION);
         let work: f64 = Exp1.sample(&mut self.demand);
-        let work = work * self.scene.work * if long { LONGER } else { 1.0 };
+        let work = work * self.scene.work * if long { LONG_WORK_RATIO } else { 1.0 };
         let ingress = self.spray(now);
         if self.dead(ingress, now) {
             self.at(
-                now + RESEND,
+                now + RETRANSMISSION_TIMEOUT,
                 Event::Arrival {
                     since: Some(since),
                     class,
@@ -77,10 +80,10 @@
         if measured {
             self.servers[server].offered += work;
         }
-        self.servers[server].promised += work;
+        self.servers[server].outstanding_work += work;
         if self.sheds(server, now) {
             // Replies bypass the balancers, so none of them sees the reset.
-            self.servers[server].promised -= work;
+            self.servers[server].outstanding_work -= work;
             return;
         }
         self.servers[server].open += 1;
@@ -102,8 +105,8 @@
         );
         if feed {
             let life: f64 = Exp1.sample(&mut self.demand);
-            self.at(now + 1.0 + life * FEED_LIFE, Event::End { flow });
-            self.flows[flow as usize].class |= FEED;
+            self.at(now + 1.0 + life * MEAN_FEED_LIFETIME, Event::End { flow });
+            self.flows[flow as usize].class |= FEED_FLAG;
         }
     }
 
@@ -120,7 +123,7 @@
             Policy::Equal | Policy::Static => (self.table.ranked(bucket)[0].into(), true),
             Policy::Least => (self.least(ingress, now), true),
             Policy::Cookie => (self.by_cookie(ingress, now), true),
-            Policy::Ideal => (self.soonest(work, now), true),
+            Policy::Ideal => (self.earliest_completion(work, now), true),
             Policy::Ours => match self.fleet.decide(ingress, class, bucket, now) {
                 Ok(choice) => choice,
                 Err(refusal) => {
@@ -135,9 +138,9 @@
         };
         if measured {
             self.outcome.placed += 1;
-            self.outcome.second += u64::from(!first);
+            self.outcome.off_first_choice += u64::from(!first);
             let base = usize::from(self.base.ranked(bucket)[0]);
-            self.outcome.pinned += u64::from(base != server);
+            self.outcome.off_initial_table += u64::from(base != server);
         }
         Some(server)
     }
@@ -145,7 +148,8 @@
     fn sheds(&mut self, server: usize, now: f64) -> bool {
         let faulty = self.scene.case.fault == Fault::Shed && server == VICTIM;
         let shedding = faulty && (BEGIN..HEAL).contains(&now);
-        self.servers[server].open >= CONNECTIONS || (shedding && self.chance.random_bool(SHED))
+        self.servers[server].open >= MAX_CONNECTIONS
+            || (shedding && self.chance.random_bool(SHED_FRACTION))
     }
 
     fn usable(&self, server: usize, now: f64) -> bool {
@@ -169,11 +173,11 @@
             .place(ingress, flow, open, |server| self.usable(server, now))
     }
 
-    fn soonest(&self, work: f64, now: f64) -> usize {
+    fn earliest_completion(&self, work: f64, now: f64) -> usize {
         let done = |index: usize| {
             let server = &self.servers[index];
-            let speed = server.speed * factor(self.scene, index, now);
-            (server.promised / f64::from(self.scene.slots) + work) / speed.max(1e-9)
+            let speed = server.speed * speed_factor(self.scene, index, now);
+            (server.outstanding_work / f64::from(self.scene.slots) + work) / speed.max(1e-9)
         };
         let usable = (0..self.servers.len()).filter(|server| self.usable(*server, now));
         usable
--- a/crates/bench/src/balance/case.rs
+++ b/crates/bench/src/balance/case.rs
@@ -49,7 +49,7 @@
 ];
 
 /// Maximum number of open connections at a backend server.
-pub const CONNECTIONS: u32 = 2_000;
+pub const MAX_CONNECTIONS: u32 = 2_000;
 /// Time at which a case's fault or change occurs and measurement begins, in seconds. The warm-up
 /// before it lets the weights converge.
 pub const BEGIN: f64 = 60.0;
@@ -204,13 +204,13 @@
 }
 
 /// Fraction of flows with a long request, such as a slow report or a large map.
-pub const LONG: f64 = 0.05;
+pub const LONG_FRACTION: f64 = 0.05;
 /// Ratio of the mean service time of long requests to that of short ones.
-pub const LONGER: f64 = 6.0;
+pub const LONG_WORK_RATIO: f64 = 6.0;
 /// Fraction of flows that stay open as feeds after their answer.
-pub const FEEDS: f64 = 0.02;
+pub const FEED_FRACTION: f64 = 0.02;
 /// Mean lifetime of a feed, in seconds.
-pub const FEED_LIFE: f64 = 60.0;
+pub const MEAN_FEED_LIFETIME: f64 = 60.0;
 
 impl Scene {
     /// Draws the speeds at random: server 0 has speed 4, server 1 speed 1, the others lie between.
@@ -222,7 +222,7 @@
             .collect();
         speeds[0] = 4.0;
         speeds[1] = 1.0;
-        let mean = work * (1.0 - LONG + LONG * LONGER);
+        let mean = work * (1.0 - LONG_FRACTION + LONG_FRACTION * LONG_WORK_RATIO);
         let usable = if case.fault == Fault::Cold {
             &speeds[1..]
         } else {
--- a/crates/bench/src/balance/cookie.rs
+++ b/crates/bench/src/balance/cookie.rs
@@ -46,7 +46,7 @@
     }
 
     /// Records an event of a flow that the balancer `at` observed.
-    pub fn saw(&mut self, at: usize, event: impl FnOnce(&mut Tally)) {
+    pub fn record(&mut self, at: usize, event: impl FnOnce(&mut Tally)) {
         event(&mut self.balancers[at].tally);
     }
 
--- a/crates/bench/src/balance/event.rs
+++ b/crates/bench/src/balance/event.rs
@@ -28,11 +28,11 @@
     /// The periodic update of a balancer, once per second.
     Tick(usize),
     /// A balancer's report arrives at its peers.
-    Mail(Rc<(usize, Report)>),
+    Report(Rc<(usize, Report)>),
     /// A balancer receives a new table and applies it.
     Apply(usize, Update),
     /// The peers detect that a balancer has failed.
-    Notice,
+    FailureDetected,
     /// The cold server joins the pool.
     Join,
     /// A health endpoint reports a server as healthy (`true`) or unhealthy (`false`).
--- a/crates/bench/src/balance/fleet.rs
+++ b/crates/bench/src/balance/fleet.rs
@@ -13,14 +13,14 @@
 use rand_pcg::Pcg64;
 
 use super::{
-    case::{CONNECTIONS, Scene},
+    case::{MAX_CONNECTIONS, Scene},
     table::Table,
 };
 
 /// Number of balancers in a deployment.
 pub const BALANCERS: usize = 8;
 /// Fraction of reports between balancers that are lost.
-const LOSS: f64 = 0.02;
+const REPORT_LOSS: f64 = 0.02;
 
 /// A balancer that runs the product's decision code.
 struct Balancer {
@@ -63,7 +63,7 @@
     ) -> Self {
         let host = Host {
             slots: scene.slots,
-            connections: CONNECTIONS,
+            connections: MAX_CONNECTIONS,
         };
         let class = |mark, share| Class {
             name: "service".into(),
@@ -117,7 +117,7 @@
     }
 
     /// Records an event of a flow that the balancer `at` observed.
-    pub fn saw(&mut self, at: usize, event: impl FnOnce(&mut acacia_load::tally::Tally)) {
+    pub fn record(&mut self, at: usize, event: impl FnOnce(&mut acacia_load::tally::Tally)) {
         event(self.balancers[at].gate.tally());
     }
 
@@ -155,7 +155,7 @@
 
     /// Applies a configuration change to every balancer that takes a server out of service or
     /// returns it.
-    pub fn leaving(&mut self, server: usize, leaving: bool) {
+    pub fn set_leaving(&mut self, server: usize, leaving: bool) {
         for balancer in &mut self.balancers {
             balancer
                 .controller
@@ -170,9 +170,9 @@
         balancer.controller.set_weights(&update.weights);
     }
 
-    /// Delivers a report to a peer; a fraction [`LOSS`] of them is lost.
+    /// Delivers a report to a peer; a fraction [`REPORT_LOSS`] of them is lost.
     pub fn deliver(&mut self, from: usize, to: usize, report: &Report, now: f64) {
-        if self.rng.random_bool(1.0 - LOSS) {
+        if self.rng.random_bool(1.0 - REPORT_LOSS) {
             self.balancers[to]
                 .controller
                 .merge(from as u16, report, duration(now));
@@ -185,7 +185,7 @@
     }
 
     /// Sets the health that a server's endpoint reports, at every balancer.
-    pub fn health(&mut self, server: usize, fine: bool) {
+    pub fn set_health(&mut self, server: usize, fine: bool) {
         for balancer in &mut self.balancers {
             balancer.controller.set_health(Server(server as u16), fine);
         }
--- a/crates/bench/src/balance/model.rs
+++ b/crates/bench/src/balance/model.rs
@@ -5,9 +5,9 @@
 /// Index of the server that faults affect: the fastest one, whose loss costs the most capacity.
 pub const VICTIM: usize = 0;
 /// Time over which the speed factor of a cold server rises by 1, in seconds.
-const WARMING: f64 = 20.0;
+const WARMUP_SECONDS: f64 = 20.0;
 /// Initial speed of a cold server as a fraction of its full speed.
-const COLD: f64 = 0.1;
+const COLD_SPEED: f64 = 0.1;
 
 /// A request at a server.
 #[derive(Debug, Clone, Copy)]
@@ -27,7 +27,7 @@
     busy: u32,
     queue: VecDeque<Job>,
     /// Work in transit, queued and in progress, in seconds at speed 1.
-    pub promised: f64,
+    pub outstanding_work: f64,
     /// Number of open connections.
     pub open: u32,
     /// Work placed on this server during measurement, in seconds at speed 1.
@@ -43,14 +43,14 @@
             slots,
             busy: 0,
             queue: VecDeque::new(),
-            promised: 0.0,
+            outstanding_work: 0.0,
             open: 0,
             offered: 0.0,
         }
     }
 
     /// Accepts a request. Returns it if it starts immediately, and queues it otherwise.
-    pub fn take(&mut self, job: Job) -> Option<Job> {
+    pub fn accept(&mut self, job: Job) -> Option<Job> {
         if self.busy < self.slots {
             self.busy += 1;
             return Some(job);
@@ -61,7 +61,7 @@
 
     /// Completes a request and returns the next one to start, if any is queued.
     pub fn finish(&mut self, job: Job) -> Option<Job> {
-        self.promised -= job.work;
+        self.outstanding_work -= job.work;
         let next = self.queue.pop_front();
         if next.is_none() {
             self.busy -= 1;
@@ -72,26 +72,26 @@
 
 /// Speed factor of server `index` at the time `now`; 0 while the server hangs.
 #[must_use]
-pub fn factor(scene: &Scene, index: usize, now: f64) -> f64 {
+pub fn speed_factor(scene: &Scene, index: usize, now: f64) -> f64 {
     if index != VICTIM || now < BEGIN {
         return 1.0;
     }
     match scene.case.fault {
         Fault::Slow | Fault::Lies if now < HEAL => 0.25,
         Fault::Hung if now < HEAL => 0.0,
-        Fault::Cold => (COLD + (now - BEGIN) / WARMING).min(1.0),
+        Fault::Cold => (COLD_SPEED + (now - BEGIN) / WARMUP_SECONDS).min(1.0),
         _ => 1.0,
     }
 }
 
 /// Work that server `index` can do with all its slots from `from` to `to`, in seconds at speed 1.
 #[must_use]
-pub fn able(scene: &Scene, index: usize, from: f64, to: f64) -> f64 {
+pub fn available_work(scene: &Scene, index: usize, from: f64, to: f64) -> f64 {
     /// Number of steps of the numerical integration.
     const STEPS: u32 = 600;
     let step = (to - from) / f64::from(STEPS);
     let sum: f64 = (0..STEPS)
-        .map(|number| factor(scene, index, from + (f64::from(number) + 0.5) * step))
+        .map(|number| speed_factor(scene, index, from + (f64::from(number) + 0.5) * step))
         .sum();
     sum * step * scene.speeds[index] * f64::from(scene.slots)
 }
--- a/crates/bench/src/balance/outcome.rs
+++ b/crates/bench/src/balance/outcome.rs
@@ -52,15 +52,15 @@
 pub struct Outcome {
     /// Utilisation of each server, work placed over work possible; leaves out a server that hangs
     /// or sheds connections.
-    pub uses: Vec<f64>,
+    pub utilisations: Vec<f64>,
     /// Results of paying and of trial flows, in this order.
     pub marks: [Mark; 2],
     /// Number of flows placed.
     pub placed: u64,
     /// Flows placed on a server other than the first choice of the table of new flows.
-    pub second: u64,
+    pub off_first_choice: u64,
     /// Flows placed on a server other than the first choice of the initial table.
-    pub pinned: u64,
+    pub off_initial_table: u64,
     /// Number of changes to the table of new flows.
     pub tables: u64,
     /// Flows answered within the deadline, divided by the lesser of demand and capacity.
@@ -71,17 +71,17 @@
     /// Ratio of the highest server utilisation to the mean.
     #[must_use]
     pub fn max_mean(&self) -> f64 {
-        let mean = self.uses.iter().sum::<f64>() / self.uses.len().max(1) as f64;
-        self.uses.iter().copied().fold(0.0, f64::max) / mean
+        let mean = self.utilisations.iter().sum::<f64>() / self.utilisations.len().max(1) as f64;
+        self.utilisations.iter().copied().fold(0.0, f64::max) / mean
     }
 
     /// Coefficient of variation of the server utilisations.
     #[must_use]
     pub fn spread(&self) -> f64 {
-        let count = self.uses.len().max(1) as f64;
-        let mean = self.uses.iter().sum::<f64>() / count;
+        let count = self.utilisations.len().max(1) as f64;
+        let mean = self.utilisations.iter().sum::<f64>() / count;
         let square: f64 = self
-            .uses
+            .utilisations
             .iter()
             .map(|utilisation| (utilisation - mean).powi(2))
             .sum();
@@ -114,8 +114,8 @@
         write!(
             f,
             " exceptions={:.4} off_base={:.4} tables={} goodput={:.3}",
-            part(self.second),
-            part(self.pinned),
+            part(self.off_first_choice),
+            part(self.off_initial_table),
             self.tables,
             self.goodput
         )
--- a/crates/bench/src/balance/simulation.rs
+++ b/crates/bench/src/balance/simulation.rs
@@ -9,7 +9,7 @@
     cookie::Cookie,
     event::{Event, Queue},
     fleet::{BALANCERS, Fleet, Update},
-    model::{Job, Server, VICTIM, able, factor},
+    model::{Job, Server, VICTIM, available_work, speed_factor},
     outcome::Outcome,
     table::Table,
 };
@@ -17,9 +17,9 @@
 /// Time that callers wait for an answer, in seconds.
 const DEADLINE: f64 = 10.0;
 /// Time until the fabric and the peers detect a failed balancer, in seconds.
-const NOTICE: f64 = 2.0;
+const DETECTION_DELAY: f64 = 2.0;
 /// Index of the balancer that fails.
-const DEAD: usize = 0;
+const FAILED_BALANCER: usize = 0;
 /// Delay until a health endpoint reports a change, in seconds.
 const HEALTH_LAG: f64 = 10.0;
 /// Fraction of a long request's service time after which the first byte of the answer is sent.
@@ -161,9 +161,9 @@
             self.at(1.0, Event::Tick(0));
         }
         match self.scene.case.fault {
-            Fault::Balancer => self.at(BEGIN + NOTICE, Event::Notice),
+            Fault::Balancer => self.at(BEGIN + DETECTION_DELAY, Event::FailureDetected),
             Fault::Cold => {
-                self.fleet.leaving(VICTIM, true);
+                self.fleet.set_leaving(VICTIM, true);
                 self.at(BEGIN, Event::Join);
             }
             Fault::Lies => {
@@ -190,28 +190,30 @@
             Event::Finish(job) => self.finish(job, now),
             Event::End { flow } => self.end(flow, now),
             Event::Tick(balancer) => self.tick(balancer, now),
-            Event::Mail(mail) => self.mail(&mail, now),
+            Event::Report(message) => self.deliver_report(&message, now),
             Event::Apply(balancer, update) => self.fleet.apply(balancer, &update),
-            Event::Notice => (1..BALANCERS).for_each(|at| self.fleet.forget(at, DEAD)),
+            Event::FailureDetected => {
+                (1..BALANCERS).for_each(|at| self.fleet.forget(at, FAILED_BALANCER))
+            }
             Event::Join => self.join(),
-            Event::Health(server, fine) => self.fleet.health(server, fine),
+            Event::Health(server, fine) => self.fleet.set_health(server, fine),
         }
     }
 
     pub(super) fn dead(&self, balancer: usize, now: f64) -> bool {
-        self.scene.case.fault == Fault::Balancer && balancer == DEAD && now >= BEGIN
+        self.scene.case.fault == Fault::Balancer && balancer == FAILED_BALANCER && now >= BEGIN
     }
 
     /// Chooses the balancer that the fabric sends a packet to.
     pub(super) fn spray(&mut self, now: f64) -> usize {
-        let known = self.scene.case.fault == Fault::Balancer && now >= BEGIN + NOTICE;
+        let known = self.scene.case.fault == Fault::Balancer && now >= BEGIN + DETECTION_DELAY;
         let first = usize::from(known);
         self.chance.random_range(first..BALANCERS)
     }
 
     /// Chooses the balancer that a later packet of a flow passes. With cookies, routers send all
     /// packets of a flow to the same balancer as long as the set of balancers is unchanged.
-    fn passes(&mut self, flow: &Flow, now: f64) -> usize {
+    fn pick_balancer(&mut self, flow: &Flow, now: f64) -> usize {
         let ingress = usize::from(flow.ingress);
         match self.policy {
             Policy::Cookie if !self.dead(ingress, now) => ingress,
@@ -223,15 +225,18 @@
         let index = job.flow as usize;
         let flow = self.flows[index];
         let server = pool::Server(flow.server);
-        let (acknowledged, asked) = (self.passes(&flow, now), self.passes(&flow, now));
+        let (acknowledged, asked) = (
+            self.pick_balancer(&flow, now),
+            self.pick_balancer(&flow, now),
+        );
         let ingress = usize::from(flow.ingress);
         if ingress == acknowledged || ingress == asked {
             let took = std::time::Duration::from_secs_f64(self.scene.round_trip);
-            self.saw(ingress, |tally| tally.completed(server, took));
+            self.record(ingress, |tally| tally.completed(server, took));
         }
-        self.saw(asked, |tally| tally.asked(server));
+        self.record(asked, |tally| tally.asked(server));
         self.flows[index].asked = asked as u8;
-        if let Some(job) = self.servers[server.index()].take(job) {
+        if let Some(job) = self.servers[server.index()].accept(job) {
             self.start(job, now);
         }
     }
@@ -241,7 +246,7 @@
         flow.started = now;
         let server = usize::from(flow.server);
         let speed = self.servers[server].speed;
-        let factor = factor(self.scene, server, now);
+        let factor = speed_factor(self.scene, server, now);
         let end = if factor > 0.0 {
             now + job.work / (speed * factor)
         } else {
@@ -253,7 +258,7 @@
     fn finish(&mut self, job: Job, now: f64) {
         let flow = self.flows[job.flow as usize];
         let server = usize::from(flow.server);
-        if factor(self.scene, server, now) == 0.0 {
+        if speed_factor(self.scene, server, now) == 0.0 {
             self.at(HEAL + job.work, Event::Finish(job));
             return;
         }
@@ -261,7 +266,7 @@
             self.start(next, now);
         }
         self.answer(&flow, now);
-        if flow.class & FEED == 0 {
+        if flow.class & FEED_FLAG == 0 {
             self.end(job.flow, now);
         }
     }
@@ -270,7 +275,7 @@
         let asked = usize::from(flow.asked);
         // The acknowledgement of the first part of the answer gives a latency sample, unless it is
         // delayed. The caller's FIN shows only that there was an answer.
-        let (acknowledged, closed) = (self.passes(flow, now), self.passes(flow, now));
+        let (acknowledged, closed) = (self.pick_balancer(flow, now), self.pick_balancer(flow, now));
         if acknowledged == asked || closed == asked {
             let whole = now - flow.started;
             let first = flow.started + if flow.long { FIRST_BYTE * whole } else { whole };
@@ -279,14 +284,14 @@
             let timed = acknowledged == asked && !delayed;
             let time = timed.then(|| std::time::Duration::from_secs_f64(took));
             if took <= DEADLINE {
-                self.saw(asked, |tally| {
+                self.record(asked, |tally| {
                     tally.answered(pool::Server(flow.server), time)
                 });
             }
         }
         if (BEGIN..END).contains(&flow.arrived) {
             let took = now + self.scene.round_trip / 2.0 - flow.arrived;
-            let mark = &mut self.outcome.marks[usize::from(flow.class & !FEED)];
+            let mark = &mut self.outcome.marks[usize::from(flow.class & !FEED_FLAG)];
             if took <= DEADLINE {
                 mark.answered(took);
             }
@@ -298,15 +303,15 @@
         let server = usize::from(flow.server);
         self.servers[server].open -= 1;
         self.local[usize::from(flow.ingress)][server] -= 1;
-        let seen = self.passes(&flow, now);
-        let class = usize::from(flow.class & !FEED);
-        self.saw(seen, |tally| tally.closed(pool::Server(flow.server), class));
+        let seen = self.pick_balancer(&flow, now);
+        let class = usize::from(flow.class & !FEED_FLAG);
+        self.record(seen, |tally| tally.closed(pool::Server(flow.server), class));
     }
 
-    fn saw(&mut self, at: usize, event: impl FnOnce(&mut Tally)) {
+    fn record(&mut self, at: usize, event: impl FnOnce(&mut Tally)) {
         match self.policy {
-            Policy::Cookie => self.cookie.saw(at, event),
-            _ => self.fleet.saw(at, event),
+            Policy::Cookie => self.cookie.record(at, event),
+            _ => self.fleet.record(at, event),
         }
     }
 
@@ -326,11 +331,11 @@
             return;
         }
         self.at(now + 1.0, Event::Tick(balancer));
-        let noticed = self.scene.case.fault == Fault::Balancer && now >= BEGIN + NOTICE;
+        let noticed = self.scene.case.fault == Fault::Balancer && now >= BEGIN + DETECTION_DELAY;
         let members = BALANCERS - usize::from(noticed);
         let writer = balancer == usize::from(noticed);
         let (report, update) = self.fleet.tick(balancer, members, writer, now);
-        self.at(now + 0.002, Event::Mail(Rc::new((balancer, report))));
+        self.at(now + 0.002, Event::Report(Rc::new((balancer, report))));
         if let Some(update) = update {
             self.spread(&update, now);
         }
@@ -347,15 +352,15 @@
         }
     }
 
-    fn mail(&mut self, mail: &(usize, Report), now: f64) {
+    fn deliver_report(&mut self, message: &(usize, Report), now: f64) {
         let cut = self.is_silent(now);
-        for to in (0..BALANCERS).filter(|to| *to != mail.0 && !cut) {
-            self.fleet.deliver(mail.0, to, &mail.1, now);
+        for to in (0..BALANCERS).filter(|to| *to != message.0 && !cut) {
+            self.fleet.deliver(message.0, to, &message.1, now);
         }
     }
 
     fn join(&mut self) {
-        self.fleet.leaving(VICTIM, false);
+        self.fleet.set_leaving(VICTIM, false);
         let weights = initial(self.scene, self.policy, BEGIN);
         self.table = Rc::new(Table::new(&weights, Some(&self.table)));
     }
@@ -366,8 +371,8 @@
             let whole = !faulty || index != VICTIM;
             if whole {
                 self.outcome
-                    .uses
-                    .push(server.offered / able(self.scene, index, BEGIN, END));
+                    .utilisations
+                    .push(server.offered / available_work(self.scene, index, BEGIN, END));
             }
         }
         let mut arrived = 0;
@@ -380,7 +385,7 @@
         }
         let servers = 0..self.servers.len();
         let possible: f64 = servers
-            .map(|index| able(self.scene, index, BEGIN, END))
+            .map(|index| available_work(self.scene, index, BEGIN, END))
             .sum();
         let possible = possible / self.scene.mean;
         self.outcome.goodput = good as f64 / possible.min(arrived as f64);
@@ -390,7 +395,7 @@
 }
 
 /// Flag in a flow's class byte: the flow stays open as a feed.
-pub(super) const FEED: u8 = 0x80;
+pub(super) const FEED_FLAG: u8 = 0x80;
 
 /// Weights that a policy starts with, and those that it uses once a cold server has joined.
 fn initial(scene: &Scene, policy: Policy, now: f64) -> Vec<f64> {
