--- a/crates/bench/src/flows/balancer.rs
+++ b/crates/bench/src/flows/balancer.rs
@@ -12,11 +12,11 @@
 use super::policy::Tracked;
 
 /// Time without a heartbeat after which a member is considered dead, in milliseconds.
-const DEAD: u64 = 4_000;
+const DEAD_AFTER_MS: u64 = 4_000;
 /// Interval between heartbeats to each peer, in milliseconds.
-const HEARTBEAT: u64 = 500;
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
 /// Size of the IPv4 and UDP headers in bytes.
-const HEADERS: u64 = 28;
+const IPV4_UDP_HEADER_BYTES: u64 = 28;
 
 /// A control message between balancers.
 #[derive(Debug, Clone)]
@@ -50,7 +50,7 @@
             Message::Notice(notice) => seal(&envelope, &(kind, notice), &secret),
             Message::Bye => seal(&envelope, &kind, &secret),
         };
-        frame.len() as u64 + HEADERS
+        frame.len() as u64 + IPV4_UDP_HEADER_BYTES
     }
 }
 
@@ -112,7 +112,7 @@
         let member = |(&node, &(since, stage)): (&Node, &(u64, Stage))| Member {
             node,
             stage,
-            dead: now > since + DEAD,
+            dead: now > since + DEAD_AFTER_MS,
         };
         let members: Vec<Member> = heard.map(member).collect();
         self.control.set_members(&members);
@@ -122,7 +122,7 @@
         let mut out: Vec<_> = batches
             .map(|(to, batch)| (to, Message::Batch(batch)))
             .collect();
-        if self.control.take_pending_report() || now >= self.reported + HEARTBEAT {
+        if self.control.take_pending_report() || now >= self.reported + HEARTBEAT_INTERVAL_MS {
             self.reported = now;
             let stage = self.control.stage();
             for member in &members {
--- a/crates/bench/src/flows/change.rs
+++ b/crates/bench/src/flows/change.rs
@@ -69,7 +69,7 @@
         service.next = build(service.base.len(), &weights, &service.next).into();
         for to in 0..self.options.balancers {
             let delay = self.rng.random_range(1..=self.spread);
-            self.wheel.add(
+            self.wheel.schedule(
                 delay,
                 Event::Tables {
                     to,
--- a/crates/bench/src/flows/fleet.rs
+++ b/crates/bench/src/flows/fleet.rs
@@ -20,24 +20,24 @@
 };
 
 /// One-way delay between two balancers, in milliseconds.
-pub(super) const DELAY: u64 = 1;
+pub(super) const PEER_DELAY_MS: u64 = 1;
 /// Time from a packet's arrival at a server to the caller's next packet, in milliseconds.
-pub(super) const ANSWER: u64 = 3;
+pub(super) const ANSWER_DELAY_MS: u64 = 3;
 /// Interval between iterations of the control threads, in milliseconds.
-const TURN: u64 = 100;
+const CONTROL_INTERVAL_MS: u64 = 100;
 /// Time until a process that has exited disappears from the platform's member list, in
 /// milliseconds.
-const LISTED: u64 = 6_000;
+const PLATFORM_LIST_DELAY_MS: u64 = 6_000;
 /// Mean interval between packets of a feed, in milliseconds. A third of all feeds stays idle.
-pub(super) const FEED: f64 = 60_000.0;
+pub(super) const FEED_INTERVAL_MS: f64 = 60_000.0;
 /// Time from the data packet of a short flow to its close, in milliseconds.
-pub(super) const SHORT: u64 = 2_000;
+pub(super) const SHORT_FLOW_MS: u64 = 2_000;
 /// Period over which the initial feeds are opened, in milliseconds.
-const RAMP: u64 = 15_000;
+const RAMP_MS: u64 = 15_000;
 /// Number of retransmissions after which a caller gives up.
-pub(super) const RESENDS: u8 = 9;
+pub(super) const MAX_RETRANSMISSIONS: u8 = 9;
 /// Server number of a flow that no server has accepted yet.
-pub(super) const NONE: u16 = u16::MAX;
+pub(super) const NO_SERVER: u16 = u16::MAX;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Step {
@@ -181,11 +181,12 @@
     /// Opens the initial feeds at a constant rate.
     fn ramp(&mut self) {
         let shorts =
-            u64::from(self.options.opens) * u64::from(self.options.balancers) * SHORT / 1_000;
+            u64::from(self.options.opens) * u64::from(self.options.balancers) * SHORT_FLOW_MS
+                / 1_000;
         let feeds = u64::from(self.options.flows).saturating_sub(shorts);
         let mut opened = 0;
-        for ms in 1..=RAMP {
-            while opened < feeds * ms / RAMP {
+        for ms in 1..=RAMP_MS {
+            while opened < feeds * ms / RAMP_MS {
                 self.start_flow(true);
                 opened += 1;
             }
@@ -217,7 +218,7 @@
         for event in self.wheel.advance() {
             self.handle(event);
         }
-        if self.now.is_multiple_of(TURN) {
+        if self.now.is_multiple_of(CONTROL_INTERVAL_MS) {
             self.turn();
         }
         if self.now.is_multiple_of(1_000) {
@@ -249,7 +250,10 @@
     }
 
     fn turn(&mut self) {
-        let ended = self.ended.iter().filter(|(_, at)| self.now > at + LISTED);
+        let ended = self
+            .ended
+            .iter()
+            .filter(|(_, at)| self.now > at + PLATFORM_LIST_DELAY_MS);
         let ended: Vec<Node> = ended.map(|(node, _)| *node).collect();
         for at in 0..self.balancers.len() {
             if !self.balancers[at].running {
@@ -270,7 +274,8 @@
         }
         self.balancers[usize::from(from.id)].count(message.bytes());
         if !self.is_lost(from.id, to) {
-            self.wheel.add(DELAY, Event::Message { to, from, message });
+            self.wheel
+                .schedule(PEER_DELAY_MS, Event::Message { to, from, message });
         }
     }
 
--- a/crates/bench/src/flows/traffic.rs
+++ b/crates/bench/src/flows/traffic.rs
@@ -11,7 +11,10 @@
 
 use super::{
     balancer::Message,
-    fleet::{ANSWER, DELAY, Event, FEED, Fleet, Flow, NONE, RESENDS, SHORT, Step},
+    fleet::{
+        ANSWER_DELAY_MS, Event, FEED_INTERVAL_MS, Fleet, Flow, MAX_RETRANSMISSIONS, NO_SERVER,
+        PEER_DELAY_MS, SHORT_FLOW_MS, Step,
+    },
     policy::Policy,
 };
 
@@ -20,7 +23,7 @@
     pub(super) fn start_flow(&mut self, feed: bool) {
         let flow = Flow {
             number: self.next,
-            server: NONE,
+            server: NO_SERVER,
             step: Step::Open,
             resends: 0,
             feed,
@@ -97,7 +100,7 @@
                     step,
                     header,
                 };
-                self.wheel.add(DELAY, event);
+                self.wheel.schedule(PEER_DELAY_MS, event);
             }
             _ => self.resend(at, step),
         }
@@ -120,15 +123,15 @@
         flow.resends = 0;
         let feed = flow.feed;
         let (next, delay) = match step {
-            Step::Open => (Step::Acknowledge, ANSWER),
+            Step::Open => (Step::Acknowledge, ANSWER_DELAY_MS),
             Step::Acknowledge if feed => return self.wait_for_feed_data(at),
-            Step::Acknowledge => (Step::Send, ANSWER),
+            Step::Acknowledge => (Step::Send, ANSWER_DELAY_MS),
             Step::Send if feed => return self.wait_for_feed_data(at),
-            Step::Send => (Step::Close, SHORT),
+            Step::Send => (Step::Close, SHORT_FLOW_MS),
             Step::Close => return self.free.push(at),
         };
         flow.step = next;
-        self.wheel.add(delay, Event::Due(at));
+        self.wheel.schedule(delay, Event::Due(at));
     }
 
     pub(super) fn wait_for_feed_data(&mut self, at: u32) {
@@ -137,7 +140,7 @@
         if !flow.number.is_multiple_of(3) {
             let unit: f64 = self.rng.random_range(f64::EPSILON..1.0);
             self.wheel
-                .add((-unit.ln() * FEED) as u64 + 1, Event::Due(at));
+                .schedule((-unit.ln() * FEED_INTERVAL_MS) as u64 + 1, Event::Due(at));
         }
     }
 
@@ -146,7 +149,7 @@
         self.dropped += 1;
         let flow = &mut self.flows[at as usize];
         flow.resends += 1;
-        if flow.resends > RESENDS {
+        if flow.resends > MAX_RETRANSMISSIONS {
             flow.broken = true;
             self.given_up += 1;
             if !flow.feed {
@@ -155,7 +158,8 @@
             return;
         }
         let first = if step == Step::Open { 1_000 } else { 200 };
-        self.wheel.add(first << (flow.resends - 1), Event::Due(at));
+        self.wheel
+            .schedule(first << (flow.resends - 1), Event::Due(at));
     }
 }
 
