--- a/crates/bench/src/balance/simulation.rs
+++ b/crates/bench/src/balance/simulation.rs
@@ -9,36 +9,36 @@
     cookie::Cookie,
     event::{Event, Queue},
     fleet::{BALANCERS, Fleet, Update},
-    model::{Job, Server, VICTIM, able, factor},
+    model::{Job, Server, VICTIM, available_work, speed_factor},
     outcome::Outcome,
     table::Table,
 };
 
-/// Callers wait this long for an answer, in seconds.
+/// Time that callers wait for an answer, in seconds.
 const DEADLINE: f64 = 10.0;
-/// Time after which the fabric and the peers notice a dead balancer, in seconds.
-const NOTICE: f64 = 2.0;
-/// The balancer that dies.
-const DEAD: usize = 0;
-/// Delay of a health endpoint, in seconds.
+/// Time until the fabric and the peers detect a failed balancer, in seconds.
+const DETECTION_DELAY: f64 = 2.0;
+/// Index of the balancer that fails.
+const FAILED_BALANCER: usize = 0;
+/// Delay until a health endpoint reports a change, in seconds.
 const HEALTH_LAG: f64 = 10.0;
-/// Part of a long request's work after which its first byte is sent.
+/// Fraction of a long request's service time after which the first byte of the answer is sent.
 const FIRST_BYTE: f64 = 0.3;
 
-/// How new flows are let in and placed.
+/// How new flows are admitted and placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// Equal shares, all let in.
+    /// Equal weights; admits every flow.
     Equal,
-    /// Shares by true speed, all let in.
+    /// Weights by true speed; admits every flow.
     Static,
-    /// Least open flows by the balancer's own knowledge, all let in.
+    /// Fewest open flows among those that the balancer placed itself; admits every flow.
     Least,
     /// The product's decision code.
     Ours,
-    /// The product's decision code where packets carry a cookie; all let in.
+    /// The product's decision code for packets with a routing cookie; admits every flow.
     Cookie,
-    /// Knows every queue, speed and fault: soonest done. A bound.
+    /// Earliest completion with knowledge of every queue, speed and fault: a reference bound.
     Ideal,
 }
 
@@ -53,7 +53,7 @@
         Policy::Ideal,
     ];
 
-    /// The name in options and lines.
+    /// Name of the policy in options and result lines.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -67,7 +67,7 @@
     }
 }
 
-/// A flow that was let in.
+/// An admitted flow.
 #[derive(Debug, Clone, Copy)]
 pub struct Flow {
     pub(super) arrived: f64,
@@ -75,13 +75,13 @@
     pub(super) started: f64,
     pub(super) class: u8,
     pub(super) ingress: u8,
-    /// The balancer that saw its data.
+    /// Index of the balancer that the request's data passed.
     pub(super) asked: u8,
     pub(super) server: u16,
     pub(super) long: bool,
 }
 
-/// A run under way.
+/// State of a running simulation.
 pub struct Simulation<'a> {
     pub(super) scene: &'a Scene,
     pub(super) policy: Policy,
@@ -94,14 +94,15 @@
     pub(super) table: Rc<Table>,
     pub(super) base: Rc<Table>,
     pub(super) events: Queue,
-    /// Arrivals, their work and buckets: the same for every policy.
+    /// Random numbers for arrivals, their work and buckets; separate from `chance` so that every
+    /// policy is compared on the same demand.
     pub(super) demand: Pcg64,
-    /// The fabric's choices and the rest.
+    /// Random numbers for the fabric's choices and everything else.
     pub(super) chance: Pcg64,
     pub(super) outcome: Outcome,
 }
 
-/// Runs a case under a policy.
+/// Runs a case under a policy and returns its measurements.
 #[must_use]
 pub fn run(scene: &Scene, policy: Policy, limits: &Limits, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(scene, policy, limits, seed);
@@ -160,9 +161,9 @@
             self.at(1.0, Event::Tick(0));
         }
         match self.scene.case.fault {
-            Fault::Balancer => self.at(BEGIN + NOTICE, Event::Notice),
+            Fault::Balancer => self.at(BEGIN + DETECTION_DELAY, Event::FailureDetected),
             Fault::Cold => {
-                self.fleet.leaving(VICTIM, true);
+                self.fleet.set_leaving(VICTIM, true);
                 self.at(BEGIN, Event::Join);
             }
             Fault::Lies => {
@@ -189,28 +190,30 @@
             Event::Finish(job) => self.finish(job, now),
             Event::End { flow } => self.end(flow, now),
             Event::Tick(balancer) => self.tick(balancer, now),
-            Event::Mail(mail) => self.mail(&mail, now),
+            Event::Report(message) => self.deliver_report(&message, now),
             Event::Apply(balancer, update) => self.fleet.apply(balancer, &update),
-            Event::Notice => (1..BALANCERS).for_each(|at| self.fleet.forget(at, DEAD)),
+            Event::FailureDetected => {
+                (1..BALANCERS).for_each(|at| self.fleet.forget(at, FAILED_BALANCER))
+            }
             Event::Join => self.join(),
-            Event::Health(server, fine) => self.fleet.health(server, fine),
+            Event::Health(server, fine) => self.fleet.set_health(server, fine),
         }
     }
 
     pub(super) fn dead(&self, balancer: usize, now: f64) -> bool {
-        self.scene.case.fault == Fault::Balancer && balancer == DEAD && now >= BEGIN
+        self.scene.case.fault == Fault::Balancer && balancer == FAILED_BALANCER && now >= BEGIN
     }
 
-    /// The balancer that the fabric hands a packet to.
+    /// Chooses the balancer that the fabric sends a packet to.
     pub(super) fn spray(&mut self, now: f64) -> usize {
-        let known = self.scene.case.fault == Fault::Balancer && now >= BEGIN + NOTICE;
+        let known = self.scene.case.fault == Fault::Balancer && now >= BEGIN + DETECTION_DELAY;
         let first = usize::from(known);
         self.chance.random_range(first..BALANCERS)
     }
 
-    /// The balancer that a further packet of a flow passes. Where packets carry a cookie, routers
-    /// send all packets of a flow to one balancer while the set of balancers stays.
-    fn passes(&mut self, flow: &Flow, now: f64) -> usize {
+    /// Chooses the balancer that a later packet of a flow passes. With cookies, routers send all
+    /// packets of a flow to the same balancer as long as the set of balancers is unchanged.
+    fn pick_balancer(&mut self, flow: &Flow, now: f64) -> usize {
         let ingress = usize::from(flow.ingress);
         match self.policy {
             Policy::Cookie if !self.dead(ingress, now) => ingress,
@@ -222,15 +225,18 @@
         let index = job.flow as usize;
         let flow = self.flows[index];
         let server = pool::Server(flow.server);
-        let (acknowledged, asked) = (self.passes(&flow, now), self.passes(&flow, now));
+        let (acknowledged, asked) = (
+            self.pick_balancer(&flow, now),
+            self.pick_balancer(&flow, now),
+        );
         let ingress = usize::from(flow.ingress);
         if ingress == acknowledged || ingress == asked {
             let took = std::time::Duration::from_secs_f64(self.scene.round_trip);
-            self.saw(ingress, |tally| tally.completed(server, took));
+            self.record(ingress, |tally| tally.completed(server, took));
         }
-        self.saw(asked, |tally| tally.asked(server));
+        self.record(asked, |tally| tally.asked(server));
         self.flows[index].asked = asked as u8;
-        if let Some(job) = self.servers[server.index()].take(job) {
+        if let Some(job) = self.servers[server.index()].accept(job) {
             self.start(job, now);
         }
     }
@@ -240,7 +246,7 @@
         flow.started = now;
         let server = usize::from(flow.server);
         let speed = self.servers[server].speed;
-        let factor = factor(self.scene, server, now);
+        let factor = speed_factor(self.scene, server, now);
         let end = if factor > 0.0 {
             now + job.work / (speed * factor)
         } else {
@@ -252,7 +258,7 @@
     fn finish(&mut self, job: Job, now: f64) {
         let flow = self.flows[job.flow as usize];
         let server = usize::from(flow.server);
-        if factor(self.scene, server, now) == 0.0 {
+        if speed_factor(self.scene, server, now) == 0.0 {
             self.at(HEAL + job.work, Event::Finish(job));
             return;
         }
@@ -260,16 +266,16 @@
             self.start(next, now);
         }
         self.answer(&flow, now);
-        if flow.class & FEED == 0 {
+        if flow.class & FEED_FLAG == 0 {
             self.end(job.flow, now);
         }
     }
 
     fn answer(&mut self, flow: &Flow, now: f64) {
         let asked = usize::from(flow.asked);
-        // The acknowledgement of the answer's first part tells its time, unless it is delayed; the
-        // caller's FIN only tells that there was an answer.
-        let (acknowledged, closed) = (self.passes(flow, now), self.passes(flow, now));
+        // The acknowledgement of the first part of the answer gives a latency sample, unless it is
+        // delayed. The caller's FIN shows only that there was an answer.
+        let (acknowledged, closed) = (self.pick_balancer(flow, now), self.pick_balancer(flow, now));
         if acknowledged == asked || closed == asked {
             let whole = now - flow.started;
             let first = flow.started + if flow.long { FIRST_BYTE * whole } else { whole };
@@ -278,14 +284,14 @@
             let timed = acknowledged == asked && !delayed;
             let time = timed.then(|| std::time::Duration::from_secs_f64(took));
             if took <= DEADLINE {
-                self.saw(asked, |tally| {
+                self.record(asked, |tally| {
                     tally.answered(pool::Server(flow.server), time)
                 });
             }
         }
         if (BEGIN..END).contains(&flow.arrived) {
             let took = now + self.scene.round_trip / 2.0 - flow.arrived;
-            let mark = &mut self.outcome.marks[usize::from(flow.class & !FEED)];
+            let mark = &mut self.outcome.marks[usize::from(flow.class & !FEED_FLAG)];
             if took <= DEADLINE {
                 mark.answered(took);
             }
@@ -297,15 +303,15 @@
         let server = usize::from(flow.server);
         self.servers[server].open -= 1;
         self.local[usize::from(flow.ingress)][server] -= 1;
-        let seen = self.passes(&flow, now);
-        let class = usize::from(flow.class & !FEED);
-        self.saw(seen, |tally| tally.closed(pool::Server(flow.server), class));
+        let seen = self.pick_balancer(&flow, now);
+        let class = usize::from(flow.class & !FEED_FLAG);
+        self.record(seen, |tally| tally.closed(pool::Server(flow.server), class));
     }
 
-    fn saw(&mut self, at: usize, event: impl FnOnce(&mut Tally)) {
+    fn record(&mut self, at: usize, event: impl FnOnce(&mut Tally)) {
         match self.policy {
-            Policy::Cookie => self.cookie.saw(at, event),
-            _ => self.fleet.saw(at, event),
+            Policy::Cookie => self.cookie.record(at, event),
+            _ => self.fleet.record(at, event),
         }
     }
 
@@ -325,11 +331,11 @@
             return;
         }
         self.at(now + 1.0, Event::Tick(balancer));
-        let noticed = self.scene.case.fault == Fault::Balancer && now >= BEGIN + NOTICE;
+        let noticed = self.scene.case.fault == Fault::Balancer && now >= BEGIN + DETECTION_DELAY;
         let members = BALANCERS - usize::from(noticed);
         let writer = balancer == usize::from(noticed);
         let (report, update) = self.fleet.tick(balancer, members, writer, now);
-        self.at(now + 0.002, Event::Mail(Rc::new((balancer, report))));
+        self.at(now + 0.002, Event::Report(Rc::new((balancer, report))));
         if let Some(update) = update {
             self.spread(&update, now);
         }
@@ -338,7 +344,7 @@
         }
     }
 
-    /// A table reaches the balancers at different times.
+    /// Schedules an update to reach each balancer after a random delay.
     fn spread(&mut self, update: &Update, now: f64) {
         for to in 0..BALANCERS {
             let delay = self.chance.random_range(0.1..1.5);
@@ -346,15 +352,15 @@
         }
     }
 
-    fn mail(&mut self, mail: &(usize, Report), now: f64) {
+    fn deliver_report(&mut self, message: &(usize, Report), now: f64) {
         let cut = self.is_silent(now);
-        for to in (0..BALANCERS).filter(|to| *to != mail.0 && !cut) {
-            self.fleet.deliver(mail.0, to, &mail.1, now);
+        for to in (0..BALANCERS).filter(|to| *to != message.0 && !cut) {
+            self.fleet.deliver(message.0, to, &message.1, now);
         }
     }
 
     fn join(&mut self) {
-        self.fleet.leaving(VICTIM, false);
+        self.fleet.set_leaving(VICTIM, false);
         let weights = initial(self.scene, self.policy, BEGIN);
         self.table = Rc::new(Table::new(&weights, Some(&self.table)));
     }
@@ -365,8 +371,8 @@
             let whole = !faulty || index != VICTIM;
             if whole {
                 self.outcome
-                    .uses
-                    .push(server.offered / able(self.scene, index, BEGIN, END));
+                    .utilisations
+                    .push(server.offered / available_work(self.scene, index, BEGIN, END));
             }
         }
         let mut arrived = 0;
@@ -379,7 +385,7 @@
         }
         let servers = 0..self.servers.len();
         let possible: f64 = servers
-            .map(|index| able(self.scene, index, BEGIN, END))
+            .map(|index| available_work(self.scene, index, BEGIN, END))
             .sum();
         let possible = possible / self.scene.mean;
         self.outcome.goodput = good as f64 / possible.min(arrived as f64);
@@ -388,10 +394,10 @@
     }
 }
 
-/// Set in a flow's class if it stays open as a feed.
-pub(super) const FEED: u8 = 0x80;
+/// Flag in a flow's class byte: the flow stays open as a feed.
+pub(super) const FEED_FLAG: u8 = 0x80;
 
-/// The weights that a policy begins with, or takes when a cold server joins.
+/// Weights that a policy starts with, and those that it uses once a cold server has joined.
 fn initial(scene: &Scene, policy: Policy, now: f64) -> Vec<f64> {
     let weight = |(index, speed): (usize, &f64)| match policy {
         _ if scene.case.fault == Fault::Cold && index == VICTIM && now < BEGIN => 0.0,
--- a/crates/bench/src/flows/fleet.rs
+++ b/crates/bench/src/flows/fleet.rs
@@ -19,23 +19,25 @@
     wheel::Wheel,
 };
 
-/// Milliseconds between two balancers, and from a server's answer to the caller's next packet.
-pub(super) const DELAY: u64 = 1;
-pub(super) const ANSWER: u64 = 3;
-/// Milliseconds between two turns of the control threads.
-const TURN: u64 = 100;
-/// Milliseconds after which the platform's list shows that a process has ended.
-const LISTED: u64 = 6_000;
-/// Mean milliseconds between two packets of a feed; a third of all feeds is silent throughout.
-pub(super) const FEED: f64 = 60_000.0;
-/// Milliseconds that a short flow is open.
-pub(super) const SHORT: u64 = 2_000;
-/// Milliseconds over which the feeds are opened at first.
-const RAMP: u64 = 15_000;
-/// Resends after which a caller gives up.
-pub(super) const RESENDS: u8 = 9;
-/// A server's number that stands for none.
-pub(super) const NONE: u16 = u16::MAX;
+/// One-way delay between two balancers, in milliseconds.
+pub(super) const PEER_DELAY_MS: u64 = 1;
+/// Time from a packet's arrival at a server to the caller's next packet, in milliseconds.
+pub(super) const ANSWER_DELAY_MS: u64 = 3;
+/// Interval between iterations of the control threads, in milliseconds.
+const CONTROL_INTERVAL_MS: u64 = 100;
+/// Time until a process that has exited disappears from the platform's member list, in
+/// milliseconds.
+const PLATFORM_LIST_DELAY_MS: u64 = 6_000;
+/// Mean interval between packets of a feed, in milliseconds. A third of all feeds stays idle.
+pub(super) const FEED_INTERVAL_MS: f64 = 60_000.0;
+/// Time from the data packet of a short flow to its close, in milliseconds.
+pub(super) const SHORT_FLOW_MS: u64 = 2_000;
+/// Period over which the initial feeds are opened, in milliseconds.
+const RAMP_MS: u64 = 15_000;
+/// Number of retransmissions after which a caller gives up.
+pub(super) const MAX_RETRANSMISSIONS: u8 = 9;
+/// Server number of a flow that no server has accepted yet.
+pub(super) const NO_SERVER: u16 = u16::MAX;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Step {
@@ -75,7 +77,7 @@
     },
 }
 
-/// Runs one case and gives its line.
+/// Runs one case and returns its result line.
 pub fn run(options: &Options, case: Case, policy: Policy, seed: u64) -> anyhow::Result<String> {
     let started = Instant::now();
     let mut fleet = Fleet::new(options, policy, seed)?;
@@ -176,14 +178,15 @@
             .context("the balancers did not become ready")
     }
 
-    /// Opens the feeds.
+    /// Opens the initial feeds at a constant rate.
     fn ramp(&mut self) {
         let shorts =
-            u64::from(self.options.opens) * u64::from(self.options.balancers) * SHORT / 1_000;
+            u64::from(self.options.opens) * u64::from(self.options.balancers) * SHORT_FLOW_MS
+                / 1_000;
         let feeds = u64::from(self.options.flows).saturating_sub(shorts);
         let mut opened = 0;
-        for ms in 1..=RAMP {
-            while opened < feeds * ms / RAMP {
+        for ms in 1..=RAMP_MS {
+            while opened < feeds * ms / RAMP_MS {
                 self.start_flow(true);
                 opened += 1;
             }
@@ -199,7 +202,7 @@
         }
     }
 
-    /// One millisecond with callers.
+    /// Simulates one millisecond, with new flows.
     fn tick(&mut self) {
         let opens = f64::from(self.options.opens) * f64::from(self.options.balancers) / 1_000.0;
         self.openings_due += opens;
@@ -215,7 +218,7 @@
         for event in self.wheel.advance() {
             self.handle(event);
         }
-        if self.now.is_multiple_of(TURN) {
+        if self.now.is_multiple_of(CONTROL_INTERVAL_MS) {
             self.turn();
         }
         if self.now.is_multiple_of(1_000) {
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Every flow that is still open sends once more, also those idle throughout.
+    /// Sends one more packet on every feed that is still open, so that idle feeds are checked too.
     fn finish(&mut self) {
         let open: Vec<u32> = (0..self.flows.len() as u32)
             .filter(|&at| {
@@ -247,7 +250,10 @@
     }
 
     fn turn(&mut self) {
-        let ended = self.ended.iter().filter(|(_, at)| self.now > at + LISTED);
+        let ended = self
+            .ended
+            .iter()
+            .filter(|(_, at)| self.now > at + PLATFORM_LIST_DELAY_MS);
         let ended: Vec<Node> = ended.map(|(node, _)| *node).collect();
         for at in 0..self.balancers.len() {
             if !self.balancers[at].running {
@@ -258,7 +264,7 @@
                 self.post(from, to, message);
             }
         }
-        self.go_on_replacing();
+        self.advance_replacements();
     }
 
     pub(super) fn post(&mut self, from: Node, to: u16, message: Message) {
@@ -268,7 +274,8 @@
         }
         self.balancers[usize::from(from.id)].count(message.bytes());
         if !self.is_lost(from.id, to) {
-            self.wheel.add(DELAY, Event::Message { to, from, message });
+            self.wheel
+                .schedule(PEER_DELAY_MS, Event::Message { to, from, message });
         }
     }
 
--- a/crates/bench/src/flows/traffic.rs
+++ b/crates/bench/src/flows/traffic.rs
@@ -11,16 +11,19 @@
 
 use super::{
     balancer::Message,
-    fleet::{ANSWER, DELAY, Event, FEED, Fleet, Flow, NONE, RESENDS, SHORT, Step},
+    fleet::{
+        ANSWER_DELAY_MS, Event, FEED_INTERVAL_MS, Fleet, Flow, MAX_RETRANSMISSIONS, NO_SERVER,
+        PEER_DELAY_MS, SHORT_FLOW_MS, Step,
+    },
     policy::Policy,
 };
 
-/// Callers and their packets.
+/// Traffic of the callers.
 impl Fleet<'_> {
     pub(super) fn start_flow(&mut self, feed: bool) {
         let flow = Flow {
             number: self.next,
-            server: NONE,
+            server: NO_SERVER,
             step: Step::Open,
             resends: 0,
             feed,
@@ -41,7 +44,7 @@
         self.due(at);
     }
 
-    /// The caller of a flow sends its next packet through a balancer that the fabric chooses.
+    /// Sends the next packet of a flow through a running balancer chosen at random by the fabric.
     pub(super) fn due(&mut self, at: u32) {
         let flow = self.flows[at as usize];
         if flow.broken {
@@ -97,13 +100,14 @@
                     step,
                     header,
                 };
-                self.wheel.add(DELAY, event);
+                self.wheel.schedule(PEER_DELAY_MS, event);
             }
             _ => self.resend(at, step),
         }
     }
 
-    /// A packet reaches a server, which answers; the caller goes on.
+    /// Delivers a packet to a server and schedules the caller's next packet. The flow breaks if the
+    /// server isn't the one that accepted it.
     pub(super) fn deliver(&mut self, at: u32, step: Step, server: u16) {
         let flow = &mut self.flows[at as usize];
         if step == Step::Open {
@@ -119,33 +123,33 @@
         flow.resends = 0;
         let feed = flow.feed;
         let (next, delay) = match step {
-            Step::Open => (Step::Acknowledge, ANSWER),
-            Step::Acknowledge if feed => return self.wait_for_news(at),
-            Step::Acknowledge => (Step::Send, ANSWER),
-            Step::Send if feed => return self.wait_for_news(at),
-            Step::Send => (Step::Close, SHORT),
+            Step::Open => (Step::Acknowledge, ANSWER_DELAY_MS),
+            Step::Acknowledge if feed => return self.wait_for_feed_data(at),
+            Step::Acknowledge => (Step::Send, ANSWER_DELAY_MS),
+            Step::Send if feed => return self.wait_for_feed_data(at),
+            Step::Send => (Step::Close, SHORT_FLOW_MS),
             Step::Close => return self.free.push(at),
         };
         flow.step = next;
-        self.wheel.add(delay, Event::Due(at));
+        self.wheel.schedule(delay, Event::Due(at));
     }
 
-    pub(super) fn wait_for_news(&mut self, at: u32) {
+    pub(super) fn wait_for_feed_data(&mut self, at: u32) {
         let flow = &mut self.flows[at as usize];
         flow.step = Step::Send;
         if !flow.number.is_multiple_of(3) {
             let unit: f64 = self.rng.random_range(f64::EPSILON..1.0);
             self.wheel
-                .add((-unit.ln() * FEED) as u64 + 1, Event::Due(at));
+                .schedule((-unit.ln() * FEED_INTERVAL_MS) as u64 + 1, Event::Due(at));
         }
     }
 
-    /// A packet was dropped: the caller's transport sends it again, with growing pauses.
+    /// Schedules the retransmission of a dropped packet, with exponential backoff.
     pub(super) fn resend(&mut self, at: u32, step: Step) {
         self.dropped += 1;
         let flow = &mut self.flows[at as usize];
         flow.resends += 1;
-        if flow.resends > RESENDS {
+        if flow.resends > MAX_RETRANSMISSIONS {
             flow.broken = true;
             self.given_up += 1;
             if !flow.feed {
@@ -154,7 +158,8 @@
             return;
         }
         let first = if step == Step::Open { 1_000 } else { 200 };
-        self.wheel.add(first << (flow.resends - 1), Event::Due(at));
+        self.wheel
+            .schedule(first << (flow.resends - 1), Event::Due(at));
     }
 }
 
