--- a/crates/bench/src/flows/fleet.rs
+++ b/crates/bench/src/flows/fleet.rs
@@ -103,15 +103,22 @@
     pub(super) options: &'a Options,
     pub(super) policy: Policy,
     pub(super) rng: Pcg64Mcg,
+    /// Virtual time in milliseconds.
     pub(super) now: u64,
+    /// Virtual time at which the counters were last reset.
     pub(super) counted_since: u64,
     pub(super) balancers: Vec<Balancer>,
     pub(super) tables: Tables,
+    /// Maximum delay of a new table on its way to a balancer, in milliseconds.
     pub(super) spread: u64,
+    /// Whether a network partition separates the two halves of the balancers.
     pub(super) cut: bool,
+    /// Processes that have exited, with the time of their exit.
     pub(super) ended: Vec<(Node, u64)>,
+    /// Balancers under replacement, with the time of their exit; `u64::MAX` until they may leave.
     pub(super) replacing: BTreeMap<u16, u64>,
     pub(super) flows: Vec<Flow>,
+    /// Unused indices of `flows`.
     pub(super) free: Vec<u32>,
     pub(super) wheel: Wheel<Event>,
     pub(super) next: u32,
